--- a/extproc/src/main/java/martenlatch/front/extproc/ProxyCall.java
+++ b/extproc/src/main/java/martenlatch/front/extproc/ProxyCall.java
@@ -18,27 +18,25 @@
     private static final class Try implements Carrier.Attempt {
         private final ProxyCall call;
         private final String server;
-        private final double sentAt;
-        private final double waitMs;
+        private final Conditions conditions;
         private final double notAfter;
         private final Carrier.Ending ending;
         private boolean handedOut;
         /** Before it none of the request's attempts can have run. */
         private boolean first;
 
-        Try(ProxyCall call, String server, double sentAt, double waitMs, double notAfter,
+        Try(ProxyCall call, String server, Conditions conditions, double notAfter,
                 Carrier.Ending ending) {
             this.call = call;
             this.server = server;
-            this.sentAt = sentAt;
-            this.waitMs = waitMs;
+            this.conditions = conditions;
             this.notAfter = notAfter;
             this.ending = ending;
         }
 
         /** For how long it will still be waited for. */
-        double left(double now) {
-            return waitMs - (now - sentAt);
+        double left() {
+            return conditions.remainingMs();
         }
 
         @Override
@@ -90,8 +88,8 @@
     // ---- what the host asks for ----
 
     @Override
-    public Attempt send(String server, double waitMs, double notAfter, Ending ending) {
-        Try made = new Try(this, server, front.time.now(), waitMs, notAfter, ending);
+    public Attempt send(String server, Conditions conditions, double notAfter, Ending ending) {
+        Try made = new Try(this, server, conditions, notAfter, ending);
         if (asking != null) {
             handOut(made);
         } else {
@@ -108,7 +106,7 @@
     /** Waits for the next consultation, no longer than the attempt: its end would blame the endpoint. */
     private void waitFor(Try attempt, Runnable otherwise) {
         stopWaiting();
-        wait = front.time.after(Math.min(front.own.nextMs(), attempt.left(front.time.now()) - 1), () -> {
+        wait = front.time.after(Math.min(front.own.nextMs(), attempt.left() - 1), () -> {
             wait = null;
             otherwise.run();
         });
@@ -142,7 +140,7 @@
             mayHaveRunAt = now;
             made.first = true;
         }
-        proxy.decided(this, to.decision(made.left(now)));
+        proxy.decided(this, to.decision(made.left()));
     }
 
     private void givenUp(Try attempt) {
--- a/sidecar/src/main/java/martenlatch/front/CallReader.java
+++ b/sidecar/src/main/java/martenlatch/front/CallReader.java
@@ -14,6 +14,12 @@
     public static final String DEADLINE = "X-Deadline-Ms";
     /** What the request is told from others by. */
     public static final String ID = "X-Request-Id";
+    /**
+     * The part of the client's time, and its most, that is kept for the way there and back and for a delayed
+     * event loop: a final answer that leaves when the time is up always comes late.
+     */
+    private static final double ANSWER_MARGIN_SHARE = 0.04;
+    private static final double MAX_ANSWER_MARGIN_MS = 40;
     private static final String CLASS = "X-Class";
     private static final String TENANT = "X-Tenant";
     /** What a request is told by, which must not be open to two readings. */
@@ -79,7 +85,8 @@
             return bad(DEADLINE + " is no whole number");
         }
         // No client waits longer than its class may take, whatever it says.
-        double until = now + Math.min(deadline, kinds.get(kind).deadlineMs());
+        double allowed = Math.min(deadline, kinds.get(kind).deadlineMs());
+        double until = now + allowed - Math.min(MAX_ANSWER_MARGIN_MS, allowed * ANSWER_MARGIN_SHARE);
         return new Reading(new Request(id, kind, tenant, Math.min(until, latest),
             "1".equals(head.first("X-Retry"))), 200, null);
     }
--- a/sidecar/src/main/java/martenlatch/front/http/ClientGuard.java
+++ b/sidecar/src/main/java/martenlatch/front/http/ClientGuard.java
@@ -59,6 +59,8 @@
     private boolean waiting;
     /** Something has come since it was last looked for. */
     private boolean heard;
+    /** What has come is being passed on: it must not be read again from within. */
+    private boolean reading;
     private boolean deaf;
     /** The last answer has been handed over. */
     private boolean ended;
@@ -125,7 +127,7 @@
      */
     boolean readNow() {
         heard = false;
-        if (channel.isActive()) {
+        if (channel.isActive() && !reading) {
             ((AbstractNioChannel) channel).unsafe().read();
         }
         return heard;
@@ -143,6 +145,7 @@
     public void channelRead(ChannelHandlerContext ctx, Object bytes) {
         int size = ((ByteBuf) bytes).readableBytes();
         heard = true;
+        reading = true;
         if (deaf) {
             ((ByteBuf) bytes).release();
             // Before the last answer is written a flood is read for the end behind it, and nothing is kept.
@@ -172,6 +175,12 @@
         ctx.fireChannelRead(bytes);
     }
 
+    @Override
+    public void channelReadComplete(ChannelHandlerContext ctx) {
+        reading = false;
+        ctx.fireChannelReadComplete();
+    }
+
     /** Takes nothing more for the time being, or takes again what has come. */
     void hold(boolean now) {
         if (holding && !now && !held.isEmpty()) {
--- a/sidecar/src/main/java/martenlatch/front/http/Frontend.java
+++ b/sidecar/src/main/java/martenlatch/front/http/Frontend.java
@@ -46,6 +46,7 @@
 import martenlatch.host.Rest;
 import martenlatch.host.Time;
 import martenlatch.net.Buffers;
+import martenlatch.policy.Contract.Request;
 import martenlatch.policy.Contract.Settings;
 import martenlatch.upstream.EndpointPool;
 import martenlatch.upstream.Upload;
@@ -272,6 +273,8 @@
         private Reply passing;
         /** The last answer is on its way. */
         private boolean ending;
+        /** Requests that were read and are not with the exchange yet. */
+        private final Deque<Arrival> arrivals = new ArrayDeque<>();
 
         Connection(SocketChannel channel) {
             this.channel = channel;
@@ -398,17 +401,36 @@
             CallReader.Reading reading = calls.read(new Head(request), time.now(), endsAt);
             if (reading.request() == null) {
                 reply.giveUp(HttpResponseStatus.valueOf(reading.status()), reading.why());
-            } else if (exchange.has(reading.request().id())) {
-                reply.giveUp(HttpResponseStatus.CONFLICT,
-                    CallReader.ID + " is that of a request in hand");
             } else if (surplus) {
                 reply.keepAlive = false;
                 reply.refused(OVERFLOW_COOL_DOWN_MS);
             } else {
-                reply.id = reading.request().id();
                 hasAsked = true;
-                exchange.request(reading.request(), endpoints.carrier(message(request, body, upload)), reply,
-                    upload != null);
+                arrivals.add(new Arrival(reply, reading.request(), message(request, body, upload)));
+                if (upload != null) {
+                    handOverArrivals();
+                } else if (arrivals.size() == 1) {
+                    // Not while the connection is read: only behind the request shows whether its client has left.
+                    channel.eventLoop().execute(this::handOverArrivals);
+                }
+            }
+        }
+
+        private void handOverArrivals() {
+            for (Arrival next = arrivals.poll(); next != null; next = arrivals.poll()) {
+                Reply reply = next.reply();
+                if (!replies.contains(reply)) {
+                    // The connection has ended in the meantime.
+                    continue;
+                }
+                Request request = next.request();
+                if (exchange.has(request.id())) {
+                    reply.giveUp(HttpResponseStatus.CONFLICT, CallReader.ID + " is that of a request in hand");
+                    continue;
+                }
+                reply.id = request.id();
+                boolean incomplete = next.message().upload() != null;
+                exchange.request(request, endpoints.carrier(next.message()), reply, incomplete);
             }
         }
 
@@ -505,6 +527,10 @@
         }
     }
 
+    /** A request that was read, and who waits for its answer. */
+    private record Arrival(Reply reply, Request request, EndpointPool.Message message) {
+    }
+
     private record Head(HttpRequest request) implements CallReader.Head {
         @Override
         public String method() {
@@ -548,6 +574,14 @@
             this.connection = connection;
         }
 
+        @Override
+        public boolean isConnected() {
+            if (!connection.bodyPaused) {
+                connection.guard.readNow();
+            }
+            return connection.channel.isActive();
+        }
+
         @Override
         public void served(Answer answer) {
             if (answer.rest() != null) {
--- a/sidecar/src/main/java/martenlatch/host/Carrier.java
+++ b/sidecar/src/main/java/martenlatch/host/Carrier.java
@@ -16,6 +16,15 @@
         boolean withdraw();
     }
 
+    /** What holds of an attempt at the moment in which it is written, which may be long after the decision. */
+    interface Conditions {
+        /** How long it will still be waited for, in milliseconds. */
+        double remainingMs();
+
+        /** Whether its client is still connected, by a look at its connection now; if not, the attempt is withdrawn. */
+        boolean isClientConnected();
+    }
+
     /** How an attempt ended; it is told once, and never after {@link Attempt#giveUp}. */
     interface Ending {
         /** The answer is null where none came. */
@@ -26,9 +35,9 @@
      * Sends the call to an endpoint, once. It may end before this returns.
      *
      * @param server the endpoint's id
-     * @param waitMs how long it will be waited for, in milliseconds; above 0
+     * @param conditions to be asked just before it is written
      * @param notAfter the time after which it must not be sent on any more, however long it had to wait for
      *     that: what is not on its way by then ends as {@code IGNORED}; positive infinity for any time
      */
-    Attempt send(String server, double waitMs, double notAfter, Ending ending);
+    Attempt send(String server, Conditions conditions, double notAfter, Ending ending);
 }
--- a/sidecar/src/main/java/martenlatch/host/Client.java
+++ b/sidecar/src/main/java/martenlatch/host/Client.java
@@ -3,6 +3,11 @@
 /** Where the final answer to a call goes; exactly one of these is called, once, unless the client is gone. */
 public interface Client {
 
+    /** Whether it is still connected, by a look at its connection now. */
+    default boolean isConnected() {
+        return true;
+    }
+
     /** Served: an endpoint's answer, to be passed on as it is. */
     void served(Answer answer);
 
--- a/sidecar/src/main/java/martenlatch/host/Exchange.java
+++ b/sidecar/src/main/java/martenlatch/host/Exchange.java
@@ -318,6 +318,7 @@
         double now = time.now();
         double left = open.deadlineMs - (open.coming ? open.takenAt : now);
         double wait = timeoutMs == 0 ? left : Math.min(timeoutMs, left);
+        endIfDisconnected(open);
         double notAfter = open.notAfter();
         Try made = new Try(open.tries.size(), server, now, wait);
         open.tries.add(made);
@@ -332,7 +333,8 @@
                 made.timeout = time.after(wait, () -> giveUp(open, made, Outcome.TIMED_OUT));
             }
             try {
-                made.attempt = open.carrier.send(server, wait, notAfter, (outcome, answer) -> {
+                made.attempt = open.carrier.send(server, new Written(open, made), notAfter,
+                        (outcome, answer) -> {
                     if (answer != null && !open.concluded) {
                         pass(open, outcome, answer);
                     } else if (answer != null && answer.rest() != null) {
@@ -348,6 +350,40 @@
         }
     }
 
+    /**
+     * The end of a client's connection may have come while the event loop was busy with others. While a request
+     * is incomplete its connection is being read, and shows its end by that.
+     */
+    private void endIfDisconnected(Open open) {
+        if (!open.concluded && !open.coming && !open.client.isConnected()) {
+            clientGone(open.request.id());
+        }
+    }
+
+    /** The conditions of one attempt. */
+    private final class Written implements Carrier.Conditions {
+        private final Open open;
+        private final Try made;
+
+        Written(Open open, Try made) {
+            this.open = open;
+            this.made = made;
+        }
+
+        /** No time of an attempt passes while its request is incomplete. */
+        @Override
+        public double remainingMs() {
+            return open.coming ? made.waitMs
+                : Math.min(made.sentAt + made.waitMs, open.deadlineMs) - time.now();
+        }
+
+        @Override
+        public boolean isClientConnected() {
+            endIfDisconnected(open);
+            return !open.concluded;
+        }
+    }
+
     /** Passes an answer on where it is the last word on its request. */
     private void pass(Open open, Outcome outcome, Answer answer) {
         if (outcome == Outcome.OK) {
--- a/sidecar/src/main/java/martenlatch/upstream/EndpointPool.java
+++ b/sidecar/src/main/java/martenlatch/upstream/EndpointPool.java
@@ -73,14 +73,17 @@
         private final Upload upload;
         private Carrier.Ending ending;
         private Connection connection;
+        private final Carrier.Conditions conditions;
         private final double notAfter;
         private Time.Timer tooLate;
         /** The system has taken the last byte: from here on the request may have run. */
         private boolean written;
 
-        private Attempt(HttpRequest request, Upload upload, double notAfter, Carrier.Ending ending) {
+        private Attempt(HttpRequest request, Upload upload, Carrier.Conditions conditions, double notAfter,
+                Carrier.Ending ending) {
             this.request = request;
             this.upload = upload;
+            this.conditions = conditions;
             this.notAfter = notAfter;
             this.ending = ending;
         }
@@ -106,6 +109,12 @@
             }
         }
 
+        /** To be called just before the request is written: while its connection was established time went by. */
+        private void setDeadlineHeader() {
+            long remaining = Math.max(1, (long) Math.ceil(conditions.remainingMs()));
+            request.headers().set(DEADLINE, remaining);
+        }
+
         /** It will not be written any more. */
         private void drop() {
             ReferenceCountUtil.release(request);
@@ -335,7 +344,8 @@
         }
 
         @Override
-        public Carrier.Attempt send(String server, double waitMs, double notAfter, Ending ending) {
+        public Carrier.Attempt send(String server, Conditions conditions, double notAfter,
+                Ending ending) {
             if (message.upload() != null && !message.upload().isFresh()) {
                 // A part of the body is gone: nothing is sent, and the endpoint is not to blame.
                 ending.ended(Outcome.IGNORED, null);
@@ -344,13 +354,12 @@
             // Hardly any request needs a second attempt: only those copy the headers.
             HttpHeaders headers = sent ? message.headers().copy() : message.headers();
             sent = true;
-            return EndpointPool.this.send(server, new EndpointPool.Attempt(request(message, headers, waitMs),
-                message.upload(), notAfter, ending));
+            return EndpointPool.this.send(server, new EndpointPool.Attempt(request(message, headers),
+                message.upload(), conditions, notAfter, ending));
         }
     }
 
-    private static HttpRequest request(Message from, HttpHeaders headers, double waitMs) {
-        headers.set(DEADLINE, (long) Math.ceil(waitMs));
+    private static HttpRequest request(Message from, HttpHeaders headers) {
         if (from.upload() != null) {
             DefaultHttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, from.method(), from.uri(),
                 headers);
@@ -474,7 +483,8 @@
                     first.drop();
                     channel.close();
                     lost();
-                } else if (first.ending == null) {
+                } else if (first.ending == null || !first.conditions.isClientConnected()) {
+                    // Given up, or its client has left, which the event loop may hear of only after this.
                     first.drop();
                     channel.close();
                 } else if (time.now() > first.notAfter) {
@@ -496,6 +506,7 @@
         }
 
         private void send(Attempt sent) {
+            sent.setDeadlineHeader();
             if (sent.upload == null) {
                 channel.writeAndFlush(sent.request).addListener(written ->
                     written(sent, written.isSuccess()));
--- /dev/null
+++ b/sidecar/src/test/java/martenlatch/front/CallReaderTest.java
@@ -0,0 +1,59 @@
+package martenlatch.front;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import java.util.Map;
+import martenlatch.policy.Contract.Effect;
+import martenlatch.policy.Contract.Group;
+import martenlatch.policy.Contract.Limits;
+import martenlatch.policy.Contract.RequestClass;
+import martenlatch.policy.Contract.Rules;
+import martenlatch.policy.Contract.Settings;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** When a request has to have its final answer. */
+class CallReaderTest {
+
+    private static final double NOW = 1_000_000;
+    private static final int CLASS_DEADLINE_MS = 3000;
+
+    private record Headers(Map<String, String> values) implements CallReader.Head {
+        @Override
+        public String method() {
+            return "GET";
+        }
+
+        @Override
+        public String first(String name) {
+            return values.get(name);
+        }
+
+        @Override
+        public boolean repeated(String name) {
+            return false;
+        }
+    }
+
+    private static double deadline(String told, double latest) {
+        Settings settings = new Settings(1, 0, 0, 0, false, false, 0.1, 0,
+            List.of(new RequestClass("read", 300, CLASS_DEADLINE_MS, 1, 0, Effect.REPEATABLE, Group.ALL, 0, false)),
+            List.of(), new Limits(3, true, true, 2000, 250), new Rules(0.3, 9000, 3, 1000, 1000, 10_000));
+        Headers head = new Headers(Map.of("X-Request-Id", "r", "X-Class", "read", "X-Deadline-Ms", told));
+        return new CallReader(settings).read(head, NOW, latest).request().deadlineMs() - NOW;
+    }
+
+    /** Guards against answers that leave when the client's time is up, and so come after it. */
+    @ParameterizedTest
+    @CsvSource({"60, 57.6", "100, 96", "500, 480", "1000, 960", "2500, 2460", "9000, 2960"})
+    void anAnswerIsDueBeforeTheClientsTimeIsUp(String told, double due) {
+        assertEquals(due, deadline(told, Double.POSITIVE_INFINITY), 1e-6);
+    }
+
+    @ParameterizedTest
+    @CsvSource({"1000, 300, 300", "1000, 960, 960", "1000, 970, 960"})
+    void aProcessThatEndsAnswersBeforeItsEnd(String told, double latest, double due) {
+        assertEquals(due, deadline(told, NOW + latest), 1e-6);
+    }
+}
--- a/sidecar/src/test/java/martenlatch/upstream/IdleConnectionsTest.java
+++ b/sidecar/src/test/java/martenlatch/upstream/IdleConnectionsTest.java
@@ -18,6 +18,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.Locale;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import martenlatch.host.Answer;
@@ -41,12 +42,28 @@
     /** More than the system takes at once from who writes to somebody who does not read. */
     private static final int LARGE = 8 * 1024 * 1024;
 
+    /** What the pool asks about an attempt before it writes it. */
+    private final class FixedConditions implements Carrier.Conditions {
+        @Override
+        public double remainingMs() {
+            return waitUntil - now;
+        }
+
+        @Override
+        public boolean isClientConnected() {
+            return clientConnected;
+        }
+    }
+
     private record End(Outcome outcome, Answer answer) {
     }
 
     private final EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
         .next();
     private volatile double now = 1_000_000;
+    private volatile double waitUntil = now + 5000;
+    private volatile boolean clientConnected = true;
+    private final Carrier.Conditions conditions = new FixedConditions();
     private final ServerSocket endpoint;
     private final LinkedBlockingQueue<End> ends = new LinkedBlockingQueue<>();
     private EndpointPool pool;
@@ -88,7 +105,7 @@
     private Carrier.Attempt attempt(int bodySize, double notAfter) {
         return pool.carrier(new EndpointPool.Message(bodySize == 0 ? HttpMethod.GET : HttpMethod.POST, "/api",
             new DefaultHttpHeaders(), new byte[bodySize], null))
-            .send("s0", 5000, notAfter, (outcome, answer) -> ends.add(new End(outcome, answer)));
+            .send("s0", conditions, notAfter, (outcome, answer) -> ends.add(new End(outcome, answer)));
     }
 
     private static void read(Socket socket) throws IOException {
@@ -247,6 +264,48 @@
         assertTrue(ends.isEmpty(), "each has one end");
     }
 
+    /** Guards against a time told to the endpoint that was right only before its connection was established. */
+    @Test
+    void theDeadlineToldIsWhatIsLeftOnceTheConnectionIsEstablished() throws Exception {
+        loop.submit(() -> {
+            send();
+            now += 400;
+        }).get();
+        try (Socket first = endpoint.accept()) {
+            assertEquals("4600", deadlineTold(first));
+            answer(first, "one");
+            assertServed("one");
+            now += 100;
+            loop.submit(this::send).get();
+            assertEquals("4500", deadlineTold(first));
+            answer(first, "two");
+            assertServed("two");
+        }
+    }
+
+    private static String deadlineTold(Socket socket) throws IOException {
+        StringBuilder head = new StringBuilder();
+        while (head.indexOf("\r\n\r\n") < 0) {
+            int next = socket.getInputStream().read();
+            assertTrue(next >= 0, "a request was to come");
+            head.append((char) next);
+        }
+        return head.toString().lines().filter(line -> line.toLowerCase(Locale.ROOT).startsWith("x-deadline-ms:"))
+            .map(line -> line.substring(line.indexOf(':') + 1).trim()).findFirst().orElseThrow();
+    }
+
+    /** Guards against a request written to a connection that is established when its client has just left. */
+    @Test
+    void nothingIsWrittenForAClientThatLeftWhileTheConnectionWasEstablished() throws Exception {
+        loop.submit(() -> {
+            send();
+            clientConnected = false;
+        }).get();
+        try (Socket first = endpoint.accept()) {
+            assertEquals(-1, first.getInputStream().read(), "nothing was sent on it");
+        }
+    }
+
     /** What an endpoint has half of has not run, and never will where the rest is withdrawn in time. */
     @Test
     void whatIsHalfWrittenCanBeWithdrawn() throws Exception {
