--- a/extproc/src/main/java/martenlatch/extproc/ExtProcServer.java
+++ b/extproc/src/main/java/martenlatch/extproc/ExtProcServer.java
@@ -26,7 +26,7 @@
 import martenlatch.membership.DiscoveryClient;
 import martenlatch.membership.Pace;
 import martenlatch.net.LoopTime;
-import martenlatch.policy.Contract.RequestClass;
+import martenlatch.policy.api.RequestClass;
 import martenlatch.site.SiteConfig;
 
 /** One external processor: its parts on one event loop, which is the only thread that touches any of them. */
--- a/extproc/src/main/java/martenlatch/extproc/Warmup.java
+++ b/extproc/src/main/java/martenlatch/extproc/Warmup.java
@@ -29,10 +29,10 @@
 import martenlatch.host.Time;
 import martenlatch.host.Witness;
 import martenlatch.net.LoopTime;
-import martenlatch.policy.Contract;
-import martenlatch.policy.Contract.RequestClass;
-import martenlatch.policy.Contract.Settings;
-import martenlatch.policy.Contract.State;
+import martenlatch.policy.api.BalancerSettings;
+import martenlatch.policy.api.Endpoint;
+import martenlatch.policy.api.EndpointStatus;
+import martenlatch.policy.api.RequestClass;
 import martenlatch.site.SiteConfig;
 
 /**
@@ -53,7 +53,7 @@
     private final CountDownLatch done = new CountDownLatch(1);
     private int rounds;
 
-    private Warmup(ManagedChannel channel, Settings site) {
+    private Warmup(ManagedChannel channel, BalancerSettings site) {
         stub = ExternalProcessorGrpc.newStub(channel);
         kinds = site.classes();
         tenant = site.tenants().isEmpty() ? "" : site.tenants().get(0).name();
@@ -83,8 +83,8 @@
         Complaints silent = new Complaints(time, new PrintStream(OutputStream.nullOutputStream()));
         EndpointAddresses addresses = new EndpointAddresses();
         ServerList list = new ServerList(0, true, List.of(new ServerList.Entry(
-            new Contract.Server("warm-up", config.settings().ownZone(), 0, 0, 0,
-                State.READY, 1), own.listen())));
+            new Endpoint("warm-up", config.settings().ownZone(), 0, 0, 0,
+                EndpointStatus.READY, 1), own.listen())));
         Exchange exchange = new Exchange(time, silent, addresses, () -> { }, config.settings(), config.seed(),
             list, Witness.NONE);
         return new Processor(time, loop, silent, exchange, addresses, own, config.settings());
--- a/extproc/src/main/java/martenlatch/front/extproc/Consultations.java
+++ b/extproc/src/main/java/martenlatch/front/extproc/Consultations.java
@@ -5,9 +5,9 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import martenlatch.policy.Contract.Effect;
-import martenlatch.policy.Contract.Group;
-import martenlatch.policy.Contract.RequestClass;
+import martenlatch.policy.api.DeduplicationScope;
+import martenlatch.policy.api.Idempotency;
+import martenlatch.policy.api.RequestClass;
 
 /**
  * What a consultation is, given what is known of its request's id. It holds every id that is open, and those
@@ -140,7 +140,7 @@
 
     /** A consultation got no decision: the attempt that it was for has not run. */
     void neverRan(double now, String id, RequestClass kind, int attempt) {
-        if (kind.effect() == Effect.REPEATABLE || entries.containsKey(id) || !isUnrun(id, attempt - 1)) {
+        if (kind.idempotency() == Idempotency.IDEMPOTENT || entries.containsKey(id) || !isUnrun(id, attempt - 1)) {
             return;
         }
         Unrun before = unrun.remove(id);
@@ -153,8 +153,8 @@
 
     /** Whether a request that may have run may go anywhere; where it ran is not known here any more. */
     private static boolean mayRunAgain(double now, RequestClass kind, double ranAt) {
-        return kind.effect() == Effect.REPEATABLE || kind.effect() == Effect.BY_KEY
-            && kind.group() == Group.ALL && now - ranAt < kind.windowMs() * WINDOW_SHARE;
+        return kind.idempotency() == Idempotency.IDEMPOTENT || kind.idempotency() == Idempotency.IDEMPOTENCY_KEY
+            && kind.deduplicationScope() == DeduplicationScope.ALL && now - ranAt < kind.deduplicationWindowMs() * WINDOW_SHARE;
     }
 
     /** The next attempt is decided on and waits for its consultation. */
@@ -189,7 +189,7 @@
         if (Double.isNaN(entry.mayHaveRunAt) || mayHaveRunAt < entry.mayHaveRunAt) {
             entry.mayHaveRunAt = mayHaveRunAt;
         }
-        if (kind.effect() == Effect.REPEATABLE || Double.isNaN(entry.mayHaveRunAt)) {
+        if (kind.idempotency() == Idempotency.IDEMPOTENT || Double.isNaN(entry.mayHaveRunAt)) {
             entries.remove(id);
             neverRan(now, id, kind, entry.attempt);
             return;
--- a/extproc/src/main/java/martenlatch/front/extproc/EndpointAddresses.java
+++ b/extproc/src/main/java/martenlatch/front/extproc/EndpointAddresses.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import martenlatch.host.EndpointTable;
 import martenlatch.host.ServerList;
-import martenlatch.policy.Contract.State;
+import martenlatch.policy.api.EndpointStatus;
 
 /** Where proxies find the endpoints that may get something new. */
 public final class EndpointAddresses implements EndpointTable {
@@ -22,7 +22,7 @@
             ready.keySet().retainAll(named);
         }
         for (ServerList.Entry entry : list.entries()) {
-            if (entry.server().state() == State.READY) {
+            if (entry.server().status() == EndpointStatus.READY) {
                 ready.put(entry.server().id(), new Replies.Destination(text(entry.address())));
             } else {
                 ready.remove(entry.server().id());
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public void disconnect(String server) {
+    public void closeIdleConnections(String server) {
         // The proxies' connections are their own; they close them when they are idle.
         return;
     }
--- a/extproc/src/main/java/martenlatch/front/extproc/ExtProcSettings.java
+++ b/extproc/src/main/java/martenlatch/front/extproc/ExtProcSettings.java
@@ -11,8 +11,8 @@
 import java.util.Iterator;
 import java.util.Set;
 import martenlatch.config.Fields;
-import martenlatch.policy.Contract.RequestClass;
-import martenlatch.policy.Contract.Settings;
+import martenlatch.policy.api.BalancerSettings;
+import martenlatch.policy.api.RequestClass;
 
 /**
  * The external processor's own settings, from a TOML file; all times are milliseconds.
@@ -94,7 +94,7 @@
      * @throws IllegalArgumentException if a decision could be older than a drain allows when it is carried
      *     out, or an unsafe request could be forgotten while a proxy may still come back with it
      */
-    public ExtProcSettings checkedWith(Settings site) {
+    public ExtProcSettings checkedWith(BalancerSettings site) {
         double grace = site.rules().drainGraceMs();
         double age = messageTimeoutMs + connectTimeoutMs + GRACE_SLACK_MS;
         if (age > grace) {
--- a/extproc/src/main/java/martenlatch/front/extproc/Processor.java
+++ b/extproc/src/main/java/martenlatch/front/extproc/Processor.java
@@ -16,8 +16,8 @@
 import martenlatch.host.Complaints;
 import martenlatch.host.Exchange;
 import martenlatch.host.Time;
-import martenlatch.policy.Contract.RequestClass;
-import martenlatch.policy.Contract.Settings;
+import martenlatch.policy.api.BalancerSettings;
+import martenlatch.policy.api.RequestClass;
 
 /**
  * The front for other proxies: a gRPC stream is a consultation, and a consultation is one attempt of a
@@ -43,7 +43,7 @@
     final Exchange exchange;
     final EndpointAddresses addresses;
     final ExtProcSettings own;
-    private final Settings site;
+    private final BalancerSettings site;
     private final CallReader reader;
     final Consultations known;
     final SilentStreams silences;
@@ -59,7 +59,7 @@
      * @param soon runs a task on the same thread after what is in hand, and after what has been received
      */
     public Processor(Time time, Executor soon, Complaints complaints, Exchange exchange,
-            EndpointAddresses addresses, ExtProcSettings own, Settings site) {
+            EndpointAddresses addresses, ExtProcSettings own, BalancerSettings site) {
         this.time = time;
         this.soon = soon;
         this.complaints = complaints;
@@ -81,7 +81,7 @@
         return streams;
     }
 
-    public int openCalls() {
+    public int pendingCalls() {
         return calls.size();
     }
 
@@ -151,7 +151,7 @@
         } else if (attempt < 0) {
             asking.end(Replies.plain(400, ATTEMPT_HEADER + " is no whole number"));
         } else {
-            RequestClass kind = site.classes().get(reading.request().requestClass());
+            RequestClass kind = site.classes().get(reading.request().classIndex());
             switch (known.arrive(now, id, kind, attempt, exchange.has(id))) {
                 case FIRST -> {
                     ProxyCall call = new ProxyCall(this, id, kind, asking);
@@ -180,7 +180,7 @@
         int attempt = attempt(head.first(ATTEMPT_HEADER));
         if (reading.request() != null && attempt >= 0 && reading.request().id().length() <= MOST_ID) {
             known.neverRan(time.now(), reading.request().id(),
-                site.classes().get(reading.request().requestClass()), attempt);
+                site.classes().get(reading.request().classIndex()), attempt);
         }
     }
 
--- a/extproc/src/main/java/martenlatch/front/extproc/ProxyCall.java
+++ b/extproc/src/main/java/martenlatch/front/extproc/ProxyCall.java
@@ -8,8 +8,8 @@
 import martenlatch.host.Carrier;
 import martenlatch.host.Client;
 import martenlatch.host.Time;
-import martenlatch.policy.Contract.Outcome;
-import martenlatch.policy.Contract.RequestClass;
+import martenlatch.policy.api.AttemptOutcome;
+import martenlatch.policy.api.RequestClass;
 
 /** One request, through all of its attempts. */
 final class ProxyCall implements Carrier, Client {
@@ -97,7 +97,7 @@
             front.known.offered(id);
             waitFor(made, () -> {
                 offer = null;
-                made.ending.ended(Outcome.IGNORED, null);
+                made.ending.ended(AttemptOutcome.NOT_EXECUTED, null);
             });
         }
         return made;
@@ -123,12 +123,12 @@
     private void handOut(Try made) {
         Replies.Destination to = front.addresses.of(made.server);
         if (to == null) {
-            made.ending.ended(Outcome.CONNECT_ERROR, null);
+            made.ending.ended(AttemptOutcome.CONNECT_ERROR, null);
             return;
         }
         double now = front.time.now();
         if (now > made.notAfter) {
-            made.ending.ended(Outcome.IGNORED, null);
+            made.ending.ended(AttemptOutcome.NOT_EXECUTED, null);
             return;
         }
         Consultation proxy = asking;
@@ -217,7 +217,7 @@
             // What became of it nobody will tell: it may have run, and is no word on its endpoint.
             Try lost = out;
             out = null;
-            lost.ending.ended(Outcome.CANCELED, null);
+            lost.ending.ended(AttemptOutcome.CANCELED, null);
         }
         mustHaveAnswered();
     }
@@ -238,10 +238,10 @@
         int status = status(head.first(":status"));
         boolean notRun = "1".equals(head.first("x-not-run"));
         long flags = flags(message, head);
-        Outcome outcome = ProxyOutcome.of(status, notRun, flags);
+        AttemptOutcome outcome = ProxyOutcome.of(status, notRun, flags);
         if (proxy != holder) {
             // Another consultation has taken its place; what it has is not the request's answer any more.
-            proxy.end(outcome == Outcome.OK ? Replies.PASS : Replies.plain(500, "failed"));
+            proxy.end(outcome == AttemptOutcome.OK ? Replies.PASS : Replies.plain(500, "failed"));
             return;
         }
         if (out == null) {
@@ -250,8 +250,8 @@
         }
         Try ended = out;
         out = null;
-        timedOut = outcome == Outcome.TIMED_OUT;
-        if (outcome.neverRan() && ended.first) {
+        timedOut = outcome == AttemptOutcome.TIMED_OUT;
+        if (outcome.neverExecuted() && ended.first) {
             mayHaveRunAt = Double.NaN;
         }
         answering = proxy;
@@ -263,8 +263,8 @@
     }
 
     /** The attempt was given up before: what was decided since holds, unless the answer is good. */
-    private void late(Consultation proxy, Outcome outcome) {
-        if (outcome == Outcome.OK) {
+    private void late(Consultation proxy, AttemptOutcome outcome) {
+        if (outcome == AttemptOutcome.OK) {
             proxy.end(Replies.PASS);
             if (!over) {
                 front.exchange.clientGone(id);
@@ -294,7 +294,7 @@
             end();
             if (out == lost) {
                 out = null;
-                lost.ending.ended(Outcome.CANCELED, null);
+                lost.ending.ended(AttemptOutcome.CANCELED, null);
             }
         });
     }
--- a/extproc/src/main/java/martenlatch/front/extproc/ProxyOutcome.java
+++ b/extproc/src/main/java/martenlatch/front/extproc/ProxyOutcome.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 import martenlatch.host.Answer;
-import martenlatch.policy.Contract.Outcome;
+import martenlatch.policy.api.AttemptOutcome;
 
 /**
  * What became of an attempt that a proxy made, by the status that it reports and by its response flags: they
@@ -60,11 +60,11 @@
      * @param notRun whether the answer says that the request was never begun
      * @param flags 0 if the answer is the endpoint's own
      */
-    static Outcome of(int status, boolean notRun, long flags) {
+    static AttemptOutcome of(int status, boolean notRun, long flags) {
         if (flags != 0) {
-            return (flags & ~NEVER_SENT) == 0 ? Outcome.CONNECT_ERROR
-                : (flags & ~TIMED_OUT) == 0 ? Outcome.TIMED_OUT
-                : (flags & CLIENT_GONE) != 0 ? Outcome.CANCELED : Outcome.RESET;
+            return (flags & ~NEVER_SENT) == 0 ? AttemptOutcome.CONNECT_ERROR
+                : (flags & ~TIMED_OUT) == 0 ? AttemptOutcome.TIMED_OUT
+                : (flags & CLIENT_GONE) != 0 ? AttemptOutcome.CANCELED : AttemptOutcome.RESET;
         }
         return Answer.outcome(status, notRun);
     }
--- a/extproc/src/test/java/martenlatch/front/extproc/ConsultationsTest.java
+++ b/extproc/src/test/java/martenlatch/front/extproc/ConsultationsTest.java
@@ -8,7 +8,7 @@
 
 import java.util.List;
 import martenlatch.front.extproc.Consultations.Kind;
-import martenlatch.policy.Contract.RequestClass;
+import martenlatch.policy.api.RequestClass;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/fleet/src/main/java/martenlatch/fleet/cli/Main.java
+++ b/fleet/src/main/java/martenlatch/fleet/cli/Main.java
@@ -31,13 +31,13 @@
 import martenlatch.fleet.sim.SimRun;
 import martenlatch.load.End;
 import martenlatch.toml.TomlFile;
-import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import picocli.CommandLine;
 
 /** {@code martenlatch-fleet}: many sidecars as processes, with faults between them. */
 @Command(name = "martenlatch-fleet", mixinStandardHelpOptions = true, version = "martenlatch-fleet 0.3.0",
--- a/fleet/src/main/java/martenlatch/fleet/explore/RandomFaults.java
+++ b/fleet/src/main/java/martenlatch/fleet/explore/RandomFaults.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Random;
 import martenlatch.fleet.link.Conduct;
-import martenlatch.fleet.scenario.Fault;
 import martenlatch.fleet.scenario.Fault.What;
+import martenlatch.fleet.scenario.Fault;
 import martenlatch.fleet.scenario.Scenario;
-import martenlatch.fleet.scenario.Selector;
 import martenlatch.fleet.scenario.Selector.Group;
+import martenlatch.fleet.scenario.Selector;
 
 /**
  * Draws the faults of a run from a seed: within the run, each with an end, none on more than half of a
--- a/fleet/src/main/java/martenlatch/fleet/judge/ColdJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/ColdJudge.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import martenlatch.fleet.history.Event;
 import martenlatch.fleet.history.Event.What;
+import martenlatch.fleet.history.Event;
 import martenlatch.world.WorldSettings;
 
 /**
--- a/fleet/src/main/java/martenlatch/fleet/judge/Record.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/Record.java
@@ -5,8 +5,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import martenlatch.fleet.history.Event;
 import martenlatch.fleet.history.Event.What;
+import martenlatch.fleet.history.Event;
 import martenlatch.fleet.scenario.Fault;
 import martenlatch.fleet.scenario.Scenario;
 
--- a/fleet/src/main/java/martenlatch/fleet/judge/RigJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/RigJudge.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import martenlatch.fleet.history.Event;
 import martenlatch.fleet.history.Event.What;
+import martenlatch.fleet.history.Event;
 
 /**
  * The rig itself: whether the run was what its plan says. A finding makes the run void: it says nothing of
--- a/fleet/src/main/java/martenlatch/fleet/report/Timeline.java
+++ b/fleet/src/main/java/martenlatch/fleet/report/Timeline.java
@@ -4,8 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import martenlatch.fleet.history.Event;
 import martenlatch.fleet.history.Event.What;
+import martenlatch.fleet.history.Event;
 import martenlatch.fleet.judge.Record;
 import martenlatch.fleet.scenario.Selector.Group;
 
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimDiscovery.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimDiscovery.java
@@ -7,8 +7,8 @@
 import martenlatch.fleet.history.Event.What;
 import martenlatch.fleet.history.History;
 import martenlatch.host.ServerList;
-import martenlatch.policy.Contract.Server;
-import martenlatch.policy.Contract.State;
+import martenlatch.policy.api.Endpoint;
+import martenlatch.policy.api.EndpointStatus;
 import martenlatch.world.CallQueue;
 import martenlatch.world.Discovery.Manner;
 
@@ -22,7 +22,7 @@
         void refused();
     }
 
-    private record Entry(Server server, long version) {
+    private record Entry(Endpoint server, long version) {
     }
 
     private record Watch(String viewer, long index, Caller caller) {
@@ -42,9 +42,9 @@
         this.queue = queue;
     }
 
-    void put(Server server) {
+    void put(Endpoint server) {
         entries.put(server.id(), new Entry(server, ++version));
-        history.tell(What.CHANGED, "discovery", server.id(), "", word(server.state()));
+        history.tell(What.CHANGED, "discovery", server.id(), "", word(server.status()));
         tell();
     }
 
@@ -112,14 +112,14 @@
                 ServerList list = list(watch.index());
                 for (ServerList.Entry entry : list.entries()) {
                     history.tell(What.TOLD, watch.viewer(), entry.server().id(), "",
-                        word(entry.server().state()));
+                        word(entry.server().status()));
                 }
                 watch.caller().answered(list);
             }
         }
     }
 
-    private static String word(State state) {
+    private static String word(EndpointStatus state) {
         return switch (state) {
             case READY -> "in_service";
             case DRAINING -> "terminating";
@@ -130,7 +130,7 @@
     private ServerList list(long since) {
         boolean full = since < 0;
         List<ServerList.Entry> told = entries.values().stream()
-            .filter(one -> one.version() > since && !(full && one.server().state() == State.GONE))
+            .filter(one -> one.version() > since && !(full && one.server().status() == EndpointStatus.GONE))
             .map(one -> new ServerList.Entry(one.server(), null)).toList();
         return new ServerList(version, full, told);
     }
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
@@ -25,14 +25,15 @@
 import martenlatch.load.Schedule;
 import martenlatch.load.Shape;
 import martenlatch.load.Wish;
-import martenlatch.policy.Contract.Effect;
-import martenlatch.policy.Contract.Limits;
-import martenlatch.policy.Contract.Request;
-import martenlatch.policy.Contract.RequestClass;
-import martenlatch.policy.Contract.Rules;
-import martenlatch.policy.Contract.Server;
-import martenlatch.policy.Contract.Settings;
-import martenlatch.policy.Contract.State;
+import martenlatch.policy.api.AttemptLimits;
+import martenlatch.policy.api.BalancerSettings;
+import martenlatch.policy.api.DeduplicationScope;
+import martenlatch.policy.api.Endpoint;
+import martenlatch.policy.api.EndpointRules;
+import martenlatch.policy.api.EndpointStatus;
+import martenlatch.policy.api.Idempotency;
+import martenlatch.policy.api.Request;
+import martenlatch.policy.api.RequestClass;
 import martenlatch.world.Discovery.Manner;
 import martenlatch.world.Trouble;
 
@@ -80,7 +81,7 @@
             endpoints.add(new SimEndpoint(Group.ENDPOINT.name(i), time, scenario.world(), history,
                 scenario.seedFor("endpoint " + i)));
             history.tell(What.ENDPOINT_UP, Group.ENDPOINT.name(i), "", "", "0.0");
-            list(i, State.READY);
+            list(i, EndpointStatus.READY);
         }
         toSidecars = new SimLink[sizes.sidecars()];
         fromSidecars = new SimLink[sizes.sidecars()];
@@ -102,30 +103,30 @@
         return Integer.parseInt(name.substring(1));
     }
 
-    private void list(int number, State state) {
+    private void list(int number, EndpointStatus state) {
         SimEndpoint one = endpoints.get(number);
-        discovery.put(new Server(one.id(), number % scenario.sizes().zones().size(), 0, 0, one.startedMs(),
+        discovery.put(new Endpoint(one.id(), number % scenario.sizes().zones().size(), 0, 0, one.startedMs(),
             state, 1));
     }
 
     /** What a sidecar would be told; the same figures as {@code rig.SidecarConfig} gives real ones. */
-    private Settings settings(int number) {
+    private BalancerSettings settings(int number) {
         List<RequestClass> kinds = scenario.load().classes().stream().map(one ->
             new RequestClass(one.kind().name(),
-            one.aimMs(), one.kind().deadlineMs(), one.worth(), 0, effect(one.kind().effect()),
-            martenlatch.policy.Contract.Group.ALL, KEY_WINDOW_MS, false)).toList();
-        return new Settings(scenario.sizes().sidecars(), number, number % scenario.sizes().zones().size(), 0,
-            true, false, 1, 0, kinds, List.of(), new Limits(TRIES, true, true, MOST_COOL_DOWN_MS,
-            CONNECT_TIMEOUT_MS), new Rules(1 / scenario.world().coldFactor(), scenario.world().coldMs(),
+            one.aimMs(), one.kind().deadlineMs(), one.worth(), 0, idempotency(one.kind().effect()),
+            DeduplicationScope.ALL, KEY_WINDOW_MS, false)).toList();
+        return new BalancerSettings(scenario.sizes().sidecars(), number, number % scenario.sizes().zones().size(), 0,
+            true, false, 1, 0, kinds, List.of(), new AttemptLimits(TRIES, true, true, MOST_COOL_DOWN_MS,
+            CONNECT_TIMEOUT_MS), new EndpointRules(1 / scenario.world().coldFactor(), scenario.world().coldMs(),
                 martenlatch.fleet.judge.Rules.TIP_MULTIPLE, martenlatch.fleet.judge.Rules.FALL_MS,
                 scenario.world().drainGraceMs(), scenario.discovery().askWithinMs()));
     }
 
-    private static Effect effect(Kind.Effect effect) {
+    private static Idempotency idempotency(Kind.Effect effect) {
         return switch (effect) {
-            case REPEATABLE -> Effect.REPEATABLE;
-            case KEYED -> Effect.BY_KEY;
-            case UNSAFE -> Effect.ONCE;
+            case REPEATABLE -> Idempotency.IDEMPOTENT;
+            case KEYED -> Idempotency.IDEMPOTENCY_KEY;
+            case UNSAFE -> Idempotency.NON_IDEMPOTENT;
         };
     }
 
@@ -405,13 +406,13 @@
         } else if (!begins) {
             one.restart();
             broken(one);
-            list(number, State.READY);
+            list(number, EndpointStatus.READY);
         } else if (fault.what() == Fault.What.DIE) {
             one.die();
             broken(one);
         } else {
             one.drain();
-            list(number, State.DRAINING);
+            list(number, EndpointStatus.DRAINING);
         }
     }
 
--- a/fleet/src/test/java/martenlatch/fleet/judge/JudgesTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/judge/JudgesTest.java
@@ -7,8 +7,8 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import martenlatch.fleet.history.Event;
 import martenlatch.fleet.history.Event.What;
+import martenlatch.fleet.history.Event;
 import martenlatch.fleet.scenario.Scenario;
 import org.junit.jupiter.api.Test;
 
--- a/sidecar/src/main/java/martenlatch/admin/DisabledEndpoints.java
+++ b/sidecar/src/main/java/martenlatch/admin/DisabledEndpoints.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import martenlatch.policy.Contract.Server;
-import martenlatch.policy.Contract.State;
+import martenlatch.policy.api.Endpoint;
+import martenlatch.policy.api.EndpointStatus;
 
 /**
  * Which endpoints the operators have taken out: by calls to this process, and by what another process of
@@ -49,13 +49,13 @@
     private long number;
 
     /** A list has come. */
-    void listed(boolean full, List<Server> servers) {
+    void listed(boolean full, List<Endpoint> servers) {
         if (full) {
             listed.forEach(id -> former.put(id, true));
             listed.clear();
         }
-        for (Server server : servers) {
-            if (server.state() == State.GONE) {
+        for (Endpoint server : servers) {
+            if (server.status() == EndpointStatus.GONE) {
                 if (listed.remove(server.id())) {
                     former.put(server.id(), true);
                 }
--- a/sidecar/src/main/java/martenlatch/config/SettingsReader.java
+++ b/sidecar/src/main/java/martenlatch/config/SettingsReader.java
@@ -7,15 +7,15 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import martenlatch.policy.Contract.Effect;
-import martenlatch.policy.Contract.Group;
-import martenlatch.policy.Contract.Limits;
-import martenlatch.policy.Contract.RequestClass;
-import martenlatch.policy.Contract.Rules;
-import martenlatch.policy.Contract.Settings;
-import martenlatch.policy.Contract.Tenant;
+import martenlatch.policy.api.AttemptLimits;
+import martenlatch.policy.api.BalancerSettings;
+import martenlatch.policy.api.DeduplicationScope;
+import martenlatch.policy.api.EndpointRules;
+import martenlatch.policy.api.Idempotency;
+import martenlatch.policy.api.RequestClass;
+import martenlatch.policy.api.Tenant;
 
-/** Turns the wire's settings object into {@link Settings}; what it does not know it passes over. */
+/** Turns the wire's settings object into {@link BalancerSettings}; what it does not know it passes over. */
 public final class SettingsReader {
 
     private SettingsReader() {
@@ -48,7 +48,7 @@
     }
 
     /** The settings that the decisions need, from the object as {@link #value} reads it. */
-    public static Settings settings(Map<String, Object> p) {
+    public static BalancerSettings settings(Map<String, Object> p) {
         List<RequestClass> classes = new ArrayList<>();
         for (Map<String, Object> c : maps(p, "classes")) {
             classes.add(new RequestClass(text(c, "name", ""), needed(c, "slo-ms"),
@@ -62,35 +62,35 @@
                     number(t, "share", 0)));
         }
         Map<String, Object> l = map(p, "limits");
-        Limits limits = new Limits((int) number(l, "try-limit", 1), flag(l, "parallel-tries"),
+        AttemptLimits limits = new AttemptLimits((int) number(l, "try-limit", 1), flag(l, "parallel-tries"),
                 flag(l, "cancel"), number(l, "max-retry-after-ms", 0),
                 number(l, "dial-timeout-ms", 250));
         Map<String, Object> r = map(p, "rules");
-        Rules rules = new Rules(number(r, "cold-share", 1), number(r, "cold-ms", 0),
+        EndpointRules rules = new EndpointRules(number(r, "cold-share", 1), number(r, "cold-ms", 0),
                 number(r, "tip-multiple", 1), number(r, "fall-ms", 1000),
                 number(r, "drain-grace-ms", 0), number(r, "ask-within-ms", 10_000));
         String weights = text(p, "weight-kind", "silent");
-        return new Settings((int) number(p, "replicas-of-me", 1), (int) number(p, "slot-no", 0),
+        return new BalancerSettings((int) number(p, "replicas-of-me", 1), (int) number(p, "slot-no", 0),
                 (int) number(p, "zone", 0), (int) number(p, "tier", 0),
                 text(p, "membership-mode", "pushed").equals("on_request"),
                 weights.equals("nominal") || weights.equals("rough"), number(p, "over-share-worth", 1),
                 number(map(p, "prices"), "cross-zone", 0), classes, tenants, limits, rules);
     }
 
-    private static Effect effect(String word) {
+    private static Idempotency effect(String word) {
         return switch (word) {
-            case "repeatable" -> Effect.REPEATABLE;
-            case "by_key" -> Effect.BY_KEY;
-            case "once" -> Effect.ONCE;
+            case "repeatable" -> Idempotency.IDEMPOTENT;
+            case "by_key" -> Idempotency.IDEMPOTENCY_KEY;
+            case "once" -> Idempotency.NON_IDEMPOTENT;
             default -> throw new IllegalArgumentException("setting classes[].effect is unknown: " + word);
         };
     }
 
-    private static Group group(String word) {
+    private static DeduplicationScope group(String word) {
         return switch (word) {
-            case "all" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            case "cell" -> Group.CELL;
+            case "all" -> DeduplicationScope.ALL;
+            case "zone" -> DeduplicationScope.ZONE;
+            case "cell" -> DeduplicationScope.CELL;
             default -> throw new IllegalArgumentException("setting classes[].group is unknown: " + word);
         };
     }
--- a/sidecar/src/main/java/martenlatch/front/CallReader.java
+++ b/sidecar/src/main/java/martenlatch/front/CallReader.java
@@ -3,9 +3,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import martenlatch.policy.Contract.Request;
-import martenlatch.policy.Contract.RequestClass;
-import martenlatch.policy.Contract.Settings;
+import martenlatch.policy.api.BalancerSettings;
+import martenlatch.policy.api.Request;
+import martenlatch.policy.api.RequestClass;
 
 /** Makes a call of the head of a request, the same for every front, or says why it is none. */
 public final class CallReader {
@@ -51,7 +51,7 @@
     private final Map<String, Integer> tenants = new HashMap<>();
     private final List<RequestClass> kinds;
 
-    public CallReader(Settings settings) {
+    public CallReader(BalancerSettings settings) {
         kinds = settings.classes();
         kinds.forEach(kind -> classes.put(kind.name(), classes.size()));
         settings.tenants().forEach(tenant -> tenants.put(tenant.name(), tenants.size()));
--- a/sidecar/src/main/java/martenlatch/front/http/Frontend.java
+++ b/sidecar/src/main/java/martenlatch/front/http/Frontend.java
@@ -46,8 +46,8 @@
 import martenlatch.host.Rest;
 import martenlatch.host.Time;
 import martenlatch.net.Buffers;
-import martenlatch.policy.Contract.Request;
-import martenlatch.policy.Contract.Settings;
+import martenlatch.policy.api.BalancerSettings;
+import martenlatch.policy.api.Request;
 import martenlatch.upstream.EndpointPool;
 import martenlatch.upstream.Upload;
 
@@ -90,7 +90,7 @@
     private double endsAt = Double.POSITIVE_INFINITY;
 
     public Frontend(EventLoop loop, Time time, Complaints complaints, Exchange exchange,
-            EndpointPool endpoints, Settings settings, int most) {
+            EndpointPool endpoints, BalancerSettings settings, int most) {
         this.loop = loop;
         this.time = time;
         this.complaints = complaints;
@@ -140,7 +140,7 @@
     }
 
     /** Requests from here on are read by these settings. */
-    public void retune(Settings settings) {
+    public void retune(BalancerSettings settings) {
         calls = new CallReader(settings);
     }
 
--- a/sidecar/src/main/java/martenlatch/host/Answer.java
+++ b/sidecar/src/main/java/martenlatch/host/Answer.java
@@ -1,6 +1,6 @@
 package martenlatch.host;
 
-import martenlatch.policy.Contract.Outcome;
+import martenlatch.policy.api.AttemptOutcome;
 
 /**
  * A final answer of an endpoint as it came.
@@ -24,20 +24,20 @@
     }
 
     /** How an attempt ended that was answered so. */
-    public Outcome outcome() {
+    public AttemptOutcome outcome() {
         return outcome(status, notRun);
     }
 
     /** The same for who has no more of the answer than this. */
-    public static Outcome outcome(int status, boolean notRun) {
+    public static AttemptOutcome outcome(int status, boolean notRun) {
         if (status == 200) {
-            return Outcome.OK;
+            return AttemptOutcome.OK;
         }
         if ((status == 503 || status == 504) && notRun) {
-            return Outcome.QUEUE_FULL;
+            return AttemptOutcome.REJECTED_QUEUE_FULL;
         }
         // The request was turned away for what it is, which says nothing of the endpoint. But 429 passed on
         // would be our word that it has not run, and nothing here says so.
-        return status >= 400 && status < 500 && status != TOO_MANY ? Outcome.IGNORED : Outcome.FAILED;
+        return status >= 400 && status < 500 && status != TOO_MANY ? AttemptOutcome.NOT_EXECUTED : AttemptOutcome.FAILED;
     }
 }
--- a/sidecar/src/main/java/martenlatch/host/Carrier.java
+++ b/sidecar/src/main/java/martenlatch/host/Carrier.java
@@ -1,6 +1,6 @@
 package martenlatch.host;
 
-import martenlatch.policy.Contract.Outcome;
+import martenlatch.policy.api.AttemptOutcome;
 
 /** Sends the attempts of one call, by connections of ours or by a proxy's. It never tries again by itself. */
 public interface Carrier {
@@ -28,7 +28,7 @@
     /** How an attempt ended; it is told once, and never after {@link Attempt#giveUp}. */
     interface Ending {
         /** The answer is null where none came. */
-        void ended(Outcome outcome, Answer answer);
+        void ended(AttemptOutcome outcome, Answer answer);
     }
 
     /**
--- a/sidecar/src/main/java/martenlatch/host/EndpointTable.java
+++ b/sidecar/src/main/java/martenlatch/host/EndpointTable.java
@@ -13,5 +13,5 @@
     void withdraw();
 
     /** Lets go of what is kept open to an endpoint for later. */
-    void disconnect(String server);
+    void closeIdleConnections(String server);
 }
--- a/sidecar/src/main/java/martenlatch/host/Exchange.java
+++ b/sidecar/src/main/java/martenlatch/host/Exchange.java
@@ -7,23 +7,24 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import martenlatch.policy.Contract.Actions;
-import martenlatch.policy.Contract.Effect;
-import martenlatch.policy.Contract.Events;
-import martenlatch.policy.Contract.Finished;
-import martenlatch.policy.Contract.ListKind;
-import martenlatch.policy.Contract.Load;
-import martenlatch.policy.Contract.Outcome;
-import martenlatch.policy.Contract.Request;
-import martenlatch.policy.Contract.RequestClass;
-import martenlatch.policy.Contract.Settings;
-import martenlatch.policy.Decide;
+import martenlatch.policy.LoadBalancer;
+import martenlatch.policy.api.AttemptOutcome;
+import martenlatch.policy.api.AttemptResult;
+import martenlatch.policy.api.BalancerActions;
+import martenlatch.policy.api.BalancerEvents;
+import martenlatch.policy.api.BalancerSettings;
+import martenlatch.policy.api.EndpointListKind;
+import martenlatch.policy.api.Idempotency;
+import martenlatch.policy.api.LoadReport;
+import martenlatch.policy.api.OverloadReport;
+import martenlatch.policy.api.Request;
+import martenlatch.policy.api.RequestClass;
 
 /**
  * The host of the decision module: the table of open requests and their attempts. It carries out what the
  * module asks for, tells it what comes of it, and sees to it that each request gets one final answer.
  */
-public final class Exchange implements Actions, ServerList.Listener {
+public final class Exchange implements BalancerActions, ServerList.Listener {
 
     /** So long after its deadline a request that nothing has concluded fails. */
     private static final double OVERDUE_MS = 5;
@@ -57,12 +58,12 @@
         /** Attempts whose end the module has not been told yet. */
         int out;
 
-        Open(Request request, double takenAt, Settings settings, Carrier carrier, Client client) {
+        Open(Request request, double takenAt, BalancerSettings settings, Carrier carrier, Client client) {
             this.request = request;
             this.takenAt = takenAt;
             deadlineMs = request.deadlineMs();
-            kind = settings.classes().get(request.requestClass());
-            mostTries = settings.limits().tries();
+            kind = settings.classes().get(request.classIndex());
+            mostTries = settings.limits().maxAttempts();
             this.carrier = carrier;
             this.client = client;
         }
@@ -73,8 +74,8 @@
          */
         double notAfter() {
             for (Try made : tries) {
-                if (kind.effect() == Effect.BY_KEY && !made.neverRan) {
-                    return made.sentAt + kind.windowMs() * WINDOW_SHARE;
+                if (kind.idempotency() == Idempotency.IDEMPOTENCY_KEY && !made.neverRan) {
+                    return made.sentAt + kind.deduplicationWindowMs() * WINDOW_SHARE;
                 }
             }
             return Double.POSITIVE_INFINITY;
@@ -106,27 +107,27 @@
     private final EndpointTable endpoints;
     /** Begins a watch on the list of endpoints. */
     private final Runnable watch;
-    private Settings settings;
+    private BalancerSettings settings;
     private final Witness witness;
-    private final Events module;
+    private final BalancerEvents module;
     private final Map<String, Open> table = new HashMap<>();
-    /** Events wait here while the module is at work: it is never called from within its own call. */
+    /** BalancerEvents wait here while the module is at work: it is never called from within its own call. */
     private final Deque<Queued> events = new ArrayDeque<>();
     private boolean telling;
     private boolean listed;
 
     /** A host that knows a list, perhaps an old one, and no calls. */
     public Exchange(Time time, Complaints complaints, EndpointTable endpoints, Runnable watch,
-            Settings settings, long seed, ServerList known, Witness witness) {
+            BalancerSettings settings, long seed, ServerList known, Witness witness) {
         this.time = time;
         this.complaints = complaints;
         this.endpoints = endpoints;
         this.watch = watch;
         this.settings = settings;
         this.witness = witness;
-        module = new Decide(settings, seed, this);
-        tellList(ListKind.CACHED, known);
-        if (!settings.asksForList()) {
+        module = new LoadBalancer(settings, seed, this);
+        tellList(EndpointListKind.CACHED, known);
+        if (!settings.pollsEndpointList()) {
             watch.run();
         }
     }
@@ -145,14 +146,14 @@
     }
 
     /** The settings that hold for requests from here on; their classes are told by their places in it. */
-    public void retune(Settings next) {
+    public void retune(BalancerSettings next) {
         settings = next;
-        raise(null, now -> module.onSettings(now, next));
+        raise(null, now -> module.onSettingsChanged(now, next));
     }
 
     /** The operators have taken out these endpoints, and no others. */
     public void disabled(Set<String> servers) {
-        raise(null, now -> module.onDisabled(now, servers));
+        raise(null, now -> module.onEndpointsDisabled(now, servers));
     }
 
     // ---- what happens ----
@@ -197,7 +198,7 @@
             if (!made.ended) {
                 made.sentAt = now;
                 made.timeout = time.after(Math.min(made.waitMs, open.deadlineMs - now),
-                    () -> giveUp(open, made, Outcome.TIMED_OUT));
+                    () -> giveUp(open, made, AttemptOutcome.TIMED_OUT));
             }
         }
     }
@@ -218,7 +219,7 @@
                 if (!made.ended && made.sentAt + made.waitMs > latest) {
                     made.timeout.cancel();
                     made.timeout = time.after(latest - time.now(),
-                        () -> giveUp(open, made, Outcome.TIMED_OUT));
+                        () -> giveUp(open, made, AttemptOutcome.TIMED_OUT));
                 }
             }
         }
@@ -229,14 +230,14 @@
         Open open = table.get(id);
         if (open != null && !open.concluded) {
             conclude(open, Witness.Final.GONE, 0);
-            raise(open, now -> module.onClientGone(now, id));
+            raise(open, now -> module.onClientDisconnected(now, id));
             for (Try made : List.copyOf(open.tries)) {
                 if (open.coming) {
                     // What has not come whole never will: no attempt of it can run any more.
-                    giveUp(open, made, Outcome.CANCELED);
+                    giveUp(open, made, AttemptOutcome.CANCELED);
                 } else if (!made.ended && made.attempt.withdraw()) {
                     // Whether what was sent may be called off is the site's to say; this was not sent.
-                    end(open, made, Outcome.IGNORED);
+                    end(open, made, AttemptOutcome.NOT_EXECUTED);
                 }
             }
         }
@@ -253,25 +254,25 @@
     private void abandon(Open open) {
         conclude(open, Witness.Final.FAILED, 0);
         open.client.failed();
-        raise(open, now -> module.onClientGone(now, open.request.id()));
+        raise(open, now -> module.onClientDisconnected(now, open.request.id()));
     }
 
     @Override
     public void listed(ServerList list) {
-        tellList(list.full() ? ListKind.FULL : ListKind.DELTA, list);
+        tellList(list.full() ? EndpointListKind.FULL : EndpointListKind.DELTA, list);
     }
 
-    private void tellList(ListKind kind, ServerList list) {
+    private void tellList(EndpointListKind kind, ServerList list) {
         listed |= !list.entries().isEmpty();
         endpoints.update(list);
-        raise(null, now -> module.onServers(now, kind, list.servers()));
+        raise(null, now -> module.onEndpointList(now, kind, list.servers()));
         endpoints.withdraw();
     }
 
     @Override
     public void failed() {
-        if (settings.asksForList()) {
-            raise(null, now -> module.onServers(now, ListKind.FAILED, List.of()));
+        if (settings.pollsEndpointList()) {
+            raise(null, now -> module.onEndpointList(now, EndpointListKind.FAILED, List.of()));
         } else {
             time.after(AGENT_PAUSE_MS, watch);
         }
@@ -309,7 +310,7 @@
     // ---- what the module has done ----
 
     @Override
-    public void send(String id, String server, double timeoutMs) {
+    public void forward(String id, String server, double timeoutMs) {
         Open open = table.get(id);
         if (open == null) {
             complaints.log("an attempt for a request that is not open", id);
@@ -325,12 +326,12 @@
         open.out++;
         witness.sent(id, made.number, server, timeoutMs);
         if (open.concluded || left <= 0 || open.tries.size() > open.mostTries) {
-            end(open, made, Outcome.IGNORED);
+            end(open, made, AttemptOutcome.NOT_EXECUTED);
         } else if (wait <= 0) {
-            end(open, made, Outcome.TIMED_OUT);
+            end(open, made, AttemptOutcome.TIMED_OUT);
         } else {
             if (!open.coming) {
-                made.timeout = time.after(wait, () -> giveUp(open, made, Outcome.TIMED_OUT));
+                made.timeout = time.after(wait, () -> giveUp(open, made, AttemptOutcome.TIMED_OUT));
             }
             try {
                 made.attempt = open.carrier.send(server, new Written(open, made), notAfter,
@@ -345,7 +346,7 @@
             } catch (RuntimeException e) {
                 // How far it came is not known, so it may have run; the module must hear of its end.
                 complaints.bug("sending failed", e);
-                end(open, made, Outcome.RESET);
+                end(open, made, AttemptOutcome.RESET);
             }
         }
     }
@@ -385,30 +386,30 @@
     }
 
     /** Passes an answer on where it is the last word on its request. */
-    private void pass(Open open, Outcome outcome, Answer answer) {
-        if (outcome == Outcome.OK) {
+    private void pass(Open open, AttemptOutcome outcome, Answer answer) {
+        if (outcome == AttemptOutcome.OK) {
             conclude(open, Witness.Final.SERVED, 0);
             open.client.served(answer);
-        } else if (outcome == Outcome.IGNORED) {
+        } else if (outcome == AttemptOutcome.NOT_EXECUTED) {
             conclude(open, Witness.Final.TURNED_AWAY, 0);
             open.client.turnedAway(answer.status());
         }
     }
 
     /** Stops waiting for an attempt. One that was not written whole is known not to have run. */
-    private void giveUp(Open open, Try made, Outcome outcome) {
+    private void giveUp(Open open, Try made, AttemptOutcome outcome) {
         if (!made.ended) {
             boolean mayHaveRun = made.attempt.giveUp();
-            end(open, made, mayHaveRun || outcome == Outcome.CANCELED ? outcome : Outcome.CONNECT_ERROR);
+            end(open, made, mayHaveRun || outcome == AttemptOutcome.CANCELED ? outcome : AttemptOutcome.CONNECT_ERROR);
         }
     }
 
-    private void end(Open open, Try made, Outcome outcome) {
+    private void end(Open open, Try made, AttemptOutcome outcome) {
         if (made.ended) {
             return;
         }
         made.ended = true;
-        made.neverRan = outcome.neverRan();
+        made.neverRan = outcome.neverExecuted();
         if (made.timeout != null) {
             made.timeout.cancel();
         }
@@ -416,8 +417,8 @@
         double took = open.coming ? 0 : time.now() - made.sentAt;
         raise(open, now -> {
             open.out--;
-            module.onFinished(now, new Finished(open.request.id(), made.number, made.server, outcome, took,
-                open.concluded, Load.NONE));
+            module.onAttemptFinished(now, new AttemptResult(open.request.id(), made.number, made.server, outcome, took,
+                open.concluded, LoadReport.NONE));
         });
     }
 
@@ -430,7 +431,7 @@
     }
 
     @Override
-    public void refuse(String id, double coolDownMs) {
+    public void reject(String id, double coolDownMs) {
         Open open = table.get(id);
         if (open != null && !open.concluded) {
             conclude(open, Witness.Final.REFUSED, coolDownMs);
@@ -448,30 +449,30 @@
     }
 
     @Override
-    public void cancel(String id, int attempt) {
+    public void cancelAttempt(String id, int attempt) {
         Open open = table.get(id);
         if (open != null && attempt < open.tries.size()) {
-            giveUp(open, open.tries.get(attempt), Outcome.CANCELED);
+            giveUp(open, open.tries.get(attempt), AttemptOutcome.CANCELED);
         }
     }
 
     @Override
-    public void timer(double inMs, long name) {
+    public void scheduleTimer(double inMs, long name) {
         time.after(inMs, () -> raise(null, now -> module.onTimer(now, name)));
     }
 
     @Override
-    public void disconnect(String server) {
-        endpoints.disconnect(server);
+    public void closeIdleConnections(String server) {
+        endpoints.closeIdleConnections(server);
     }
 
     @Override
-    public void subscribe() {
+    public void pollEndpointList() {
         watch.run();
     }
 
     @Override
-    public void log(String line) {
-        complaints.say(line);
+    public void report(OverloadReport report) {
+        complaints.say(report.toString());
     }
 }
--- a/sidecar/src/main/java/martenlatch/host/ServerList.java
+++ b/sidecar/src/main/java/martenlatch/host/ServerList.java
@@ -2,13 +2,13 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import martenlatch.policy.Contract.Server;
+import martenlatch.policy.api.Endpoint;
 
 /** A list of endpoints, or changes to one. */
 public record ServerList(long version, boolean full, List<Entry> entries) {
 
     /** An endpoint and where it listens; the address is null for one that is gone. */
-    public record Entry(Server server, InetSocketAddress address) {
+    public record Entry(Endpoint server, InetSocketAddress address) {
     }
 
     /** Hears what comes of a source of such lists. */
@@ -21,7 +21,7 @@
     }
 
     /** The endpoints without their addresses, as the decision module has them. */
-    public List<Server> servers() {
+    public List<Endpoint> servers() {
         return entries.stream().map(Entry::server).toList();
     }
 }
--- a/sidecar/src/main/java/martenlatch/host/Witness.java
+++ b/sidecar/src/main/java/martenlatch/host/Witness.java
@@ -1,7 +1,7 @@
 package martenlatch.host;
 
-import martenlatch.policy.Contract.Outcome;
-import martenlatch.policy.Contract.Request;
+import martenlatch.policy.api.AttemptOutcome;
+import martenlatch.policy.api.Request;
 
 /** Hears of all that is decided and how it ended, in its order; it must not act on it. */
 public interface Witness {
@@ -21,7 +21,7 @@
     }
 
     /** An attempt ended. */
-    default void ended(String request, int attempt, Outcome outcome) {
+    default void ended(String request, int attempt, AttemptOutcome outcome) {
     }
 
     /** A call was concluded; the cool-down, in milliseconds, is above 0 only with a refusal. */
--- a/sidecar/src/main/java/martenlatch/membership/ListWatch.java
+++ b/sidecar/src/main/java/martenlatch/membership/ListWatch.java
@@ -5,7 +5,7 @@
 import martenlatch.host.Complaints;
 import martenlatch.host.ServerList;
 import martenlatch.host.Time;
-import martenlatch.policy.Contract.Settings;
+import martenlatch.policy.api.BalancerSettings;
 
 /**
  * When discovery is asked, for what, and how long an answer is waited for: call after call, until one fails.
@@ -77,9 +77,9 @@
      * Sidecars that are moved together must not ask together: each asks at a random time within so many
      * milliseconds, as at a start, and a sidecar alone at once. Nothing is spread where lists are pushed.
      */
-    public static double spreadMs(Settings settings) {
-        return settings.asksForList()
-            ? settings.rules().askWithinMs() / 2 * (1 - 1.0 / settings.balancers()) : 0;
+    public static double spreadMs(BalancerSettings settings) {
+        return settings.pollsEndpointList()
+            ? settings.rules().pollIntervalMs() / 2 * (1 - 1.0 / settings.balancerCount()) : 0;
     }
 
     /** Who hears of lists, and which version is known already. */
--- a/sidecar/src/main/java/martenlatch/membership/Pace.java
+++ b/sidecar/src/main/java/martenlatch/membership/Pace.java
@@ -1,7 +1,7 @@
 package martenlatch.membership;
 
 import java.util.SplittableRandom;
-import martenlatch.policy.Contract.Settings;
+import martenlatch.policy.api.BalancerSettings;
 
 /**
  * How long discovery is asked to wait for news, and when it counts as silent. All times are milliseconds.
@@ -35,10 +35,10 @@
      * asking, at random, so that sidecars whose watches fell silent together, or ended together with nothing
      * new, do not come back together. It costs discovery no more calls than the site has it bear.
      */
-    public static Pace next(Settings settings, SplittableRandom random) {
-        return settings.asksForList()
+    public static Pace next(BalancerSettings settings, SplittableRandom random) {
+        return settings.pollsEndpointList()
             ? new Pace((long) Math.max(LEAST_WAIT_MS, Math.min(MOST_WAIT_MS,
-                settings.rules().askWithinMs() * (1 + random.nextDouble()))), OWED_MS, ListWatch.SILENCE_MS)
+                settings.rules().pollIntervalMs() * (1 + random.nextDouble()))), OWED_MS, ListWatch.SILENCE_MS)
             : new Pace(AGENT_WAIT_MS, AGENT_OWED_MS, AGENT_WAIT_MS);
     }
 }
--- a/sidecar/src/main/java/martenlatch/membership/RegistryList.java
+++ b/sidecar/src/main/java/martenlatch/membership/RegistryList.java
@@ -10,8 +10,8 @@
 import martenlatch.config.Fields;
 import martenlatch.config.SettingsReader;
 import martenlatch.host.ServerList;
-import martenlatch.policy.Contract.Server;
-import martenlatch.policy.Contract.State;
+import martenlatch.policy.api.Endpoint;
+import martenlatch.policy.api.EndpointStatus;
 
 /** Reads lists of endpoints in discovery's form. */
 public final class RegistryList {
@@ -59,16 +59,16 @@
         if (!(fields.get("id") instanceof String id)) {
             throw Fields.bad("servers[].id", fields.get("id"));
         }
-        State state = switch (String.valueOf(fields.get("state"))) {
-            case "in_service" -> State.READY;
-            case "terminating" -> State.DRAINING;
-            case "terminated" -> State.GONE;
+        EndpointStatus state = switch (String.valueOf(fields.get("state"))) {
+            case "in_service" -> EndpointStatus.READY;
+            case "terminating" -> EndpointStatus.DRAINING;
+            case "terminated" -> EndpointStatus.GONE;
             default -> throw Fields.bad("servers[].state", fields.get("state"));
         };
         // Of an endpoint that is gone nothing but its id need be told.
-        InetSocketAddress address = state == State.GONE ? null
+        InetSocketAddress address = state == EndpointStatus.GONE ? null
             : Fields.address("servers[].addr", fields.get("addr"));
-        return new ServerList.Entry(new Server(id, names.zones().indexOf(fields.get("zone")),
+        return new ServerList.Entry(new Endpoint(id, names.zones().indexOf(fields.get("zone")),
             names.kinds().indexOf(fields.get("kind")), (int) number(fields, "cell", 0),
             number(fields, "started_ms", 0), state, number(fields, "weight", 1)), address);
     }
--- a/sidecar/src/main/java/martenlatch/sidecar/PeerHost.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/PeerHost.java
@@ -23,7 +23,7 @@
 import martenlatch.peers.PeerState;
 import martenlatch.peers.PeerView;
 import martenlatch.peers.Peers;
-import martenlatch.policy.Contract.Settings;
+import martenlatch.policy.api.BalancerSettings;
 import martenlatch.site.PeerAddresses;
 
 /** Membership among the sidecars over UDP, on the sidecar's event loop. */
@@ -42,12 +42,12 @@
     private DatagramChannel channel;
     private boolean closed;
 
-    PeerHost(EventLoop loop, Time time, Complaints complaints, Settings settings, PeerAddresses told,
+    PeerHost(EventLoop loop, Time time, Complaints complaints, BalancerSettings settings, PeerAddresses told,
             long seed) {
         this.loop = loop;
         this.time = time;
         this.complaints = complaints;
-        peers = new Peers(PeerSettings.usual(settings.ownNumber(), told.each().size(), settings.tier(),
+        peers = new Peers(PeerSettings.usual(settings.ownIndex(), told.each().size(), settings.tier(),
             Math.min(MOST_ZONE, settings.ownZone())), seed, this);
         readdress(told.each());
     }
--- a/sidecar/src/main/java/martenlatch/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/Sidecar.java
@@ -29,7 +29,7 @@
 import martenlatch.membership.ListWatch;
 import martenlatch.membership.Pace;
 import martenlatch.net.LoopTime;
-import martenlatch.policy.Contract.RequestClass;
+import martenlatch.policy.api.RequestClass;
 import martenlatch.site.PeerAddresses;
 import martenlatch.site.SiteConfig;
 import martenlatch.upstream.EndpointPool;
@@ -125,7 +125,7 @@
             // Where none does, a client that is taken in early waits a little, and one that is refused
             // finds nobody.
             boolean beside = sidecar.operations.othersServe();
-            if (!config.settings().asksForList()) {
+            if (!config.settings().pollsEndpointList()) {
                 // What the agent has counts as told already: the list in the file may be older.
                 sidecar.firstWord.await(ListWatch.SILENCE_MS, TimeUnit.MILLISECONDS);
             }
--- a/sidecar/src/main/java/martenlatch/sidecar/Warmup.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/Warmup.java
@@ -38,10 +38,10 @@
 import martenlatch.host.Witness;
 import martenlatch.net.Buffers;
 import martenlatch.net.LoopTime;
-import martenlatch.policy.Contract.Effect;
-import martenlatch.policy.Contract.RequestClass;
-import martenlatch.policy.Contract.Server;
-import martenlatch.policy.Contract.State;
+import martenlatch.policy.api.Endpoint;
+import martenlatch.policy.api.EndpointStatus;
+import martenlatch.policy.api.Idempotency;
+import martenlatch.policy.api.RequestClass;
 import martenlatch.site.SiteConfig;
 import martenlatch.upstream.AnswerReader;
 import martenlatch.upstream.EndpointPool;
@@ -81,7 +81,7 @@
                 @Override
                 protected void initChannel(SocketChannel accepted) {
                     accepted.pipeline().addLast(new HttpServerCodec(),
-                        new HttpObjectAggregator(AnswerReader.MOST_BODY), new Endpoint());
+                        new HttpObjectAggregator(AnswerReader.MOST_BODY), new EndpointHandler());
                 }
             })
             .bind(ephemeral());
@@ -103,7 +103,7 @@
         Time time = new LoopTime(loop);
         Complaints silent = new Complaints(time, new PrintStream(OutputStream.nullOutputStream()));
         ServerList list = new ServerList(0, true, List.of(new ServerList.Entry(
-            new Server("warm-up", config.settings().ownZone(), 0, 0, 0, State.READY, 1), at)));
+            new Endpoint("warm-up", config.settings().ownZone(), 0, 0, 0, EndpointStatus.READY, 1), at)));
         pool = new EndpointPool(loop, time, silent, MOST_MS, config.idleCloseMs(), config.sockets());
         Exchange exchange = new Exchange(time, silent, pool, () -> { }, config.settings(),
             config.seed(), list, Witness.NONE);
@@ -143,7 +143,7 @@
     private void ask() {
         List<RequestClass> classes = config.settings().classes();
         RequestClass kind = classes.get(rounds % classes.size());
-        boolean safe = kind.effect() == Effect.REPEATABLE;
+        boolean safe = kind.idempotency() == Idempotency.IDEMPOTENT;
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
             safe ? HttpMethod.GET : HttpMethod.POST, "/api",
             safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[128]));
@@ -172,7 +172,7 @@
         done.run();
     }
 
-    private static final class Endpoint extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private static final class EndpointHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
--- a/sidecar/src/main/java/martenlatch/site/PeerAddresses.java
+++ b/sidecar/src/main/java/martenlatch/site/PeerAddresses.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import martenlatch.config.Fields;
-import martenlatch.policy.Contract.Settings;
+import martenlatch.policy.api.BalancerSettings;
 
 /**
  * How a sidecar reaches the others.
@@ -20,7 +20,7 @@
     }
 
     /** Of a configuration's fields; what is missing or bad is an exception that names field and value. */
-    static PeerAddresses of(Object listen, Object each, Settings settings) {
+    static PeerAddresses of(Object listen, Object each, BalancerSettings settings) {
         InetSocketAddress at = Fields.address("peer_listen", listen);
         if (!(each instanceof List<?> list)) {
             throw Fields.bad("peers", each);
@@ -29,9 +29,9 @@
         for (Object one : list) {
             all.add(Fields.address("peers[]", one));
         }
-        if (settings.ownNumber() >= all.size()) {
+        if (settings.ownIndex() >= all.size()) {
             throw new IllegalArgumentException("field peers must have an address for each sidecar, this "
-                + "one's number " + settings.ownNumber() + " among them, but has " + all.size());
+                + "one's number " + settings.ownIndex() + " among them, but has " + all.size());
         }
         return new PeerAddresses(at, all);
     }
--- a/sidecar/src/main/java/martenlatch/site/SiteConfig.java
+++ b/sidecar/src/main/java/martenlatch/site/SiteConfig.java
@@ -19,8 +19,8 @@
 import martenlatch.config.Shape;
 import martenlatch.host.ServerList;
 import martenlatch.membership.RegistryList;
-import martenlatch.policy.Contract.RequestClass;
-import martenlatch.policy.Contract.Settings;
+import martenlatch.policy.api.BalancerSettings;
+import martenlatch.policy.api.RequestClass;
 
 /**
  * What a sidecar is told at its start, read from the file that GW_CONFIG names.
@@ -34,7 +34,7 @@
  */
 public record SiteConfig(String name, InetSocketAddress listen, InetSocketAddress admin,
         InetSocketAddress discovery, long seed, int sockets, double idleCloseMs, RegistryList.Names names,
-        ServerList known, Settings settings, Set<String> fields, Object peerListen, Object peers) {
+        ServerList known, BalancerSettings settings, Set<String> fields, Object peerListen, Object peers) {
 
     /** How to reach the other sidecars; what is missing or bad is an exception, here and not at the start. */
     public PeerAddresses peerAddresses() {
@@ -96,7 +96,7 @@
     }
 
     /** Requests name their class: each must have a name of its own. */
-    private static Settings checked(Settings settings) {
+    private static BalancerSettings checked(BalancerSettings settings) {
         Set<String> seen = new HashSet<>();
         for (RequestClass kind : settings.classes()) {
             if (kind.name().isEmpty() || !seen.add(kind.name())) {
--- a/sidecar/src/main/java/martenlatch/upstream/EndpointPool.java
+++ b/sidecar/src/main/java/martenlatch/upstream/EndpointPool.java
@@ -38,8 +38,8 @@
 import martenlatch.host.ServerList;
 import martenlatch.host.Time;
 import martenlatch.net.Buffers;
-import martenlatch.policy.Contract.Outcome;
-import martenlatch.policy.Contract.State;
+import martenlatch.policy.api.AttemptOutcome;
+import martenlatch.policy.api.EndpointStatus;
 
 /** The connections to each endpoint: one request at a time on each, kept alive, bounded in all. */
 public final class EndpointPool implements EndpointTable {
@@ -98,7 +98,7 @@
         private void expire() {
             Carrier.Ending told = ending;
             if (withdraw()) {
-                told.ended(Outcome.IGNORED, null);
+                told.ended(AttemptOutcome.NOT_EXECUTED, null);
             }
         }
 
@@ -138,7 +138,7 @@
             return true;
         }
 
-        private void end(Outcome outcome, Answer answer) {
+        private void end(AttemptOutcome outcome, Answer answer) {
             Carrier.Ending told = ending;
             over();
             if (told != null) {
@@ -216,7 +216,7 @@
         }
         for (ServerList.Entry entry : list.entries()) {
             String id = entry.server().id();
-            if (entry.server().state() == State.GONE) {
+            if (entry.server().status() == EndpointStatus.GONE) {
                 remove(id);
                 continue;
             }
@@ -229,7 +229,7 @@
             endpoint.address = entry.address();
             endpoint.startedMs = entry.server().startedMs();
             settleAddress(endpoint);
-            if (entry.server().state() != State.READY) {
+            if (entry.server().status() != EndpointStatus.READY) {
                 leaveWaiting(endpoint);
             }
         }
@@ -247,7 +247,7 @@
         for (Attempt attempt : left) {
             Carrier.Ending told = attempt.ending;
             if (attempt.withdraw()) {
-                told.ended(Outcome.IGNORED, null);
+                told.ended(AttemptOutcome.NOT_EXECUTED, null);
             }
         }
     }
@@ -304,7 +304,7 @@
 
     /** Closes the idle connections to an endpoint. */
     @Override
-    public void disconnect(String id) {
+    public void closeIdleConnections(String id) {
         Endpoint endpoint = endpoints.get(id);
         if (endpoint != null) {
             closeAll(endpoint);
@@ -348,7 +348,7 @@
                 Ending ending) {
             if (message.upload() != null && !message.upload().isFresh()) {
                 // A part of the body is gone: nothing is sent, and the endpoint is not to blame.
-                ending.ended(Outcome.IGNORED, null);
+                ending.ended(AttemptOutcome.NOT_EXECUTED, null);
                 return NOTHING;
             }
             // Hardly any request needs a second attempt: only those copy the headers.
@@ -414,7 +414,7 @@
     private void refuse(Attempt attempt, String why) {
         complaints.log("no connection", why);
         attempt.drop();
-        attempt.end(Outcome.CONNECT_ERROR, null);
+        attempt.end(AttemptOutcome.CONNECT_ERROR, null);
     }
 
     private boolean closeLongestIdle() {
@@ -601,7 +601,7 @@
             Attempt ended = attempt;
             attempt = null;
             if (ended != null) {
-                ended.end(ended.written ? Outcome.RESET : Outcome.CONNECT_ERROR, null);
+                ended.end(ended.written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_ERROR, null);
             }
         }
 
@@ -613,12 +613,12 @@
             // First the connection, then the word: what it leads to may need the connection.
             keep(clean && !early && answer.keepAlive());
             if (ended != null) {
-                Outcome outcome = answer.outcome();
-                if (early && outcome == Outcome.OK) {
+                AttemptOutcome outcome = answer.outcome();
+                if (early && outcome == AttemptOutcome.OK) {
                     // It says that it has run, and can't have read what it was to run: who knows.
-                    outcome = Outcome.RESET;
+                    outcome = AttemptOutcome.RESET;
                 }
-                ended.end(outcome, outcome == Outcome.RESET ? null : answer);
+                ended.end(outcome, outcome == AttemptOutcome.RESET ? null : answer);
             }
         }
 
@@ -640,12 +640,12 @@
                 answer.rest().abandon();
                 close();
                 if (ended != null) {
-                    ended.end(Outcome.RESET, null);
+                    ended.end(AttemptOutcome.RESET, null);
                 }
                 return;
             }
             keepsAlive = answer.keepAlive();
-            ended.end(Outcome.OK, answer);
+            ended.end(AttemptOutcome.OK, answer);
         }
 
         @Override
--- a/tools/src/main/java/martenlatch/tools/Main.java
+++ b/tools/src/main/java/martenlatch/tools/Main.java
@@ -19,10 +19,10 @@
 import martenlatch.world.Happening;
 import martenlatch.world.World;
 import martenlatch.world.WorldFile;
-import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
+import picocli.CommandLine;
 
 /** The command line of the tools. */
 @Command(name = "martenlatch-tools", mixinStandardHelpOptions = true, version = "martenlatch-tools 0.3.0",
