--- a/extproc/src/main/java/martenlatch/extproc/ExtProcServer.java
+++ b/extproc/src/main/java/martenlatch/extproc/ExtProcServer.java
@@ -38,6 +38,7 @@
     private static final int MOST_METADATA = 8 * 1024;
     /** Messages are small: a window of this size holds many, and a peer can't make us hold more. */
     private static final int WINDOW = 256 * 1024;
+
     private static final int EMPTY_POLL_MS = 10;
 
     private final Path siteFile;
@@ -53,8 +54,7 @@
     private ExtProcServer(Path siteFile, PrintStream log) {
         this.siteFile = siteFile;
         this.log = log;
-        group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("extproc"),
-            NioIoHandler.newFactory());
+        group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("extproc"), NioIoHandler.newFactory());
         loop = (EventLoop) group.next();
     }
 
@@ -85,10 +85,17 @@
         Complaints complaints = new Complaints(time, log);
         EndpointAddresses addresses = new EndpointAddresses();
         SplittableRandom random = new SplittableRandom(config.seed());
-        discovery = new DiscoveryClient(loop, time, config.discovery(), config.names(), complaints,
-            () -> Pace.next(config.settings(), random));
-        exchange = new Exchange(time, complaints, addresses, discovery::watch, config.settings(),
-            config.seed(), config.known(), Witness.NONE);
+        discovery = new DiscoveryClient(
+                loop, time, config.discovery(), config.names(), complaints, () -> Pace.next(config.settings(), random));
+        exchange = new Exchange(
+                time,
+                complaints,
+                addresses,
+                discovery::watch,
+                config.settings(),
+                config.seed(),
+                config.known(),
+                Witness.NONE);
         discovery.listen(exchange, config.known().version());
         processor = new Processor(time, loop, complaints, exchange, addresses, own, config.settings());
     }
@@ -96,16 +103,18 @@
     /** A gRPC server on the one event loop: calls run on it as they are read, with no hand-over. */
     static Server listen(ExtProcSettings own, BindableService processor, EventLoop loop) throws IOException {
         return NettyServerBuilder.forAddress(own.listen())
-            .channelType(NioServerSocketChannel.class)
-            .bossEventLoopGroup(loop).workerEventLoopGroup(loop)
-            .directExecutor()
-            .withChildOption(ChannelOption.TCP_NODELAY, true)
-            .maxInboundMessageSize(MOST_MESSAGE)
-            .maxInboundMetadataSize(MOST_METADATA)
-            .maxConcurrentCallsPerConnection(own.mostStreams())
-            .initialFlowControlWindow(WINDOW)
-            .addService(processor)
-            .build().start();
+                .channelType(NioServerSocketChannel.class)
+                .bossEventLoopGroup(loop)
+                .workerEventLoopGroup(loop)
+                .directExecutor()
+                .withChildOption(ChannelOption.TCP_NODELAY, true)
+                .maxInboundMessageSize(MOST_MESSAGE)
+                .maxInboundMetadataSize(MOST_METADATA)
+                .maxConcurrentCallsPerConnection(own.mostStreams())
+                .initialFlowControlWindow(WINDOW)
+                .addService(processor)
+                .build()
+                .start();
     }
 
     InetSocketAddress address() {
@@ -146,11 +155,15 @@
         CountDownLatch empty = new CountDownLatch(1);
         loop.execute(() -> processor.drain(longestMs));
         server.shutdown();
-        loop.scheduleWithFixedDelay(() -> {
-            if (processor.openStreams() == 0) {
-                empty.countDown();
-            }
-        }, EMPTY_POLL_MS, EMPTY_POLL_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                () -> {
+                    if (processor.openStreams() == 0) {
+                        empty.countDown();
+                    }
+                },
+                EMPTY_POLL_MS,
+                EMPTY_POLL_MS,
+                TimeUnit.MILLISECONDS);
         boolean done = false;
         try {
             done = empty.await((long) longestMs, TimeUnit.MILLISECONDS);
--- a/extproc/src/main/java/martenlatch/extproc/Main.java
+++ b/extproc/src/main/java/martenlatch/extproc/Main.java
@@ -28,8 +28,7 @@
                java -jar martenlatch-extproc.jar load PROCESSOR RATE STREAMS CLASS SECONDS
                  consultations at a rate, or at 0 as many as so many streams at once allow""";
 
-    private Main() {
-    }
+    private Main() {}
 
     /** Runs a command; what cannot be used is one plain line and a status above 0. */
     public static void main(String[] args) {
@@ -48,8 +47,13 @@
             } else if (args.length == 2 && args[0].equals("floor")) {
                 ExtProcServer.listen(ExtProcSettings.read(Path.of(args[1])), new Floor(), loop());
             } else if (args.length == 6 && args[0].equals("load")) {
-                ConsultationLoad.run(Fields.address("PROCESSOR", args[1]), whole("RATE", args[2], 0),
-                    whole("STREAMS", args[3], 1), args[4], whole("SECONDS", args[5], 1), System.out);
+                ConsultationLoad.run(
+                        Fields.address("PROCESSOR", args[1]),
+                        whole("RATE", args[2], 0),
+                        whole("STREAMS", args[3], 1),
+                        args[4],
+                        whole("SECONDS", args[5], 1),
+                        System.out);
             } else {
                 errors.println(USAGE);
                 return 2;
@@ -59,8 +63,10 @@
             Thread.currentThread().interrupt();
             return 1;
         } catch (IOException | RuntimeException e) {
-            errors.println("martenlatch: " + (e.getMessage() == null ? e.toString()
-                : e.getMessage().lines().findFirst().orElse("")));
+            errors.println("martenlatch: "
+                    + (e.getMessage() == null
+                            ? e.toString()
+                            : e.getMessage().lines().findFirst().orElse("")));
             return 1;
         }
     }
@@ -86,26 +92,34 @@
         CompletableFuture<ExtProcServer> running = new CompletableFuture<>();
         Signal.handle(new Signal("HUP"), signal -> running.thenAccept(ExtProcServer::reload));
         if (configFile == null || configFile.isBlank()) {
-            throw new IllegalArgumentException("GW_CONFIG must name the configuration file but is "
-                + configFile);
+            throw new IllegalArgumentException("GW_CONFIG must name the configuration file but is " + configFile);
         }
         ExtProcServer server = ExtProcServer.start(Path.of(configFile), settings, log);
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            server.drain();
-            Runtime.getRuntime().halt(0);
-        }, "drain"));
+        Runtime.getRuntime()
+                .addShutdownHook(new Thread(
+                        () -> {
+                            server.drain();
+                            Runtime.getRuntime().halt(0);
+                        },
+                        "drain"));
         running.complete(server);
     }
 
     private static void proxy(InetSocketAddress listen, InetSocketAddress processor, PrintStream log)
             throws IOException {
         EventLoop loop = loop();
-        var bound = new StandInProxy(loop, new LoopTime(loop), processor,
-            new StandInProxy.Options(100, 250, 3, StandInProxy.WhenAway.FAIL, null),
-            StandInProxy.Conduct.GOOD).listen(listen).awaitUninterruptibly();
+        var bound = new StandInProxy(
+                        loop,
+                        new LoopTime(loop),
+                        processor,
+                        new StandInProxy.Options(100, 250, 3, StandInProxy.WhenAway.FAIL, null),
+                        StandInProxy.Conduct.GOOD)
+                .listen(listen)
+                .awaitUninterruptibly();
         if (!bound.isSuccess()) {
             loop.parent().shutdownGracefully();
-            throw new IOException("cannot listen on " + listen + ": " + bound.cause().getMessage());
+            throw new IOException(
+                    "cannot listen on " + listen + ": " + bound.cause().getMessage());
         }
         log.println("martenlatch: stand-in proxy listens on " + bound.channel().localAddress());
     }
--- a/extproc/src/main/java/martenlatch/extproc/Warmup.java
+++ b/extproc/src/main/java/martenlatch/extproc/Warmup.java
@@ -45,6 +45,7 @@
     private static final int ROUNDS = 200;
     /** A busy machine must not keep a processor from starting. */
     private static final int MOST_MS = 5000;
+
     private static final int DEADLINE_MS = 1000;
 
     private final ExternalProcessorGrpc.ExternalProcessorStub stub;
@@ -62,10 +63,17 @@
     /** Returns when it is warm, or after some seconds; not to be called on the event loop. */
     static void run(SiteConfig config, ExtProcSettings own, EventLoop loop) throws IOException {
         InetSocketAddress ephemeral = new InetSocketAddress(own.listen().getAddress(), 0);
-        Processor processor = loop.submit(() -> parts(config, own, loop)).syncUninterruptibly().getNow();
+        Processor processor = loop.submit(() -> parts(config, own, loop))
+                .syncUninterruptibly()
+                .getNow();
         Server server = ExtProcServer.listen(own.at(ephemeral), processor, loop);
-        ManagedChannel channel = NettyChannelBuilder.forAddress(server.getListenSockets().get(0))
-            .usePlaintext().eventLoopGroup(loop).channelType(NioSocketChannel.class).directExecutor().build();
+        ManagedChannel channel = NettyChannelBuilder.forAddress(
+                        server.getListenSockets().get(0))
+                .usePlaintext()
+                .eventLoopGroup(loop)
+                .channelType(NioSocketChannel.class)
+                .directExecutor()
+                .build();
         try {
             Warmup warmup = new Warmup(channel, config.settings());
             loop.execute(warmup::ask);
@@ -82,28 +90,37 @@
         Time time = new LoopTime(loop);
         Complaints silent = new Complaints(time, new PrintStream(OutputStream.nullOutputStream()));
         EndpointAddresses addresses = new EndpointAddresses();
-        ServerList list = new ServerList(0, true, List.of(new ServerList.Entry(
-            new Endpoint("warm-up", config.settings().ownZone(), 0, 0, 0,
-                EndpointStatus.READY, 1), own.listen())));
-        Exchange exchange = new Exchange(time, silent, addresses, () -> { }, config.settings(), config.seed(),
-            list, Witness.NONE);
+        ServerList list = new ServerList(
+                0,
+                true,
+                List.of(new ServerList.Entry(
+                        new Endpoint("warm-up", config.settings().ownZone(), 0, 0, 0, EndpointStatus.READY, 1),
+                        own.listen())));
+        Exchange exchange =
+                new Exchange(time, silent, addresses, () -> {}, config.settings(), config.seed(), list, Witness.NONE);
         return new Processor(time, loop, silent, exchange, addresses, own, config.settings());
     }
 
     private void ask() {
         RequestClass kind = kinds.get(rounds % kinds.size());
-        HeaderMap.Builder heads = HeaderMap.newBuilder().addHeaders(header(":method", "GET"))
-            .addHeaders(header("x-request-id", "warm-up-" + rounds))
-            .addHeaders(header("x-class", kind.name())).addHeaders(header("x-tenant", tenant))
-            .addHeaders(header("x-deadline-ms", Integer.toString(DEADLINE_MS)));
+        HeaderMap.Builder heads = HeaderMap.newBuilder()
+                .addHeaders(header(":method", "GET"))
+                .addHeaders(header("x-request-id", "warm-up-" + rounds))
+                .addHeaders(header("x-class", kind.name()))
+                .addHeaders(header("x-tenant", tenant))
+                .addHeaders(header("x-deadline-ms", Integer.toString(DEADLINE_MS)));
         Answers answers = new Answers();
         answers.out = stub.process(answers);
         answers.out.onNext(ProcessingRequest.newBuilder()
-            .setRequestHeaders(HttpHeaders.newBuilder().setHeaders(heads)).build());
+                .setRequestHeaders(HttpHeaders.newBuilder().setHeaders(heads))
+                .build());
     }
 
     private static HeaderValue header(String name, String value) {
-        return HeaderValue.newBuilder().setKey(name).setRawValue(ByteString.copyFromUtf8(value)).build();
+        return HeaderValue.newBuilder()
+                .setKey(name)
+                .setRawValue(ByteString.copyFromUtf8(value))
+                .build();
     }
 
     private final class Answers implements StreamObserver<ProcessingResponse> {
@@ -112,8 +129,10 @@
         @Override
         public void onNext(ProcessingResponse message) {
             if (message.hasRequestHeaders()) {
-                out.onNext(ProcessingRequest.newBuilder().setResponseHeaders(HttpHeaders.newBuilder()
-                    .setHeaders(HeaderMap.newBuilder().addHeaders(header(":status", "200")))).build());
+                out.onNext(ProcessingRequest.newBuilder()
+                        .setResponseHeaders(HttpHeaders.newBuilder()
+                                .setHeaders(HeaderMap.newBuilder().addHeaders(header(":status", "200"))))
+                        .build());
             }
         }
 
--- a/extproc/src/main/java/martenlatch/front/extproc/Consultation.java
+++ b/extproc/src/main/java/martenlatch/front/extproc/Consultation.java
@@ -34,8 +34,7 @@
         this.out = out;
         out.setOnCancelHandler(this::broke);
         if (!front.opened()) {
-            fail(Status.RESOURCE_EXHAUSTED.withDescription("max-streams (" + front.own.mostStreams()
-                + ") are open"));
+            fail(Status.RESOURCE_EXHAUSTED.withDescription("max-streams (" + front.own.mostStreams() + ") are open"));
         } else {
             front.silences.watch(silence);
         }
@@ -58,7 +57,7 @@
         }
         if (message.getObservabilityMode()) {
             fail(Status.FAILED_PRECONDITION.withDescription(
-                "observability_mode is set: a proxy that does not wait for decisions cannot be served"));
+                    "observability_mode is set: a proxy that does not wait for decisions cannot be served"));
         } else if (message.hasRequestHeaders() && state == State.SILENT) {
             front.silences.forget(silence);
             state = State.WAITS;
@@ -69,7 +68,7 @@
             call.responded(this, message);
         } else {
             fail(Status.INVALID_ARGUMENT.withDescription(message.getRequestCase() + " is out of order or "
-                + "was not asked for: one request_headers, then one response_headers"));
+                    + "was not asked for: one request_headers, then one response_headers"));
         }
     }
 
--- a/extproc/src/main/java/martenlatch/front/extproc/Consultations.java
+++ b/extproc/src/main/java/martenlatch/front/extproc/Consultations.java
@@ -52,6 +52,7 @@
         int attempt;
         /** The earliest time at which it may have begun to run; NaN if it surely has not. */
         double mayHaveRunAt = Double.NaN;
+
         double forgetAt;
 
         Entry(String id) {
@@ -60,8 +61,7 @@
     }
 
     /** All of an id's attempts up to this one are known not to have run. */
-    private record Unrun(int attempt, double forgetAt) {
-    }
+    private record Unrun(int attempt, double forgetAt) {}
 
     private final int most;
     private final double rememberMs;
@@ -98,8 +98,8 @@
         if (known != null && known.phase != Phase.ENDED) {
             return again(known, attempt);
         }
-        double ranAt = known != null ? known.mayHaveRunAt
-            : isUnrun(id, attempt - 1) ? Double.NaN : now - kind.deadlineMs();
+        double ranAt =
+                known != null ? known.mayHaveRunAt : isUnrun(id, attempt - 1) ? Double.NaN : now - kind.deadlineMs();
         if (!Double.isNaN(ranAt) && !mayRunAgain(now, kind, ranAt)) {
             return Kind.MAY_HAVE_RUN;
         }
@@ -147,14 +147,15 @@
         if (unrun.size() >= most) {
             unrun.remove(unrun.keySet().iterator().next());
         }
-        unrun.put(id, new Unrun(before == null ? attempt : Math.max(before.attempt(), attempt),
-            now + rememberMs));
+        unrun.put(id, new Unrun(before == null ? attempt : Math.max(before.attempt(), attempt), now + rememberMs));
     }
 
     /** Whether a request that may have run may go anywhere; where it ran is not known here any more. */
     private static boolean mayRunAgain(double now, RequestClass kind, double ranAt) {
-        return kind.idempotency() == Idempotency.IDEMPOTENT || kind.idempotency() == Idempotency.IDEMPOTENCY_KEY
-            && kind.deduplicationScope() == DeduplicationScope.ALL && now - ranAt < kind.deduplicationWindowMs() * WINDOW_SHARE;
+        return kind.idempotency() == Idempotency.IDEMPOTENT
+                || kind.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && kind.deduplicationScope() == DeduplicationScope.ALL
+                        && now - ranAt < kind.deduplicationWindowMs() * WINDOW_SHARE;
     }
 
     /** The next attempt is decided on and waits for its consultation. */
@@ -206,7 +207,8 @@
             // One that ran again within its window stands there anew.
             entries.remove(old.id, old);
         }
-        for (var oldest = unrun.values().iterator(); oldest.hasNext() && oldest.next().forgetAt() <= now;) {
+        for (var oldest = unrun.values().iterator();
+                oldest.hasNext() && oldest.next().forgetAt() <= now; ) {
             oldest.remove();
         }
     }
--- a/extproc/src/main/java/martenlatch/front/extproc/ExtProcSettings.java
+++ b/extproc/src/main/java/martenlatch/front/extproc/ExtProcSettings.java
@@ -26,13 +26,21 @@
  * @param messageTimeoutMs the proxy's time limit for one of our answers, as it is configured there
  * @param connectTimeoutMs the proxy's time limit for a connect to an endpoint, as it is configured there
  */
-public record ExtProcSettings(InetSocketAddress listen, int mostStreams, double silenceMs, double nextMs,
-        double rememberMs, int rememberMost, double messageTimeoutMs, double connectTimeoutMs) {
+public record ExtProcSettings(
+        InetSocketAddress listen,
+        int mostStreams,
+        double silenceMs,
+        double nextMs,
+        double rememberMs,
+        int rememberMost,
+        double messageTimeoutMs,
+        double connectTimeoutMs) {
 
     /** A machine is busy at times: so much of the drain's grace is left to it. */
     static final double GRACE_SLACK_MS = 50;
-    private static final Set<String> NAMES = Set.of("listen", "max-streams", "silence-ms",
-        "next-consultation-ms", "remember-ms", "remember-most", "proxy");
+
+    private static final Set<String> NAMES = Set.of(
+            "listen", "max-streams", "silence-ms", "next-consultation-ms", "remember-ms", "remember-most", "proxy");
     private static final Set<String> PROXY_NAMES = Set.of("message-timeout-ms", "connect-timeout-ms");
 
     /** Reads the file; anything missing, unknown or out of range is told by name and value. */
@@ -50,22 +58,23 @@
         knownOnly("", file, NAMES);
         JsonNode proxy = file.path("proxy");
         knownOnly("proxy.", proxy, PROXY_NAMES);
-        return new ExtProcSettings(Fields.address("listen", file.path("listen").textValue()),
-            whole("max-streams", file.path("max-streams"), 1, 100_000),
-            whole("silence-ms", file.path("silence-ms"), 10, 60_000),
-            whole("next-consultation-ms", file.path("next-consultation-ms"), 1, 10_000),
-            whole("remember-ms", file.path("remember-ms"), 1, 600_000),
-            whole("remember-most", file.path("remember-most"), 1, 10_000_000),
-            whole("proxy.message-timeout-ms", proxy.path("message-timeout-ms"), 1, 10_000),
-            whole("proxy.connect-timeout-ms", proxy.path("connect-timeout-ms"), 1, 10_000));
+        return new ExtProcSettings(
+                Fields.address("listen", file.path("listen").textValue()),
+                whole("max-streams", file.path("max-streams"), 1, 100_000),
+                whole("silence-ms", file.path("silence-ms"), 10, 60_000),
+                whole("next-consultation-ms", file.path("next-consultation-ms"), 1, 10_000),
+                whole("remember-ms", file.path("remember-ms"), 1, 600_000),
+                whole("remember-most", file.path("remember-most"), 1, 10_000_000),
+                whole("proxy.message-timeout-ms", proxy.path("message-timeout-ms"), 1, 10_000),
+                whole("proxy.connect-timeout-ms", proxy.path("connect-timeout-ms"), 1, 10_000));
     }
 
     private static void knownOnly(String prefix, JsonNode object, Set<String> names) {
-        for (Iterator<String> fields = object.fieldNames(); fields.hasNext();) {
+        for (Iterator<String> fields = object.fieldNames(); fields.hasNext(); ) {
             String field = fields.next();
             if (!names.contains(field)) {
                 throw new IllegalArgumentException("field " + prefix + field + " is unknown; there are "
-                    + names.stream().sorted().toList());
+                        + names.stream().sorted().toList());
             }
         }
     }
@@ -74,18 +83,20 @@
         if (value.isMissingNode()) {
             throw Fields.bad(field, null);
         }
-        if (!value.isIntegralNumber() || !value.canConvertToInt() || value.intValue() < least
+        if (!value.isIntegralNumber()
+                || !value.canConvertToInt()
+                || value.intValue() < least
                 || value.intValue() > most) {
             throw new IllegalArgumentException("field " + field + " is not usable: " + value
-                + "; it must be a whole number from " + least + " to " + most);
+                    + "; it must be a whole number from " + least + " to " + most);
         }
         return value.intValue();
     }
 
     /** The same, but for where it listens. */
     public ExtProcSettings at(InetSocketAddress address) {
-        return new ExtProcSettings(address, mostStreams, silenceMs, nextMs, rememberMs, rememberMost,
-            messageTimeoutMs, connectTimeoutMs);
+        return new ExtProcSettings(
+                address, mostStreams, silenceMs, nextMs, rememberMs, rememberMost, messageTimeoutMs, connectTimeoutMs);
     }
 
     /**
@@ -99,9 +110,9 @@
         double age = messageTimeoutMs + connectTimeoutMs + GRACE_SLACK_MS;
         if (age > grace) {
             throw new IllegalArgumentException("field proxy.message-timeout-ms is not usable: "
-                + Math.round(messageTimeoutMs) + "; with proxy.connect-timeout-ms ("
-                + Math.round(connectTimeoutMs) + ") and " + Math.round(GRACE_SLACK_MS)
-                + " for a busy machine it must stay within the drain's grace of " + Math.round(grace));
+                    + Math.round(messageTimeoutMs) + "; with proxy.connect-timeout-ms ("
+                    + Math.round(connectTimeoutMs) + ") and " + Math.round(GRACE_SLACK_MS)
+                    + " for a busy machine it must stay within the drain's grace of " + Math.round(grace));
         }
         double longest = 0;
         for (RequestClass kind : site.classes()) {
@@ -109,7 +120,7 @@
         }
         if (rememberMs < longest) {
             throw new IllegalArgumentException("field remember-ms is not usable: " + Math.round(rememberMs)
-                + "; it must be at least the longest deadline of a class, " + Math.round(longest));
+                    + "; it must be at least the longest deadline of a class, " + Math.round(longest));
         }
         return this;
     }
--- a/extproc/src/main/java/martenlatch/front/extproc/HeaderView.java
+++ b/extproc/src/main/java/martenlatch/front/extproc/HeaderView.java
@@ -35,8 +35,9 @@
             return null;
         }
         HeaderValue found = headers.get(at);
-        return found.getRawValue().isEmpty() ? found.getValue()
-            : found.getRawValue().toString(StandardCharsets.ISO_8859_1);
+        return found.getRawValue().isEmpty()
+                ? found.getValue()
+                : found.getRawValue().toString(StandardCharsets.ISO_8859_1);
     }
 
     @Override
--- a/extproc/src/main/java/martenlatch/front/extproc/Processor.java
+++ b/extproc/src/main/java/martenlatch/front/extproc/Processor.java
@@ -28,9 +28,11 @@
 
     /** Where a proxy puts the attributes that it was asked to send. */
     static final String ATTRIBUTES = "envoy.filters.http.ext_proc";
+
     static final String FLAGS_ATTRIBUTE = "response.flags";
     /** For a proxy that sends no attributes: its response flags in words. */
     static final String FLAGS_HEADER = "x-proxy-response-flags";
+
     static final String ATTEMPT_HEADER = "x-envoy-attempt-count";
     /** An id is remembered, so it must not be of any length. */
     private static final int MOST_ID = 256;
@@ -50,6 +52,7 @@
     private final Map<String, ProxyCall> calls = new HashMap<>();
     /** Consultations that wait until all that has arrived with them is read. */
     private final Deque<Consultation> inbox = new ArrayDeque<>();
+
     private int streams;
     private double endsAt = Double.POSITIVE_INFINITY;
 
@@ -58,8 +61,14 @@
      *
      * @param soon runs a task on the same thread after what is in hand, and after what has been received
      */
-    public Processor(Time time, Executor soon, Complaints complaints, Exchange exchange,
-            EndpointAddresses addresses, ExtProcSettings own, BalancerSettings site) {
+    public Processor(
+            Time time,
+            Executor soon,
+            Complaints complaints,
+            Exchange exchange,
+            EndpointAddresses addresses,
+            ExtProcSettings own,
+            BalancerSettings site) {
         this.time = time;
         this.soon = soon;
         this.complaints = complaints;
@@ -160,10 +169,8 @@
                     call.mustHaveAnswered();
                 }
                 case NEXT -> calls.get(id).next(asking);
-                case IN_HAND -> asking.end(Replies.plain(409,
-                    CallReader.ID + " is that of a request in hand"));
-                case MAY_HAVE_RUN -> asking.end(Replies.plain(500,
-                    "it may have run, and may not run again"));
+                case IN_HAND -> asking.end(Replies.plain(409, CallReader.ID + " is that of a request in hand"));
+                case MAY_HAVE_RUN -> asking.end(Replies.plain(500, "it may have run, and may not run again"));
                 case FULL -> {
                     complaints.log("no more requests can be remembered", known.size() + " are");
                     asking.end(Replies.refusal(FULL_COOL_DOWN_MS));
@@ -179,8 +186,11 @@
         CallReader.Reading reading = reader.read(head, time.now(), endsAt);
         int attempt = attempt(head.first(ATTEMPT_HEADER));
         if (reading.request() != null && attempt >= 0 && reading.request().id().length() <= MOST_ID) {
-            known.neverRan(time.now(), reading.request().id(),
-                site.classes().get(reading.request().classIndex()), attempt);
+            known.neverRan(
+                    time.now(),
+                    reading.request().id(),
+                    site.classes().get(reading.request().classIndex()),
+                    attempt);
         }
     }
 
@@ -189,7 +199,6 @@
         if (text == null || text.isEmpty()) {
             return 0;
         }
-        return text.length() <= 6 && text.chars().allMatch(c -> c >= '0' && c <= '9')
-            ? Integer.parseInt(text) : -1;
+        return text.length() <= 6 && text.chars().allMatch(c -> c >= '0' && c <= '9') ? Integer.parseInt(text) : -1;
     }
 }
--- a/extproc/src/main/java/martenlatch/front/extproc/ProxyCall.java
+++ b/extproc/src/main/java/martenlatch/front/extproc/ProxyCall.java
@@ -25,8 +25,7 @@
         /** Before it none of the request's attempts can have run. */
         private boolean first;
 
-        Try(ProxyCall call, String server, Conditions conditions, double notAfter,
-                Carrier.Ending ending) {
+        Try(ProxyCall call, String server, Conditions conditions, double notAfter, Carrier.Ending ending) {
             this.call = call;
             this.server = server;
             this.conditions = conditions;
@@ -74,6 +73,7 @@
     private Time.Timer wait;
     /** The final word, where it came while no stream waited for it. */
     private ProcessingResponse word;
+
     private boolean timedOut;
     private boolean over;
     private double mayHaveRunAt = Double.NaN;
@@ -301,7 +301,8 @@
 
     private static int status(String text) {
         return text != null && text.length() == 3 && text.chars().allMatch(c -> c >= '0' && c <= '9')
-            ? Integer.parseInt(text) : 0;
+                ? Integer.parseInt(text)
+                : 0;
     }
 
     private static long flags(ProcessingRequest message, HeaderView head) {
@@ -309,6 +310,6 @@
         Value number = attributes.getFieldsOrDefault(Processor.FLAGS_ATTRIBUTE, Value.getDefaultInstance());
         String words = head.first(Processor.FLAGS_HEADER);
         return (number.hasNumberValue() ? ProxyOutcome.flags(number.getNumberValue()) : 0)
-            | (words == null ? 0 : ProxyOutcome.flags(words));
+                | (words == null ? 0 : ProxyOutcome.flags(words));
     }
 }
--- a/extproc/src/main/java/martenlatch/front/extproc/ProxyOutcome.java
+++ b/extproc/src/main/java/martenlatch/front/extproc/ProxyOutcome.java
@@ -13,10 +13,11 @@
 final class ProxyOutcome {
 
     /** The places of the flags in the attribute's bits, as its {@code CoreResponseFlag} counts them. */
-    private static final Map<String, Integer> BITS = Map.of("UH", 1, "UT", 2, "UF", 5, "UO", 7, "NR", 8,
-        "DC", 14, "UMSDR", 19, "DT", 22, "NC", 24);
+    private static final Map<String, Integer> BITS =
+            Map.of("UH", 1, "UT", 2, "UF", 5, "UO", 7, "NR", 8, "DC", 14, "UMSDR", 19, "DT", 22, "NC", 24);
     /** Nothing has been sent: no endpoint, no connection, no room for one, no route, no cluster. */
     private static final long NEVER_SENT = bits("UH", "UF", "UO", "NR", "NC");
+
     private static final long TIMED_OUT = bits("UT", "UMSDR", "DT");
     private static final long CLIENT_GONE = bits("DC");
     /** Stands for every flag that is not told apart here. */
@@ -24,8 +25,7 @@
     /** The largest whole number that a protobuf number surely keeps. */
     private static final double MOST_BITS = 1L << 53;
 
-    private ProxyOutcome() {
-    }
+    private ProxyOutcome() {}
 
     private static long bits(String... flags) {
         long bits = 0;
@@ -62,9 +62,11 @@
      */
     static AttemptOutcome of(int status, boolean notRun, long flags) {
         if (flags != 0) {
-            return (flags & ~NEVER_SENT) == 0 ? AttemptOutcome.CONNECT_ERROR
-                : (flags & ~TIMED_OUT) == 0 ? AttemptOutcome.TIMED_OUT
-                : (flags & CLIENT_GONE) != 0 ? AttemptOutcome.CANCELED : AttemptOutcome.RESET;
+            return (flags & ~NEVER_SENT) == 0
+                    ? AttemptOutcome.CONNECT_ERROR
+                    : (flags & ~TIMED_OUT) == 0
+                            ? AttemptOutcome.TIMED_OUT
+                            : (flags & CLIENT_GONE) != 0 ? AttemptOutcome.CANCELED : AttemptOutcome.RESET;
         }
         return Answer.outcome(status, notRun);
     }
--- a/extproc/src/main/java/martenlatch/front/extproc/SilentStreams.java
+++ b/extproc/src/main/java/martenlatch/front/extproc/SilentStreams.java
@@ -30,6 +30,7 @@
     private final double limitMs;
     /** Stands before the first and after the last. */
     private final Place ring = new Place(null);
+
     private boolean timed;
 
     SilentStreams(Time time, double limitMs) {
--- a/extproc/src/main/java/martenlatch/world/ConsultationLoad.java
+++ b/extproc/src/main/java/martenlatch/world/ConsultationLoad.java
@@ -37,18 +37,21 @@
     private static final int CONNECTIONS = 4;
     /** More open streams than this are not waited for: the processor is far behind. */
     private static final int MOST_OPEN = 20_000;
+
     private static final long LONGEST_US = 60_000_000;
     /** Both sides compile for some seconds under full load before they show what they can do. */
     private static final int WARM_S = 8;
+
     private static final int WARM_STREAMS = 64;
     /** Beyond this lateness of a send its latency would be the load's and not the processor's. */
     private static final long LATE_NANOS = 1_000_000;
+
     private static final int DRAIN_S = 5;
 
     private final List<ExternalProcessorGrpc.ExternalProcessorStub> stubs = new ArrayList<>();
     private final List<ManagedChannel> channels = new ArrayList<>();
     private final MultiThreadIoEventLoopGroup group =
-        new MultiThreadIoEventLoopGroup(CONNECTIONS, NioIoHandler.newFactory());
+            new MultiThreadIoEventLoopGroup(CONNECTIONS, NioIoHandler.newFactory());
     private final ConcurrentHistogram decisions = new ConcurrentHistogram(LONGEST_US, 3);
     private final AtomicLong done = new AtomicLong();
     private final AtomicLong refused = new AtomicLong();
@@ -59,9 +62,12 @@
 
     private ConsultationLoad(InetSocketAddress processor) {
         for (int i = 0; i < CONNECTIONS; i++) {
-            ManagedChannel channel = NettyChannelBuilder.forAddress(processor).usePlaintext()
-                .eventLoopGroup((EventLoop) group.next()).channelType(NioSocketChannel.class)
-                .directExecutor().build();
+            ManagedChannel channel = NettyChannelBuilder.forAddress(processor)
+                    .usePlaintext()
+                    .eventLoopGroup((EventLoop) group.next())
+                    .channelType(NioSocketChannel.class)
+                    .directExecutor()
+                    .build();
             channels.add(channel);
             stubs.add(ExternalProcessorGrpc.newStub(channel));
         }
@@ -74,8 +80,9 @@
      * @param streams how many are open at once where no rate is given
      * @param kind the class that they name
      */
-    public static void run(InetSocketAddress processor, int perSecond, int streams, String kind, int seconds,
-            PrintStream out) throws InterruptedException {
+    public static void run(
+            InetSocketAddress processor, int perSecond, int streams, String kind, int seconds, PrintStream out)
+            throws InterruptedException {
         ConsultationLoad load = new ConsultationLoad(processor);
         try {
             load.phase(0, WARM_STREAMS, kind, WARM_S);
@@ -84,12 +91,22 @@
             load.refused.set(0);
             load.failed.set(0);
             long late = load.phase(perSecond, streams, kind, seconds);
-            out.printf(Locale.ROOT, "%s %d/s: done %.0f/s, refused %d, failed %d, open %d, late sends %d; "
-                + "decision ms p50 %.2f p90 %.2f p99 %.2f p99.9 %.2f max %.2f%n",
-                perSecond == 0 ? streams + " streams," : "rate", perSecond,
-                load.done.get() / (double) seconds, load.refused.get(), load.failed.get(), load.open.get(),
-                late,
-                load.ms(50), load.ms(90), load.ms(99), load.ms(99.9), load.ms(100));
+            out.printf(
+                    Locale.ROOT,
+                    "%s %d/s: done %.0f/s, refused %d, failed %d, open %d, late sends %d; "
+                            + "decision ms p50 %.2f p90 %.2f p99 %.2f p99.9 %.2f max %.2f%n",
+                    perSecond == 0 ? streams + " streams," : "rate",
+                    perSecond,
+                    load.done.get() / (double) seconds,
+                    load.refused.get(),
+                    load.failed.get(),
+                    load.open.get(),
+                    late,
+                    load.ms(50),
+                    load.ms(90),
+                    load.ms(99),
+                    load.ms(99.9),
+                    load.ms(100));
         } finally {
             load.channels.forEach(ManagedChannel::shutdownNow);
             load.group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -141,26 +158,36 @@
     private void consult(long intended, String kind, Semaphore room) {
         open.incrementAndGet();
         Talk talk = new Talk(intended, room);
-        HeaderMap.Builder heads = HeaderMap.newBuilder().addHeaders(header(":method", "GET"))
-            .addHeaders(header(":path", "/api?day=2026-12-01")).addHeaders(header(":authority", "app.svc"))
-            .addHeaders(header(":scheme", "http")).addHeaders(header("user-agent", "load"))
-            .addHeaders(header("accept", "*/*")).addHeaders(header("x-forwarded-proto", "http"))
-            .addHeaders(header("x-envoy-attempt-count", "1"))
-            .addHeaders(header("x-request-id", run + "-" + count)).addHeaders(header("x-class", kind))
-            .addHeaders(header("x-deadline-ms", "1000"));
+        HeaderMap.Builder heads = HeaderMap.newBuilder()
+                .addHeaders(header(":method", "GET"))
+                .addHeaders(header(":path", "/api?day=2026-12-01"))
+                .addHeaders(header(":authority", "app.svc"))
+                .addHeaders(header(":scheme", "http"))
+                .addHeaders(header("user-agent", "load"))
+                .addHeaders(header("accept", "*/*"))
+                .addHeaders(header("x-forwarded-proto", "http"))
+                .addHeaders(header("x-envoy-attempt-count", "1"))
+                .addHeaders(header("x-request-id", run + "-" + count))
+                .addHeaders(header("x-class", kind))
+                .addHeaders(header("x-deadline-ms", "1000"));
         talk.out = stubs.get((int) (count++ % CONNECTIONS)).process(talk);
         talk.out.onNext(ProcessingRequest.newBuilder()
-            .setRequestHeaders(HttpHeaders.newBuilder().setHeaders(heads)).build());
+                .setRequestHeaders(HttpHeaders.newBuilder().setHeaders(heads))
+                .build());
     }
 
     private static HeaderValue header(String name, String value) {
-        return HeaderValue.newBuilder().setKey(name).setRawValue(ByteString.copyFromUtf8(value)).build();
+        return HeaderValue.newBuilder()
+                .setKey(name)
+                .setRawValue(ByteString.copyFromUtf8(value))
+                .build();
     }
 
     private final class Talk implements StreamObserver<ProcessingResponse> {
         private static final ProcessingRequest SERVED = ProcessingRequest.newBuilder()
-            .setResponseHeaders(HttpHeaders.newBuilder().setHeaders(HeaderMap.newBuilder()
-                .addHeaders(header(":status", "200")))).build();
+                .setResponseHeaders(HttpHeaders.newBuilder()
+                        .setHeaders(HeaderMap.newBuilder().addHeaders(header(":status", "200"))))
+                .build();
 
         private final long intended;
         private final Semaphore room;
--- a/extproc/src/main/java/martenlatch/world/StandInProxy.java
+++ b/extproc/src/main/java/martenlatch/world/StandInProxy.java
@@ -63,6 +63,7 @@
     private static final String RETRY = "x-martenlatch-retry";
     /** Bits of Envoy's attribute response.flags. */
     private static final int UPSTREAM_TIMEOUT = 1 << 2;
+
     private static final int CONNECTION_FAILURE = 1 << 5;
     private static final int CONNECTION_TERMINATION = 1 << 6;
 
@@ -79,7 +80,7 @@
     /** How the proxy behaves; as it stands here, well. */
     public interface Conduct {
         /** A proxy that does all as it should. */
-        Conduct GOOD = new Conduct() { };
+        Conduct GOOD = new Conduct() {};
 
         /** Milliseconds that pass between a decision and the connect that follows from it. */
         default double slownessMs(String id, int attempt) {
@@ -102,8 +103,7 @@
         }
 
         /** What the second stream was told: the status of an immediate response, or 0 for a decision. */
-        default void toldTwice(String id, int status) {
-        }
+        default void toldTwice(String id, int status) {}
     }
 
     /**
@@ -112,9 +112,12 @@
      * @param tries how often a request may be consulted about
      * @param fallback the endpoint for {@link WhenAway#GO_ON}
      */
-    public record Options(double messageTimeoutMs, double connectTimeoutMs, int tries, WhenAway whenAway,
-            InetSocketAddress fallback) {
-    }
+    public record Options(
+            double messageTimeoutMs,
+            double connectTimeoutMs,
+            int tries,
+            WhenAway whenAway,
+            InetSocketAddress fallback) {}
 
     private final EventLoop loop;
     private final Time time;
@@ -125,30 +128,35 @@
     private Channel listener;
 
     /** A proxy that is to consult a processor at an address; it listens only when told to. */
-    public StandInProxy(EventLoop loop, Time time, InetSocketAddress processorAt, Options options,
-            Conduct conduct) {
+    public StandInProxy(EventLoop loop, Time time, InetSocketAddress processorAt, Options options, Conduct conduct) {
         this.loop = loop;
         this.time = time;
         this.options = options;
         this.conduct = conduct;
-        processor = NettyChannelBuilder.forAddress(processorAt).usePlaintext().eventLoopGroup(loop)
-            .channelType(NioSocketChannel.class).directExecutor().build();
+        processor = NettyChannelBuilder.forAddress(processorAt)
+                .usePlaintext()
+                .eventLoopGroup(loop)
+                .channelType(NioSocketChannel.class)
+                .directExecutor()
+                .build();
         stub = ExternalProcessorGrpc.newStub(processor);
     }
 
     /** Takes clients. */
     public ChannelFuture listen(InetSocketAddress address) {
-        ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, 1024)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel accepted) {
-                    accepted.pipeline().addLast(new HttpServerCodec(),
-                        new HttpObjectAggregator(MOST_BODY), new Downstream());
-                }
-            })
-            .bind(address);
+        ChannelFuture bound = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, 1024)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel accepted) {
+                        accepted.pipeline()
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY), new Downstream());
+                    }
+                })
+                .bind(address);
         listener = bound.channel();
         return bound;
     }
@@ -186,8 +194,7 @@
     /** A response on its way to the client. */
     private record Reply(int status, io.netty.handler.codec.http.HttpHeaders headers, byte[] body) {
         static Reply local(int status, String why) {
-            return new Reply(status, new DefaultHttpHeaders(),
-                (why + "\n").getBytes(StandardCharsets.US_ASCII));
+            return new Reply(status, new DefaultHttpHeaders(), (why + "\n").getBytes(StandardCharsets.US_ASCII));
         }
     }
 
@@ -231,7 +238,9 @@
 
         void consult() {
             attempt++;
-            ProcessingRequest head = ProcessingRequest.newBuilder().setRequestHeaders(requestHead()).build();
+            ProcessingRequest head = ProcessingRequest.newBuilder()
+                    .setRequestHeaders(requestHead())
+                    .build();
             asking = new Asking(this);
             if (conduct.asksTwice(id, attempt)) {
                 new Second(id).ask(head);
@@ -242,9 +251,10 @@
 
         private HttpHeaders.Builder requestHead() {
             HeaderMap.Builder map = HeaderMap.newBuilder()
-                .addHeaders(value(":method", method.name())).addHeaders(value(":path", uri))
-                .addHeaders(value(":scheme", "http"))
-                .addHeaders(value(":authority", headers.get(HttpHeaderNames.HOST, "")));
+                    .addHeaders(value(":method", method.name()))
+                    .addHeaders(value(":path", uri))
+                    .addHeaders(value(":scheme", "http"))
+                    .addHeaders(value(":authority", headers.get(HttpHeaderNames.HOST, "")));
             for (Map.Entry<String, String> header : headers) {
                 map.addHeaders(value(header.getKey(), header.getValue()));
             }
@@ -275,8 +285,10 @@
             unlimited();
             if (message.hasImmediateResponse()) {
                 ImmediateResponse made = message.getImmediateResponse();
-                Reply reply = new Reply(made.getStatus().getCodeValue(), new DefaultHttpHeaders(),
-                    made.getBody().toByteArray());
+                Reply reply = new Reply(
+                        made.getStatus().getCodeValue(),
+                        new DefaultHttpHeaders(),
+                        made.getBody().toByteArray());
                 mutate(reply.headers(), made.getHeaders());
                 answer(reply);
             } else if (held == null && message.hasRequestHeaders()) {
@@ -291,8 +303,7 @@
         private void decided(HeaderMutation mutation) {
             mutate(headers, mutation);
             URI at = URI.create("http://" + headers.get(DESTINATION, ""));
-            double wait = conduct.waitMs(id, attempt,
-                Double.parseDouble(headers.get(TIMEOUT, "15000")));
+            double wait = conduct.waitMs(id, attempt, Double.parseDouble(headers.get(TIMEOUT, "15000")));
             double slowness = conduct.slownessMs(id, attempt);
             double sendBy = time.now() + options.connectTimeoutMs();
             if (conduct.breaksOff(id, attempt)) {
@@ -319,17 +330,22 @@
         }
 
         private void connect(InetSocketAddress to, double withinMs, double waitMs) {
-            ChannelFuture connecting = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(withinMs))
-                .option(ChannelOption.TCP_NODELAY, true)
-                .handler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel fresh) {
-                        fresh.pipeline().addLast(new HttpClientCodec(),
-                            new HttpObjectAggregator(MOST_BODY), new Upstream(Passing.this));
-                    }
-                })
-                .connect(to);
+            ChannelFuture connecting = new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(withinMs))
+                    .option(ChannelOption.TCP_NODELAY, true)
+                    .handler(new ChannelInitializer<SocketChannel>() {
+                        @Override
+                        protected void initChannel(SocketChannel fresh) {
+                            fresh.pipeline()
+                                    .addLast(
+                                            new HttpClientCodec(),
+                                            new HttpObjectAggregator(MOST_BODY),
+                                            new Upstream(Passing.this));
+                        }
+                    })
+                    .connect(to);
             upstream = connecting.channel();
             if (waitMs > 0) {
                 limit(waitMs, () -> {
@@ -341,10 +357,12 @@
                 if (connecting.channel() != upstream) {
                     connecting.channel().close();
                 } else if (connected.isSuccess()) {
-                    FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, uri,
-                        Unpooled.wrappedBuffer(body));
-                    request.headers().set(headers).set(HttpHeaderNames.CONTENT_LENGTH, body.length)
-                        .set(HttpHeaderNames.CONNECTION, "close");
+                    FullHttpRequest request =
+                            new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, uri, Unpooled.wrappedBuffer(body));
+                    request.headers()
+                            .set(headers)
+                            .set(HttpHeaderNames.CONTENT_LENGTH, body.length)
+                            .set(HttpHeaderNames.CONNECTION, "close");
                     upstream.writeAndFlush(request);
                 } else {
                     upstream = null;
@@ -364,8 +382,12 @@
         void answered(Channel by, FullHttpResponse response) {
             if (by == upstream) {
                 leaveUpstream();
-                response(new Reply(response.status().code(), response.headers().copy(),
-                    ByteBufUtil.getBytes(response.content())), 0);
+                response(
+                        new Reply(
+                                response.status().code(),
+                                response.headers().copy(),
+                                ByteBufUtil.getBytes(response.content())),
+                        0);
             }
         }
 
@@ -388,22 +410,29 @@
                 answer(reply);
                 return;
             }
-            HeaderMap.Builder map = HeaderMap.newBuilder()
-                .addHeaders(value(":status", Integer.toString(reply.status())));
+            HeaderMap.Builder map =
+                    HeaderMap.newBuilder().addHeaders(value(":status", Integer.toString(reply.status())));
             for (Map.Entry<String, String> header : reply.headers()) {
                 map.addHeaders(value(header.getKey(), header.getValue()));
             }
             limit(options.messageTimeoutMs(), () -> processorAway("no word on the response in time"));
             asking.say(ProcessingRequest.newBuilder()
-                .setResponseHeaders(HttpHeaders.newBuilder().setHeaders(map))
-                .putAttributes("envoy.filters.http.ext_proc", Struct.newBuilder().putFields("response.flags",
-                    Value.newBuilder().setNumberValue(flags).build()).build()).build());
+                    .setResponseHeaders(HttpHeaders.newBuilder().setHeaders(map))
+                    .putAttributes(
+                            "envoy.filters.http.ext_proc",
+                            Struct.newBuilder()
+                                    .putFields(
+                                            "response.flags",
+                                            Value.newBuilder()
+                                                    .setNumberValue(flags)
+                                                    .build())
+                                    .build())
+                    .build());
         }
 
         private void respond(HeaderMutation mutation) {
             String status = mutate(held.headers(), mutation);
-            Reply reply = status == null ? held
-                : new Reply(Integer.parseInt(status), held.headers(), held.body());
+            Reply reply = status == null ? held : new Reply(Integer.parseInt(status), held.headers(), held.body());
             if (held.headers().contains(RETRY) && attempt < options.tries()) {
                 held = null;
                 asking.leave();
@@ -420,8 +449,10 @@
             unlimited();
             asking.leave();
             leaveUpstream();
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(reply.body()));
+            FullHttpResponse response = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1,
+                    HttpResponseStatus.valueOf(reply.status()),
+                    Unpooled.wrappedBuffer(reply.body()));
             for (Map.Entry<String, String> header : reply.headers()) {
                 if (!header.getKey().equalsIgnoreCase("connection")) {
                     response.headers().add(header.getKey(), header.getValue());
@@ -442,8 +473,10 @@
     }
 
     private static HeaderValue value(String name, String value) {
-        return HeaderValue.newBuilder().setKey(name.toLowerCase(Locale.ROOT))
-            .setRawValue(ByteString.copyFrom(value, StandardCharsets.ISO_8859_1)).build();
+        return HeaderValue.newBuilder()
+                .setKey(name.toLowerCase(Locale.ROOT))
+                .setRawValue(ByteString.copyFrom(value, StandardCharsets.ISO_8859_1))
+                .build();
     }
 
     /** Changes headers; returns the status where that is changed too, else null. */
@@ -451,8 +484,9 @@
         String status = null;
         for (HeaderValueOption set : mutation.getSetHeadersList()) {
             HeaderValue header = set.getHeader();
-            String value = header.getRawValue().isEmpty() ? header.getValue()
-                : header.getRawValue().toString(StandardCharsets.ISO_8859_1);
+            String value = header.getRawValue().isEmpty()
+                    ? header.getValue()
+                    : header.getRawValue().toString(StandardCharsets.ISO_8859_1);
             if (header.getKey().equals(":status")) {
                 status = value;
             } else {
@@ -536,8 +570,11 @@
 
         @Override
         public void onNext(ProcessingResponse message) {
-            conduct.toldTwice(id, message.hasImmediateResponse()
-                ? message.getImmediateResponse().getStatus().getCodeValue() : 0);
+            conduct.toldTwice(
+                    id,
+                    message.hasImmediateResponse()
+                            ? message.getImmediateResponse().getStatus().getCodeValue()
+                            : 0);
             leave();
         }
 
--- a/extproc/src/test/java/martenlatch/ExtProcRoomsTest.java
+++ b/extproc/src/test/java/martenlatch/ExtProcRoomsTest.java
@@ -12,33 +12,57 @@
 class ExtProcRoomsTest {
 
     private static final JavaClasses PROGRAM = new ClassFileImporter()
-        .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("martenlatch");
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("martenlatch");
 
     @Test
     void arrowsRunDown() {
-        layeredArchitecture().consideringOnlyDependenciesInLayers()
-            .layer("extproc").definedBy("martenlatch.extproc..")
-            .layer("front.extproc").definedBy("martenlatch.front.extproc..")
-            .layer("world").definedBy("martenlatch.world..")
-            .whereLayer("extproc").mayNotBeAccessedByAnyLayer()
-            .whereLayer("front.extproc").mayOnlyBeAccessedByLayers("extproc")
-            .whereLayer("world").mayOnlyBeAccessedByLayers("extproc")
-            .check(PROGRAM);
+        layeredArchitecture()
+                .consideringOnlyDependenciesInLayers()
+                .layer("extproc")
+                .definedBy("martenlatch.extproc..")
+                .layer("front.extproc")
+                .definedBy("martenlatch.front.extproc..")
+                .layer("world")
+                .definedBy("martenlatch.world..")
+                .whereLayer("extproc")
+                .mayNotBeAccessedByAnyLayer()
+                .whereLayer("front.extproc")
+                .mayOnlyBeAccessedByLayers("extproc")
+                .whereLayer("world")
+                .mayOnlyBeAccessedByLayers("extproc")
+                .check(PROGRAM);
     }
 
     @Test
     void theFrontSendsNothingAndReadsNoSite() {
-        noClasses().that().resideInAPackage("martenlatch.front.extproc..").should().dependOnClassesThat()
-            .resideInAnyPackage("martenlatch.sidecar..", "martenlatch.site..", "martenlatch.front.http..",
-                "martenlatch.upstream..", "martenlatch.membership..", "martenlatch.cli..")
-            .check(PROGRAM);
+        noClasses()
+                .that()
+                .resideInAPackage("martenlatch.front.extproc..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "martenlatch.sidecar..",
+                        "martenlatch.site..",
+                        "martenlatch.front.http..",
+                        "martenlatch.upstream..",
+                        "martenlatch.membership..",
+                        "martenlatch.cli..")
+                .check(PROGRAM);
     }
 
     @Test
     void theStandInsKnowNothingOfWhatTheyStandBefore() {
-        noClasses().that().resideInAPackage("martenlatch.world..").should().dependOnClassesThat()
-            .resideInAnyPackage("martenlatch.front..", "martenlatch.policy..", "martenlatch.upstream..",
-                "martenlatch.sidecar..")
-            .check(PROGRAM);
+        noClasses()
+                .that()
+                .resideInAPackage("martenlatch.world..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "martenlatch.front..",
+                        "martenlatch.policy..",
+                        "martenlatch.upstream..",
+                        "martenlatch.sidecar..")
+                .check(PROGRAM);
     }
 }
--- a/extproc/src/test/java/martenlatch/extproc/BothModesTest.java
+++ b/extproc/src/test/java/martenlatch/extproc/BothModesTest.java
@@ -27,13 +27,51 @@
     private static final int CONTROL_REQUESTS = 1000;
 
     private static BalancerSettings settings(int tries) {
-        return new BalancerSettings(2, 0, 0, 0, false, false, 0.1, 0.05, List.of(
-            new RequestClass("read", 200, 1500, 1, 0.5, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
-            new RequestClass("order", 400, 1500, 3, 0.5, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false),
-            new RequestClass("save", 300, 1500, 1, 0, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL, 400, false),
-            new RequestClass("put", 300, 1500, 2, 0.5, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL, 900, false)),
-            List.of(new Tenant("a", 100, 0.5), new Tenant("b", 1000, 0.5)),
-            new AttemptLimits(tries, false, true, 2000, 200), new EndpointRules(0.3, 1500, 3, 1000, 500, 10_000));
+        return new BalancerSettings(
+                2,
+                0,
+                0,
+                0,
+                false,
+                false,
+                0.1,
+                0.05,
+                List.of(
+                        new RequestClass(
+                                "read", 200, 1500, 1, 0.5, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
+                        new RequestClass(
+                                "order",
+                                400,
+                                1500,
+                                3,
+                                0.5,
+                                Idempotency.NON_IDEMPOTENT,
+                                DeduplicationScope.ALL,
+                                0,
+                                false),
+                        new RequestClass(
+                                "save",
+                                300,
+                                1500,
+                                1,
+                                0,
+                                Idempotency.IDEMPOTENCY_KEY,
+                                DeduplicationScope.CELL,
+                                400,
+                                false),
+                        new RequestClass(
+                                "put",
+                                300,
+                                1500,
+                                2,
+                                0.5,
+                                Idempotency.IDEMPOTENCY_KEY,
+                                DeduplicationScope.ALL,
+                                900,
+                                false)),
+                List.of(new Tenant("a", 100, 0.5), new Tenant("b", 1000, 0.5)),
+                new AttemptLimits(tries, false, true, 2000, 200),
+                new EndpointRules(0.3, 1500, 3, 1000, 500, 10_000));
     }
 
     private static Lab play(Lab.Mode mode, int requests, int tries, UnaryOperator<EndpointTable> twist)
@@ -45,10 +83,13 @@
 
     private static void assertSame(List<String> expected, List<String> actual) {
         for (int i = 0; i < Math.min(expected.size(), actual.size()); i++) {
-            assertEquals(expected.get(i), actual.get(i), "decision " + i + " after "
-                + expected.subList(Math.max(0, i - 5), i) + ", before "
-                + expected.subList(i, Math.min(i + 5, expected.size())) + " and "
-                + actual.subList(i, Math.min(i + 5, actual.size())));
+            assertEquals(
+                    expected.get(i),
+                    actual.get(i),
+                    "decision " + i + " after "
+                            + expected.subList(Math.max(0, i - 5), i) + ", before "
+                            + expected.subList(i, Math.min(i + 5, expected.size())) + " and "
+                            + actual.subList(i, Math.min(i + 5, actual.size())));
         }
         assertEquals(expected.size(), actual.size());
     }
@@ -58,15 +99,36 @@
         Lab http = play(Lab.Mode.HTTP, REQUESTS, 3, table -> table);
         Lab proxied = play(Lab.Mode.EXTERNAL_PROCESSOR, REQUESTS, 3, table -> table);
         assertSame(http.decisions, proxied.decisions);
-        assertSame(http.receipts.stream().sorted().toList(), proxied.receipts.stream().sorted().toList());
+        assertSame(
+                http.receipts.stream().sorted().toList(),
+                proxied.receipts.stream().sorted().toList());
         assertEquals(http.answers, proxied.answers);
         assertEquals(REQUESTS, http.answers.size());
         // The script must have come by all that it is about.
-        for (Map.Entry<String, Integer> least : Map.of("OK", 5000, "FAILED", 100, "TIMED_OUT", 50,
-                "QUEUE_FULL", 50, "RESET", 50, "CONNECT_ERROR", 20, "IGNORED", 20, "REFUSED", 200,
-                "cold start", 3, "overload", 3).entrySet()) {
-            assertTrue(http.counts.getOrDefault(least.getKey(), 0) >= least.getValue(),
-                least + " wanted: " + http.counts);
+        for (Map.Entry<String, Integer> least : Map.of(
+                        "OK",
+                        5000,
+                        "FAILED",
+                        100,
+                        "TIMED_OUT",
+                        50,
+                        "QUEUE_FULL",
+                        50,
+                        "RESET",
+                        50,
+                        "CONNECT_ERROR",
+                        20,
+                        "IGNORED",
+                        20,
+                        "REFUSED",
+                        200,
+                        "cold start",
+                        3,
+                        "overload",
+                        3)
+                .entrySet()) {
+            assertTrue(
+                    http.counts.getOrDefault(least.getKey(), 0) >= least.getValue(), least + " wanted: " + http.counts);
         }
     }
 
@@ -83,17 +145,28 @@
     void anotherEndpointIsSeen() throws Exception {
         Lab http = play(Lab.Mode.HTTP, CONTROL_REQUESTS, 3, table -> table);
         Lab proxied = play(Lab.Mode.EXTERNAL_PROCESSOR, CONTROL_REQUESTS, 3, Swapped::new);
-        assertNotEquals(http.receipts.stream().sorted().toList(),
-            proxied.receipts.stream().sorted().toList());
+        assertNotEquals(
+                http.receipts.stream().sorted().toList(),
+                proxied.receipts.stream().sorted().toList());
     }
 
     private record Swapped(EndpointTable table) implements EndpointTable {
         @Override
         public void update(ServerList list) {
             List<ServerList.Entry> entries = list.entries();
-            table.update(entries.size() < 2 ? list : new ServerList(list.version(), list.full(),
-                entries.stream().map(entry -> entry == entries.get(0)
-                    ? new ServerList.Entry(entry.server(), entries.get(1).address()) : entry).toList()));
+            table.update(
+                    entries.size() < 2
+                            ? list
+                            : new ServerList(
+                                    list.version(),
+                                    list.full(),
+                                    entries.stream()
+                                            .map(entry -> entry == entries.get(0)
+                                                    ? new ServerList.Entry(
+                                                            entry.server(),
+                                                            entries.get(1).address())
+                                                    : entry)
+                                            .toList()));
         }
 
         @Override
--- a/extproc/src/test/java/martenlatch/extproc/ExtProcServerTest.java
+++ b/extproc/src/test/java/martenlatch/extproc/ExtProcServerTest.java
@@ -64,8 +64,7 @@
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private final List<ManagedChannel> proxies = new ArrayList<>();
     private final List<AutoCloseable> closing = new ArrayList<>();
-    private final MultiThreadIoEventLoopGroup group =
-        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private ServerSocket discovery;
     private ExtProcServer server;
 
@@ -77,12 +76,13 @@
 
     private static String entry(int number, String address, String state, long startedMs) {
         return "{\"id\":\"s" + number + "\",\"addr\":\"" + address
-            + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":" + number
-            + ",\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":" + startedMs + "}";
+                + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":" + number
+                + ",\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":" + startedMs + "}";
     }
 
     private void start(String... entries) throws IOException {
-        Path site = Files.writeString(folder.resolve("config.json"), """
+        Path site = Files.writeString(
+                folder.resolve("config.json"), """
             {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:%d","seed":"8c1f30d27a5be964",
             "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
             "known":{"version":1,"full":true,"servers":[%s]},
@@ -94,8 +94,9 @@
             "try-limit":3},
             "rules":{"cold-share":0.3,"cold-ms":8000,"tip-multiple":3,"fall-ms":1000,"drain-grace-ms":500,
             "ask-within-ms":600000}}}""".formatted(discovery.getLocalPort(), String.join(",", entries)));
-        Path own = Files.writeString(folder.resolve("extproc.toml"),
-            Files.readString(Path.of("../deploy/extproc.toml")).replace("127.0.0.1:9901", "127.0.0.1:0"));
+        Path own = Files.writeString(
+                folder.resolve("extproc.toml"),
+                Files.readString(Path.of("../deploy/extproc.toml")).replace("127.0.0.1:9901", "127.0.0.1:0"));
         server = ExtProcServer.start(site, own, new PrintStream(log, true, StandardCharsets.UTF_8));
     }
 
@@ -119,16 +120,23 @@
     }
 
     private int streams() {
-        return server.loop().submit(server.processor()::openStreams).syncUninterruptibly().getNow();
+        return server.loop()
+                .submit(server.processor()::openStreams)
+                .syncUninterruptibly()
+                .getNow();
     }
 
     private int calls() {
-        return server.loop().submit(server.processor()::pendingCalls).syncUninterruptibly().getNow();
+        return server.loop()
+                .submit(server.processor()::pendingCalls)
+                .syncUninterruptibly()
+                .getNow();
     }
 
     /** A proxy's connection. */
     private ManagedChannel proxy() {
-        proxies.add(NettyChannelBuilder.forAddress(server.address()).usePlaintext().build());
+        proxies.add(
+                NettyChannelBuilder.forAddress(server.address()).usePlaintext().build());
         return proxies.get(proxies.size() - 1);
     }
 
@@ -173,7 +181,9 @@
             if (message.hasImmediateResponse()) {
                 return "status " + message.getImmediateResponse().getStatus().getCodeValue();
             }
-            for (HeaderValueOption option : message.getRequestHeaders().getResponse().getHeaderMutation()
+            for (HeaderValueOption option : message.getRequestHeaders()
+                    .getResponse()
+                    .getHeaderMutation()
                     .getSetHeadersList()) {
                 if (option.getHeader().getKey().equals("x-gateway-destination-endpoint")) {
                     return option.getHeader().getRawValue().toStringUtf8();
@@ -306,7 +316,9 @@
         private void serve(Socket socket) {
             try (socket) {
                 StringBuilder head = new StringBuilder();
-                for (int b = socket.getInputStream().read(); b >= 0; b = socket.getInputStream().read()) {
+                for (int b = socket.getInputStream().read();
+                        b >= 0;
+                        b = socket.getInputStream().read()) {
                     head.append((char) b);
                     if (head.indexOf("\r\n\r\n") > 0) {
                         break;
@@ -316,8 +328,7 @@
                 String id = head.toString().replaceAll("(?is).*x-request-id: ([^\r]*).*", "$1");
                 runs.computeIfAbsent(id, k -> new AtomicInteger()).incrementAndGet();
                 OutputStream out = socket.getOutputStream();
-                out.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-                    .getBytes(StandardCharsets.US_ASCII));
+                out.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.US_ASCII));
                 out.flush();
             } catch (IOException e) {
                 return;
@@ -329,23 +340,33 @@
         }
     }
 
-    private InetSocketAddress standIn(StandInProxy.WhenAway whenAway, String fallback,
-            StandInProxy.Conduct conduct) {
+    private InetSocketAddress standIn(StandInProxy.WhenAway whenAway, String fallback, StandInProxy.Conduct conduct) {
         EventLoop loop = (EventLoop) group.next();
-        StandInProxy proxy = new StandInProxy(loop, new LoopTime(loop), server.address(),
-            new StandInProxy.Options(100, 250, 3, whenAway, fallback == null ? null
-                : martenlatch.config.Fields.address("fallback", fallback)), conduct);
+        StandInProxy proxy = new StandInProxy(
+                loop,
+                new LoopTime(loop),
+                server.address(),
+                new StandInProxy.Options(
+                        100,
+                        250,
+                        3,
+                        whenAway,
+                        fallback == null ? null : martenlatch.config.Fields.address("fallback", fallback)),
+                conduct);
         closing.add(proxy::close);
         return (InetSocketAddress) proxy.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
-            .syncUninterruptibly().channel().localAddress();
+                .syncUninterruptibly()
+                .channel()
+                .localAddress();
     }
 
     private static int post(InetSocketAddress to, String id, String kind) throws IOException {
         try (Socket socket = new Socket(to.getAddress(), to.getPort())) {
             socket.setSoTimeout((int) PATIENCE_MS);
-            socket.getOutputStream().write(("POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + id
-                + "\r\nX-Class: " + kind + "\r\nX-Deadline-Ms: 2500\r\nContent-Length: 0\r\n\r\n")
-                .getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(("POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + id + "\r\nX-Class: " + kind
+                                    + "\r\nX-Deadline-Ms: 2500\r\nContent-Length: 0\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII));
             byte[] line = socket.getInputStream().readNBytes(12);
             return Integer.parseInt(new String(line, StandardCharsets.US_ASCII).substring(9, 12));
         }
@@ -416,9 +437,12 @@
         }
         clients.forEach(Thread::start);
         await("the endpoint has work", () -> leaving.at.size() >= 5);
-        ServerList drain = new ServerList(2, false, List.of(new ServerList.Entry(
-            new Endpoint("s0", 0, 0, 0, 0, EndpointStatus.DRAINING, 1),
-            martenlatch.config.Fields.address("leaving", leaving.address()))));
+        ServerList drain = new ServerList(
+                2,
+                false,
+                List.of(new ServerList.Entry(
+                        new Endpoint("s0", 0, 0, 0, 0, EndpointStatus.DRAINING, 1),
+                        martenlatch.config.Fields.address("leaving", leaving.address()))));
         server.loop().submit(() -> server.exchange().listed(drain)).syncUninterruptibly();
         long told = System.nanoTime();
         for (Thread client : clients) {
@@ -436,8 +460,7 @@
         Counting endpoint = new Counting();
         restart(entry(0, endpoint.address(), "in_service", 0));
         InetSocketAddress again = standIn(StandInProxy.WhenAway.ASK_AGAIN, null, StandInProxy.Conduct.GOOD);
-        InetSocketAddress goesOn = standIn(StandInProxy.WhenAway.GO_ON, endpoint.address(),
-            StandInProxy.Conduct.GOOD);
+        InetSocketAddress goesOn = standIn(StandInProxy.WhenAway.GO_ON, endpoint.address(), StandInProxy.Conduct.GOOD);
         assertEquals(200, post(again, "warm1", "order"));
         assertEquals(200, post(goesOn, "warm2", "order"));
         int served = 0;
@@ -501,8 +524,10 @@
 
     @Test
     void aColdEndpointIsSparedByAllProxiesTogether() throws Exception {
-        restart(entry(0, "10.0.0.1:1", "in_service", 0), entry(1, "10.0.0.1:2", "in_service", 0),
-            entry(2, "10.0.0.1:3", "in_service", System.currentTimeMillis()));
+        restart(
+                entry(0, "10.0.0.1:1", "in_service", 0),
+                entry(1, "10.0.0.1:2", "in_service", 0),
+                entry(2, "10.0.0.1:3", "in_service", System.currentTimeMillis()));
         int cold = 0;
         for (int i = 0; i < 9; i++) {
             cold += Peer.open(proxy()).ask("r" + i, READ, 1).told().endsWith(":3") ? 1 : 0;
@@ -534,8 +559,10 @@
         Path site = folder.resolve("config.json");
         try (ServerSocket next = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             next.setSoTimeout((int) PATIENCE_MS);
-            Files.writeString(site, Files.readString(site).replace("127.0.0.1:" + discovery.getLocalPort(),
-                "127.0.0.1:" + next.getLocalPort()));
+            Files.writeString(
+                    site,
+                    Files.readString(site)
+                            .replace("127.0.0.1:" + discovery.getLocalPort(), "127.0.0.1:" + next.getLocalPort()));
             server.reload();
             next.accept().close();
         }
@@ -550,9 +577,12 @@
 
     @Test
     void garbageInsteadOfHttp2DisturbsNobody() throws Exception {
-        for (String garbage : List.of("GET / HTTP/1.1\r\n\r\n", "\0".repeat(24),
+        for (String garbage : List.of(
+                "GET / HTTP/1.1\r\n\r\n",
+                "\0".repeat(24),
                 "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\377\377\377\377\377\377\377\377\377")) {
-            try (Socket socket = new Socket(server.address().getAddress(), server.address().getPort())) {
+            try (Socket socket =
+                    new Socket(server.address().getAddress(), server.address().getPort())) {
                 socket.setSoTimeout((int) PATIENCE_MS);
                 socket.getOutputStream().write(garbage.getBytes(StandardCharsets.ISO_8859_1));
                 socket.getOutputStream().flush();
@@ -573,8 +603,12 @@
         ManagedChannel proxy = proxy();
         Peer other = Peer.open(proxy).ask("other", ORDER, 1);
         assertTrue(other.told().startsWith("10.0.0.1:"));
-        assertEquals("RESOURCE_EXHAUSTED", Peer.open(proxy).say(Desk.request(Desk.heads("r", ORDER, 1)
-            .addHeaders(Desk.value("x-long", "x".repeat(64 * 1024))))).told());
+        assertEquals(
+                "RESOURCE_EXHAUSTED",
+                Peer.open(proxy)
+                        .say(Desk.request(
+                                Desk.heads("r", ORDER, 1).addHeaders(Desk.value("x-long", "x".repeat(64 * 1024)))))
+                        .told());
         other.say(Desk.response(200, 0));
         assertEquals("RESPONSE_HEADERS", other.told());
         await("nothing is held", () -> streams() == 0 && calls() == 0);
--- a/extproc/src/test/java/martenlatch/extproc/Lab.java
+++ b/extproc/src/test/java/martenlatch/extproc/Lab.java
@@ -68,28 +68,37 @@
 final class Lab implements Closeable {
 
     /** Who stands between clients and endpoints. */
-    enum Mode { HTTP, EXTERNAL_PROCESSOR }
+    enum Mode {
+        HTTP,
+        EXTERNAL_PROCESSOR
+    }
 
-    private static final InetSocketAddress LOOPBACK =
-        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    private static final InetSocketAddress LOOPBACK = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     private static final int ENDPOINTS = 8;
     private static final int STUCK_S = 100;
     /** One in so many of a full endpoint's refusals lacks the header that proves it. */
     private static final int UNPROVEN = 12;
 
-    private enum Trouble { NONE, SLOW, HANGS, REFUSES_CONNECTS, ERRORS, FULL }
+    private enum Trouble {
+        NONE,
+        SLOW,
+        HANGS,
+        REFUSES_CONNECTS,
+        ERRORS,
+        FULL
+    }
 
     private final SplittableRandom random;
     private final long seed;
     private final int requests;
     private final BalancerSettings settings;
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-        NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
     private final ManualTime time = new ManualTime();
     private final double began = time.now();
     /** All decisions and what became of them, then what was seen of them from outside. */
     final List<String> decisions = new ArrayList<>();
+
     final List<String> receipts = new ArrayList<>();
     final Map<String, Integer> answers = new HashMap<>();
     final Map<String, Integer> counts = new HashMap<>();
@@ -99,11 +108,12 @@
     private final Map<String, Double> deadlines = new HashMap<>();
     /** How long the latest attempt of each request is waited for. */
     private final Map<String, Double> waits = new HashMap<>();
+
     private final List<Endpoint> endpoints = new ArrayList<>();
     private final CompletableFuture<Void> done = new CompletableFuture<>();
     private final List<Runnable> closing = new ArrayList<>();
     private final Complaints complaints =
-        new Complaints(time, new PrintStream(java.io.OutputStream.nullOutputStream()));
+            new Complaints(time, new PrintStream(java.io.OutputStream.nullOutputStream()));
     private Exchange exchange;
     private InetSocketAddress front;
     private int asked;
@@ -111,8 +121,13 @@
     private double load = 1;
 
     /** Plays nothing yet; {@code twist} stands between the host and where endpoints are. */
-    Lab(Mode mode, long seed, int requests, BalancerSettings settings,
-            java.util.function.UnaryOperator<EndpointTable> twist) throws Exception {
+    Lab(
+            Mode mode,
+            long seed,
+            int requests,
+            BalancerSettings settings,
+            java.util.function.UnaryOperator<EndpointTable> twist)
+            throws Exception {
         this.seed = seed;
         this.requests = requests;
         this.settings = settings;
@@ -123,19 +138,19 @@
             endpoints.add(endpoint);
         }
         loop.submit(() -> {
-            if (mode == Mode.HTTP) {
-                buildSidecar(twist);
-            } else {
-                buildProcessor(twist);
-            }
-            return null;
-        }).get();
+                    if (mode == Mode.HTTP) {
+                        buildSidecar(twist);
+                    } else {
+                        buildProcessor(twist);
+                    }
+                    return null;
+                })
+                .get();
     }
 
     private void buildSidecar(java.util.function.UnaryOperator<EndpointTable> twist) {
         EndpointPool pool = new EndpointPool(loop, time, complaints, 10_000, 15_000, 4000);
-        exchange = new Exchange(time, complaints, twist.apply(pool), () -> { }, settings, 7, list(true),
-            new Recorder());
+        exchange = new Exchange(time, complaints, twist.apply(pool), () -> {}, settings, 7, list(true), new Recorder());
         Frontend frontend = new Frontend(loop, time, complaints, exchange, pool, settings, 4000);
         var bound = frontend.listen(LOOPBACK);
         front = (InetSocketAddress) bound.channel().localAddress();
@@ -146,8 +161,8 @@
 
     private void buildProcessor(java.util.function.UnaryOperator<EndpointTable> twist) throws Exception {
         EndpointAddresses addresses = new EndpointAddresses();
-        exchange = new Exchange(time, complaints, twist.apply(addresses), () -> { }, settings, 7, list(true),
-            new Recorder());
+        exchange = new Exchange(
+                time, complaints, twist.apply(addresses), () -> {}, settings, 7, list(true), new Recorder());
         ExtProcSettings own = new ExtProcSettings(LOOPBACK, 2000, 2000, 300, 10_000, 100_000, 100, 250);
         Processor processor = new Processor(time, loop, complaints, exchange, addresses, own, settings);
         CompletableFuture<Server> listening = CompletableFuture.supplyAsync(() -> {
@@ -157,22 +172,27 @@
                 throw new java.io.UncheckedIOException(e);
             }
         });
-        listening.thenAcceptAsync(server -> {
-            closing.add(server::shutdownNow);
-            StandInProxy proxy = new StandInProxy(loop, time,
-                (InetSocketAddress) server.getListenSockets().get(0),
-                new StandInProxy.Options(100, 10_000, 9, StandInProxy.WhenAway.FAIL, null),
-                new StandInProxy.Conduct() {
-                    /** Whole milliseconds are told; on a clock that stands still both must end at once. */
-                    @Override
-                    public double waitMs(String id, int attempt, double told) {
-                        return waits.get(id);
-                    }
-                });
-            var bound = proxy.listen(LOOPBACK);
-            bound.addListener(up -> front = (InetSocketAddress) bound.channel().localAddress());
-            closing.add(proxy::close);
-        }, loop);
+        listening.thenAcceptAsync(
+                server -> {
+                    closing.add(server::shutdownNow);
+                    StandInProxy proxy = new StandInProxy(
+                            loop,
+                            time,
+                            (InetSocketAddress) server.getListenSockets().get(0),
+                            new StandInProxy.Options(100, 10_000, 9, StandInProxy.WhenAway.FAIL, null),
+                            new StandInProxy.Conduct() {
+                                /** Whole milliseconds are told; on a clock that stands still both must end at once. */
+                                @Override
+                                public double waitMs(String id, int attempt, double told) {
+                                    return waits.get(id);
+                                }
+                            });
+                    var bound = proxy.listen(LOOPBACK);
+                    bound.addListener(
+                            up -> front = (InetSocketAddress) bound.channel().localAddress());
+                    closing.add(proxy::close);
+                },
+                loop);
     }
 
     /** Plays the script to its end. */
@@ -188,9 +208,11 @@
         try {
             done.get(STUCK_S, TimeUnit.SECONDS);
         } catch (java.util.concurrent.TimeoutException e) {
-            throw new AssertionError("stuck at " + (time.now() - began) + " with " + unsettled + ", last "
-                + decisions.subList(Math.max(0, decisions.size() - 5), decisions.size()) + " "
-                + receipts.subList(Math.max(0, receipts.size() - 5), receipts.size()), e);
+            throw new AssertionError(
+                    "stuck at " + (time.now() - began) + " with " + unsettled + ", last "
+                            + decisions.subList(Math.max(0, decisions.size() - 5), decisions.size()) + " "
+                            + receipts.subList(Math.max(0, receipts.size() - 5), receipts.size()),
+                    e);
         }
         return this;
     }
@@ -317,8 +339,13 @@
     }
 
     private ServerList list(boolean full) {
-        return new ServerList(1, full, endpoints.stream().filter(one -> one.state != EndpointStatus.GONE)
-            .map(Endpoint::entry).toList());
+        return new ServerList(
+                1,
+                full,
+                endpoints.stream()
+                        .filter(one -> one.state != EndpointStatus.GONE)
+                        .map(Endpoint::entry)
+                        .toList());
     }
 
     private final class Recorder implements Witness {
@@ -330,8 +357,8 @@
         @Override
         public void taken(Request request) {
             deadlines.put(request.id(), request.deadlineMs());
-            line("taken " + request.id() + " class " + request.classIndex() + " tenant " + request.tenant()
-                + " until " + (request.deadlineMs() - began));
+            line("taken " + request.id() + " class " + request.classIndex() + " tenant " + request.tenant() + " until "
+                    + (request.deadlineMs() - began));
         }
 
         @Override
@@ -372,10 +399,13 @@
         }
 
         void listen(InetSocketAddress at) {
-            var bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_REUSEADDR, true)
-                .option(ChannelOption.SO_BACKLOG, 1024)
-                .childHandler(this).bind(at);
+            var bound = new ServerBootstrap()
+                    .group(loop)
+                    .channel(NioServerSocketChannel.class)
+                    .option(ChannelOption.SO_REUSEADDR, true)
+                    .option(ChannelOption.SO_BACKLOG, 1024)
+                    .childHandler(this)
+                    .bind(at);
             if (!loop.inEventLoop()) {
                 bound.syncUninterruptibly();
             }
@@ -390,31 +420,35 @@
         }
 
         ServerList.Entry entry() {
-            return new ServerList.Entry(new martenlatch.policy.api.Endpoint("s" + number, number % 2, 0,
-                number / 2, startedMs, state, 1), state == EndpointStatus.GONE ? null : address);
+            return new ServerList.Entry(
+                    new martenlatch.policy.api.Endpoint("s" + number, number % 2, 0, number / 2, startedMs, state, 1),
+                    state == EndpointStatus.GONE ? null : address);
         }
 
         @Override
         protected void initChannel(SocketChannel accepted) {
-            accepted.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(65536),
-                new SimpleChannelInboundHandler<FullHttpRequest>() {
-                    @Override
-                    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-                        received(ctx.channel(), request);
-                    }
-
-                    @Override
-                    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                        ctx.close();
-                    }
-                });
+            accepted.pipeline()
+                    .addLast(
+                            new HttpServerCodec(),
+                            new HttpObjectAggregator(65536),
+                            new SimpleChannelInboundHandler<FullHttpRequest>() {
+                                @Override
+                                protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+                                    received(ctx.channel(), request);
+                                }
+
+                                @Override
+                                public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+                                    ctx.close();
+                                }
+                            });
         }
 
         private void received(Channel by, FullHttpRequest request) {
             String id = request.headers().get("X-Request-Id");
             int attempt = attempts.get(id);
             receipts.add(id + "#" + attempt + " at s" + number + " for "
-                + request.headers().get("X-Deadline-Ms"));
+                    + request.headers().get("X-Deadline-Ms"));
             // What comes of it hangs on the attempt alone, so that it is the same in both modes.
             SplittableRandom fate = new SplittableRandom(seed * 1_000_003 + id.hashCode() * 31L + attempt);
             double service = 5 + 40 * fate.nextDouble() * (trouble == Trouble.SLOW ? 8 : 1) * Math.sqrt(load);
@@ -436,12 +470,17 @@
                 by.close();
                 return;
             }
-            int status = now == Trouble.ERRORS || spoilt == 3 ? 500 : now == Trouble.FULL || spoilt == 4 ? 503
-                : spoilt == 5 ? 504 : spoilt == 6 ? 404 : spoilt == 7 ? 502 : 200;
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                HttpResponseStatus.valueOf(status), Unpooled.copiedBuffer("ok " + id,
-                    StandardCharsets.US_ASCII));
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+            int status = now == Trouble.ERRORS || spoilt == 3
+                    ? 500
+                    : now == Trouble.FULL || spoilt == 4
+                            ? 503
+                            : spoilt == 5 ? 504 : spoilt == 6 ? 404 : spoilt == 7 ? 502 : 200;
+            FullHttpResponse response = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1,
+                    HttpResponseStatus.valueOf(status),
+                    Unpooled.copiedBuffer("ok " + id, StandardCharsets.US_ASCII));
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
             if (status == 503 || status == 504) {
                 response.headers().set("X-Not-Run", spoilt % UNPROVEN == 11 ? "0" : "1");
             }
@@ -460,27 +499,36 @@
 
         void send(RequestClass kind, String tenant, int deadline) {
             boolean safe = kind.idempotency() == Idempotency.IDEMPOTENT;
-            FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                safe ? HttpMethod.GET : HttpMethod.POST, "/api?q=1",
-                safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[64]));
-            request.headers().set("Host", "app.svc").set("X-Request-Id", id).set("X-Class", kind.name())
-                .set("X-Tenant", tenant).set("X-Deadline-Ms", deadline)
-                .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
-            new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .handler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel fresh) {
-                        fresh.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(65536),
-                            Client.this);
-                    }
-                })
-                .connect(front).addListener((io.netty.channel.ChannelFuture up) -> {
-                    if (up.isSuccess()) {
-                        up.channel().writeAndFlush(request);
-                    } else {
-                        done.completeExceptionally(up.cause());
-                    }
-                });
+            FullHttpRequest request = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    safe ? HttpMethod.GET : HttpMethod.POST,
+                    "/api?q=1",
+                    safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[64]));
+            request.headers()
+                    .set("Host", "app.svc")
+                    .set("X-Request-Id", id)
+                    .set("X-Class", kind.name())
+                    .set("X-Tenant", tenant)
+                    .set("X-Deadline-Ms", deadline)
+                    .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
+            new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
+                    .handler(new ChannelInitializer<SocketChannel>() {
+                        @Override
+                        protected void initChannel(SocketChannel fresh) {
+                            fresh.pipeline()
+                                    .addLast(new HttpClientCodec(), new HttpObjectAggregator(65536), Client.this);
+                        }
+                    })
+                    .connect(front)
+                    .addListener((io.netty.channel.ChannelFuture up) -> {
+                        if (up.isSuccess()) {
+                            up.channel().writeAndFlush(request);
+                        } else {
+                            done.completeExceptionally(up.cause());
+                        }
+                    });
         }
 
         @Override
@@ -507,9 +555,10 @@
     @Override
     public void close() {
         loop.submit(() -> {
-            closing.forEach(Runnable::run);
-            endpoints.forEach(one -> one.listener.close());
-        }).syncUninterruptibly();
+                    closing.forEach(Runnable::run);
+                    endpoints.forEach(one -> one.listener.close());
+                })
+                .syncUninterruptibly();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 }
--- a/extproc/src/test/java/martenlatch/extproc/MainTest.java
+++ b/extproc/src/test/java/martenlatch/extproc/MainTest.java
@@ -46,8 +46,9 @@
     }
 
     private Path settings(String listen) throws IOException {
-        return Files.writeString(folder.resolve("own.toml"),
-            Files.readString(Path.of("../deploy/extproc.toml")).replace("127.0.0.1:9901", listen));
+        return Files.writeString(
+                folder.resolve("own.toml"),
+                Files.readString(Path.of("../deploy/extproc.toml")).replace("127.0.0.1:9901", listen));
     }
 
     @ParameterizedTest
@@ -58,11 +59,14 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "extproc /nowhere.toml|martenlatch: the settings file is not there: /nowhere.toml",
-        "proxy everywhere 127.0.0.1:1|martenlatch: field LISTEN is not usable: everywhere",
-        "load 127.0.0.1:1 fast 1 read 1|martenlatch: field RATE is not usable: fast",
-        "load 127.0.0.1:1 0 0 read 1|martenlatch: field STREAMS is not usable: 0"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "extproc /nowhere.toml|martenlatch: the settings file is not there: /nowhere.toml",
+                "proxy everywhere 127.0.0.1:1|martenlatch: field LISTEN is not usable: everywhere",
+                "load 127.0.0.1:1 fast 1 read 1|martenlatch: field RATE is not usable: fast",
+                "load 127.0.0.1:1 0 0 read 1|martenlatch: field STREAMS is not usable: 0"
+            })
     void whatCannotBeUsedIsOnePlainLine(String line, String expected) throws IOException {
         assertEquals(1, run(line.split(" ")));
         assertEquals(expected, said());
@@ -73,19 +77,30 @@
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Path own = settings("127.0.0.1:" + taken.getLocalPort());
             assertEquals(1, run("extproc", own.toString()));
-            assertTrue(said().lines().toList().get(said().lines().toList().size() - 1)
-                .startsWith("martenlatch: cannot listen on /127.0.0.1:" + taken.getLocalPort()), said());
+            assertTrue(
+                    said().lines()
+                            .toList()
+                            .get(said().lines().toList().size() - 1)
+                            .startsWith("martenlatch: cannot listen on /127.0.0.1:" + taken.getLocalPort()),
+                    said());
         }
     }
 
     /** Guards against a planned stop that looks like a crash. */
     @Test
     void aStopBySignalIsACleanExit() throws Exception {
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java")
-            .toString(), "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"),
-            "martenlatch.extproc.Main", "extproc", settings("127.0.0.1:0").toString());
-        builder.environment().put("GW_CONFIG",
-            Files.writeString(folder.resolve("site.json"), SITE).toString());
+        ProcessBuilder builder = new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "martenlatch.extproc.Main",
+                "extproc",
+                settings("127.0.0.1:0").toString());
+        builder.environment()
+                .put(
+                        "GW_CONFIG",
+                        Files.writeString(folder.resolve("site.json"), SITE).toString());
         Process process = builder.redirectErrorStream(true).start();
         try (BufferedReader log = process.inputReader()) {
             awaitLine(log, "external processor listens on");
--- a/extproc/src/test/java/martenlatch/front/extproc/ConsultationsTest.java
+++ b/extproc/src/test/java/martenlatch/front/extproc/ConsultationsTest.java
@@ -22,7 +22,10 @@
     private final Consultations known = new Consultations(3, 10_000);
 
     private static RequestClass kind(String name) {
-        return KINDS.stream().filter(kind -> kind.name().equals(name)).findFirst().orElseThrow();
+        return KINDS.stream()
+                .filter(kind -> kind.name().equals(name))
+                .findFirst()
+                .orElseThrow();
     }
 
     private Kind arrive(double now, RequestClass kind, int attempt) {
@@ -31,8 +34,18 @@
 
     /** Attempts above 1 of an id that nobody knows: a program before this one has decided on the first. */
     @ParameterizedTest
-    @CsvSource({"read,0,FIRST", "read,1,FIRST", "read,2,FIRST", "order,0,FIRST", "order,1,FIRST",
-        "order,2,MAY_HAVE_RUN", "save,1,FIRST", "save,2,MAY_HAVE_RUN", "put,1,FIRST", "put,2,FIRST"})
+    @CsvSource({
+        "read,0,FIRST",
+        "read,1,FIRST",
+        "read,2,FIRST",
+        "order,0,FIRST",
+        "order,1,FIRST",
+        "order,2,MAY_HAVE_RUN",
+        "save,1,FIRST",
+        "save,2,MAY_HAVE_RUN",
+        "put,1,FIRST",
+        "put,2,FIRST"
+    })
     void unknown(String kind, int attempt, Kind expected) {
         assertEquals(expected, arrive(0, kind(kind), attempt));
     }
@@ -80,8 +93,15 @@
 
     /** Also after a served one: an answer is no leave to run again. The window of "put" ends at 4500. */
     @ParameterizedTest
-    @CsvSource({"read,2,FIRST", "order,2,MAY_HAVE_RUN", "order,9999,MAY_HAVE_RUN", "save,2,MAY_HAVE_RUN",
-        "put,2,FIRST", "put,4499,FIRST", "put,4500,MAY_HAVE_RUN"})
+    @CsvSource({
+        "read,2,FIRST",
+        "order,2,MAY_HAVE_RUN",
+        "order,9999,MAY_HAVE_RUN",
+        "save,2,MAY_HAVE_RUN",
+        "put,2,FIRST",
+        "put,4499,FIRST",
+        "put,4500,MAY_HAVE_RUN"
+    })
     void afterAnEndThatMayHaveRun(String name, double later, Kind expected) {
         arrive(0, kind(name), 1);
         known.ended(1, "r", kind(name), 0);
--- a/extproc/src/test/java/martenlatch/front/extproc/Desk.java
+++ b/extproc/src/test/java/martenlatch/front/extproc/Desk.java
@@ -37,19 +37,29 @@
 /** A processor with no sockets, on a clock that the test moves, and the streams that consult it. */
 public final class Desk {
 
-    public static final ExtProcSettings OWN = new ExtProcSettings(
-        new InetSocketAddress("127.0.0.1", 0), 200, 2000, 300, 10_000, 1000, 100, 250);
+    public static final ExtProcSettings OWN =
+            new ExtProcSettings(new InetSocketAddress("127.0.0.1", 0), 200, 2000, 300, 10_000, 1000, 100, 250);
     public static final RequestClass READ =
-        new RequestClass("read", 200, 3000, 1, 0.5, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false);
+            new RequestClass("read", 200, 3000, 1, 0.5, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false);
     public static final RequestClass ORDER =
-        new RequestClass("order", 1000, 3000, 1, 0.5, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false);
-    public static final RequestClass SAVE =
-        new RequestClass("save", 1000, 3000, 1, 0.5, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL, 800, false);
-    public static final RequestClass PUT =
-        new RequestClass("put", 1000, 3000, 1, 0.5, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL, 5000, false);
-    public static final BalancerSettings SITE = new BalancerSettings(1, 0, 0, 0, false, false, 0.1, 0,
-        List.of(READ, ORDER, SAVE, PUT), List.of(), new AttemptLimits(3, false, true, 2000, 200),
-        new EndpointRules(0.3, 8000, 3, 1000, 500, 10_000));
+            new RequestClass("order", 1000, 3000, 1, 0.5, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false);
+    public static final RequestClass SAVE = new RequestClass(
+            "save", 1000, 3000, 1, 0.5, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL, 800, false);
+    public static final RequestClass PUT = new RequestClass(
+            "put", 1000, 3000, 1, 0.5, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL, 5000, false);
+    public static final BalancerSettings SITE = new BalancerSettings(
+            1,
+            0,
+            0,
+            0,
+            false,
+            false,
+            0.1,
+            0,
+            List.of(READ, ORDER, SAVE, PUT),
+            List.of(),
+            new AttemptLimits(3, false, true, 2000, 200),
+            new EndpointRules(0.3, 8000, 3, 1000, 500, 10_000));
 
     final ManualTime time = new ManualTime();
     final ByteArrayOutputStream log = new ByteArrayOutputStream();
@@ -72,8 +82,7 @@
     void restart(Endpoint... servers) {
         tasks.clear();
         Complaints complaints = new Complaints(time, new PrintStream(log, true, StandardCharsets.UTF_8));
-        exchange = new Exchange(time, complaints, addresses, () -> { }, SITE, 7, list(true, servers),
-            Witness.NONE);
+        exchange = new Exchange(time, complaints, addresses, () -> {}, SITE, 7, list(true, servers), Witness.NONE);
         processor = new Processor(time, tasks::add, complaints, exchange, addresses, own, SITE);
     }
 
@@ -88,8 +97,10 @@
     public static ServerList list(boolean full, Endpoint... servers) {
         List<ServerList.Entry> entries = new ArrayList<>();
         for (Endpoint server : servers) {
-            entries.add(new ServerList.Entry(server, new InetSocketAddress("10.0.0.1",
-                1 + Integer.parseInt(server.id().substring(1)))));
+            entries.add(new ServerList.Entry(
+                    server,
+                    new InetSocketAddress(
+                            "10.0.0.1", 1 + Integer.parseInt(server.id().substring(1)))));
         }
         return new ServerList(1, full, entries);
     }
@@ -108,21 +119,26 @@
     // ---- messages ----
 
     public static HeaderValue value(String name, String value) {
-        return HeaderValue.newBuilder().setKey(name).setRawValue(ByteString.copyFromUtf8(value)).build();
+        return HeaderValue.newBuilder()
+                .setKey(name)
+                .setRawValue(ByteString.copyFromUtf8(value))
+                .build();
     }
 
     public static HeaderMap.Builder heads(String id, RequestClass kind, int attempt) {
         HeaderMap.Builder map = HeaderMap.newBuilder()
-            .addHeaders(value(":method", kind.idempotency() == Idempotency.IDEMPOTENT ? "GET" : "POST"))
-            .addHeaders(value(":path", "/api")).addHeaders(value("x-request-id", id))
-            .addHeaders(value("x-class", kind.name())).addHeaders(value("x-deadline-ms", "1000"));
-        return attempt == 0 ? map
-            : map.addHeaders(value("x-envoy-attempt-count", Integer.toString(attempt)));
+                .addHeaders(value(":method", kind.idempotency() == Idempotency.IDEMPOTENT ? "GET" : "POST"))
+                .addHeaders(value(":path", "/api"))
+                .addHeaders(value("x-request-id", id))
+                .addHeaders(value("x-class", kind.name()))
+                .addHeaders(value("x-deadline-ms", "1000"));
+        return attempt == 0 ? map : map.addHeaders(value("x-envoy-attempt-count", Integer.toString(attempt)));
     }
 
     public static ProcessingRequest request(HeaderMap.Builder heads) {
-        return ProcessingRequest.newBuilder().setRequestHeaders(HttpHeaders.newBuilder().setHeaders(heads))
-            .build();
+        return ProcessingRequest.newBuilder()
+                .setRequestHeaders(HttpHeaders.newBuilder().setHeaders(heads))
+                .build();
     }
 
     public static ProcessingRequest response(int status, int flags, String... more) {
@@ -131,10 +147,19 @@
             map.addHeaders(value(more[i], more[i + 1]));
         }
         ProcessingRequest.Builder made = ProcessingRequest.newBuilder()
-            .setResponseHeaders(HttpHeaders.newBuilder().setHeaders(map));
-        return flags == 0 ? made.build() : made.putAttributes("envoy.filters.http.ext_proc",
-            Struct.newBuilder().putFields("response.flags", Value.newBuilder().setNumberValue(flags).build())
-                .build()).build();
+                .setResponseHeaders(HttpHeaders.newBuilder().setHeaders(map));
+        return flags == 0
+                ? made.build()
+                : made.putAttributes(
+                                "envoy.filters.http.ext_proc",
+                                Struct.newBuilder()
+                                        .putFields(
+                                                "response.flags",
+                                                Value.newBuilder()
+                                                        .setNumberValue(flags)
+                                                        .build())
+                                        .build())
+                        .build();
     }
 
     public static final int TIMED_OUT = 1 << 2;
@@ -181,22 +206,27 @@
 
         /** The status of the immediate response that ended it, or 0. */
         int status() {
-            return told.isEmpty() ? 0 : last().getImmediateResponse().getStatus().getCodeValue();
+            return told.isEmpty()
+                    ? 0
+                    : last().getImmediateResponse().getStatus().getCodeValue();
         }
 
         /** The endpoint that it was told, or null. */
         String endpoint() {
-            return told.isEmpty() ? null
-                : header(told.get(0).getRequestHeaders().getResponse().getHeaderMutation(),
-                    "x-gateway-destination-endpoint");
+            return told.isEmpty()
+                    ? null
+                    : header(
+                            told.get(0).getRequestHeaders().getResponse().getHeaderMutation(),
+                            "x-gateway-destination-endpoint");
         }
 
         /** A header of the last message. */
         String header(String name) {
             HeaderMutation mutation = last().hasImmediateResponse()
-                ? last().getImmediateResponse().getHeaders()
-                : last().hasRequestHeaders() ? last().getRequestHeaders().getResponse().getHeaderMutation()
-                : last().getResponseHeaders().getResponse().getHeaderMutation();
+                    ? last().getImmediateResponse().getHeaders()
+                    : last().hasRequestHeaders()
+                            ? last().getRequestHeaders().getResponse().getHeaderMutation()
+                            : last().getResponseHeaders().getResponse().getHeaderMutation();
             return header(mutation, name);
         }
 
--- a/extproc/src/test/java/martenlatch/front/extproc/ExtProcSettingsTest.java
+++ b/extproc/src/test/java/martenlatch/front/extproc/ExtProcSettingsTest.java
@@ -23,8 +23,10 @@
         String text = Files.readString(SHIPPED);
         String changed = text.replaceFirst("(?m)^" + from + ".*$", to);
         Path file = Files.writeString(folder.resolve("x.toml"), changed);
-        return assertThrows(IllegalArgumentException.class,
-            () -> ExtProcSettings.read(file).checkedWith(Desk.SITE)).getMessage();
+        return assertThrows(
+                        IllegalArgumentException.class,
+                        () -> ExtProcSettings.read(file).checkedWith(Desk.SITE))
+                .getMessage();
     }
 
     @Test
@@ -36,32 +38,39 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "listen|listen = \"everywhere\"|field listen is not usable: everywhere",
-        "listen||field listen is missing",
-        "max-streams|max-streams = 0|field max-streams is not usable: 0; it must be a whole number from 1 to "
-            + "100000",
-        "max-streams|max-streams = 1.5|field max-streams is not usable: 1.5; it must be a whole number "
-            + "from 1 to 100000",
-        "silence-ms||field silence-ms is missing",
-        "remember-ms|remember-ms = 2999|field remember-ms is not usable: 2999; it must be at least the "
-            + "longest deadline of a class, 3000",
-        "max-streams|max-streems = 5|field max-streems is unknown; there are [listen, max-streams, "
-            + "next-consultation-ms, proxy, remember-most, remember-ms, silence-ms]",
-        "connect-timeout-ms|connect-timeout-ms = 351|field proxy.message-timeout-ms is not usable: 100; with "
-            + "proxy.connect-timeout-ms (351) and 50 for a busy machine it must stay within the drain's "
-            + "grace of 500"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "listen|listen = \"everywhere\"|field listen is not usable: everywhere",
+                "listen||field listen is missing",
+                "max-streams|max-streams = 0|field max-streams is not usable: 0; it must be a whole number from 1 to "
+                        + "100000",
+                "max-streams|max-streams = 1.5|field max-streams is not usable: 1.5; it must be a whole number "
+                        + "from 1 to 100000",
+                "silence-ms||field silence-ms is missing",
+                "remember-ms|remember-ms = 2999|field remember-ms is not usable: 2999; it must be at least the "
+                        + "longest deadline of a class, 3000",
+                "max-streams|max-streems = 5|field max-streems is unknown; there are [listen, max-streams, "
+                        + "next-consultation-ms, proxy, remember-most, remember-ms, silence-ms]",
+                "connect-timeout-ms|connect-timeout-ms = 351|field proxy.message-timeout-ms is not usable: 100; with "
+                        + "proxy.connect-timeout-ms (351) and 50 for a busy machine it must stay within the drain's "
+                        + "grace of 500"
+            })
     void badFieldsAreNamed(String from, String to, String expected) throws IOException {
         assertEquals(expected, refused(from, to == null ? "" : to));
     }
 
     @Test
     void aFileThatIsNoneIsNamed() throws IOException {
-        assertEquals("the settings file is not there: /nowhere.toml",
-            assertThrows(IllegalArgumentException.class, () -> ExtProcSettings.read(Path.of("/nowhere.toml")))
-                .getMessage());
+        assertEquals(
+                "the settings file is not there: /nowhere.toml",
+                assertThrows(IllegalArgumentException.class, () -> ExtProcSettings.read(Path.of("/nowhere.toml")))
+                        .getMessage());
         Path file = Files.writeString(folder.resolve("y.toml"), "= 1");
-        assertEquals(true, assertThrows(IllegalArgumentException.class, () -> ExtProcSettings.read(file))
-            .getMessage().contains("is not TOML"));
+        assertEquals(
+                true,
+                assertThrows(IllegalArgumentException.class, () -> ExtProcSettings.read(file))
+                        .getMessage()
+                        .contains("is not TOML"));
     }
 }
--- a/extproc/src/test/java/martenlatch/front/extproc/ManualTime.java
+++ b/extproc/src/test/java/martenlatch/front/extproc/ManualTime.java
@@ -7,13 +7,13 @@
 /** A clock that a test moves. All of it happens on one thread, which is the test's to choose. */
 public final class ManualTime implements Time {
 
-    private record Due(double at, long number, Runnable task) {
-    }
+    private record Due(double at, long number, Runnable task) {}
 
     private final PriorityQueue<Due> due =
-        new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::number));
+            new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::number));
     /** Small, so that a double tells times apart that are drawn at random. */
     private double now = 1_000_000;
+
     private long numbers;
 
     @Override
--- a/extproc/src/test/java/martenlatch/front/extproc/ProcessorTest.java
+++ b/extproc/src/test/java/martenlatch/front/extproc/ProcessorTest.java
@@ -43,8 +43,13 @@
         streams.forEach(Desk.Stream::breakOff);
         desk.settle();
         desk.time.advance(60_000);
-        assertEquals(List.of(0, 0, 0, 0), List.of(desk.processor.openStreams(), desk.processor.pendingCalls(),
-            desk.exchange.openRequests(), desk.processor.remembered()));
+        assertEquals(
+                List.of(0, 0, 0, 0),
+                List.of(
+                        desk.processor.openStreams(),
+                        desk.processor.pendingCalls(),
+                        desk.exchange.openRequests(),
+                        desk.processor.remembered()));
         assertEquals(0, desk.time.waiting());
     }
 
@@ -56,8 +61,14 @@
         assertTrue(stream.endpoint().matches("10\\.0\\.0\\.1:[123]"), stream.endpoint());
         assertEquals("1000", stream.header("x-deadline-ms"));
         assertEquals("1000", stream.header("x-envoy-upstream-rq-timeout-ms"));
-        assertEquals(stream.endpoint(), stream.last().getDynamicMetadata().getFieldsOrThrow("envoy.lb")
-            .getStructValue().getFieldsOrThrow("x-gateway-destination-endpoint").getStringValue());
+        assertEquals(
+                stream.endpoint(),
+                stream.last()
+                        .getDynamicMetadata()
+                        .getFieldsOrThrow("envoy.lb")
+                        .getStructValue()
+                        .getFieldsOrThrow("x-gateway-destination-endpoint")
+                        .getStringValue());
         stream.say(Desk.response(200, 0));
         assertTrue(stream.isPassedOn());
         assertEquals(1, stream.ends);
@@ -103,7 +114,9 @@
 
     @Test
     void aTimeOutOfTheProxysIsAGatewayTimeOut() {
-        assertEquals(504, consult("r", ORDER, 1).say(Desk.response(504, Desk.TIMED_OUT)).status());
+        assertEquals(
+                504,
+                consult("r", ORDER, 1).say(Desk.response(504, Desk.TIMED_OUT)).status());
     }
 
     @Test
@@ -310,8 +323,10 @@
     void anOfferToAnEndpointThatDrainsSinceGoesElsewhere() {
         consult("r", ORDER, 1).say(Desk.response(503, Desk.NOT_CONNECTED));
         // Where the offer goes nobody but the module knows: all that it may be drain.
-        desk.change(Desk.server(0, EndpointStatus.DRAINING), Desk.server(1, EndpointStatus.DRAINING),
-            Desk.server(2, EndpointStatus.DRAINING));
+        desk.change(
+                Desk.server(0, EndpointStatus.DRAINING),
+                Desk.server(1, EndpointStatus.DRAINING),
+                Desk.server(2, EndpointStatus.DRAINING));
         assertEquals(503, consult("r", ORDER, 2).status());
         assertEquals(0, desk.processor.pendingCalls());
     }
@@ -369,12 +384,18 @@
     // ---- hard case 8: what is no consultation ----
 
     @ParameterizedTest
-    @CsvSource({"x-request-id,'',400", "x-class,nope,400", "x-deadline-ms,soon,400", ":method,PUT,405",
-        "x-envoy-attempt-count,-1,400"})
+    @CsvSource({
+        "x-request-id,'',400",
+        "x-class,nope,400",
+        "x-deadline-ms,soon,400",
+        ":method,PUT,405",
+        "x-envoy-attempt-count,-1,400"
+    })
     void badHeadsAreAnsweredAtOnce(String name, String value, int status) {
         HeaderMap.Builder heads = HeaderMap.newBuilder().addHeaders(Desk.value(name, value));
         Desk.heads("r", ORDER, 0).getHeadersList().stream()
-            .filter(header -> !header.getKey().equals(name)).forEach(heads::addHeaders);
+                .filter(header -> !header.getKey().equals(name))
+                .forEach(heads::addHeaders);
         Desk.Stream stream = desk.open().say(Desk.request(heads));
         desk.settle();
         assertEquals(status, stream.status());
@@ -389,8 +410,8 @@
 
     @Test
     void aHeaderOfTwoValuesIsNotReadInOneWay() {
-        Desk.Stream stream = desk.open().say(Desk.request(Desk.heads("r", ORDER, 1)
-            .addHeaders(Desk.value("X-Request-Id", "other"))));
+        Desk.Stream stream = desk.open()
+                .say(Desk.request(Desk.heads("r", ORDER, 1).addHeaders(Desk.value("X-Request-Id", "other"))));
         desk.settle();
         assertEquals(400, stream.status());
     }
@@ -398,16 +419,30 @@
     @Test
     void messagesOutOfOrderEndTheStreamAndNothingElse() {
         Desk.Stream other = consult("other", ORDER, 1);
-        assertEquals(Status.Code.INVALID_ARGUMENT,
-            desk.open().say(Desk.response(200, 0)).error.getCode());
+        assertEquals(
+                Status.Code.INVALID_ARGUMENT,
+                desk.open().say(Desk.response(200, 0)).error.getCode());
         Desk.Stream twice = consult("r", READ, 1).say(Desk.request(Desk.heads("r", READ, 1)));
         assertEquals(Status.Code.INVALID_ARGUMENT, twice.error.getCode());
-        assertEquals(Status.Code.INVALID_ARGUMENT, desk.open().say(ProcessingRequest.newBuilder()
-            .setRequestBody(HttpBody.getDefaultInstance()).build()).error.getCode());
-        assertEquals(Status.Code.INVALID_ARGUMENT,
-            desk.open().say(ProcessingRequest.getDefaultInstance()).error.getCode());
-        assertEquals(Status.Code.FAILED_PRECONDITION, desk.open().say(Desk.request(
-            Desk.heads("o", READ, 1)).toBuilder().setObservabilityMode(true).build()).error.getCode());
+        assertEquals(
+                Status.Code.INVALID_ARGUMENT,
+                desk.open()
+                        .say(ProcessingRequest.newBuilder()
+                                .setRequestBody(HttpBody.getDefaultInstance())
+                                .build())
+                        .error
+                        .getCode());
+        assertEquals(
+                Status.Code.INVALID_ARGUMENT,
+                desk.open().say(ProcessingRequest.getDefaultInstance()).error.getCode());
+        assertEquals(
+                Status.Code.FAILED_PRECONDITION,
+                desk.open()
+                        .say(Desk.request(Desk.heads("o", READ, 1)).toBuilder()
+                                .setObservabilityMode(true)
+                                .build())
+                        .error
+                        .getCode());
         assertTrue(other.say(Desk.response(200, 0)).isPassedOn());
     }
 
--- a/extproc/src/test/java/martenlatch/front/extproc/ProxyOutcomeTest.java
+++ b/extproc/src/test/java/martenlatch/front/extproc/ProxyOutcomeTest.java
@@ -11,15 +11,36 @@
 class ProxyOutcomeTest {
 
     @ParameterizedTest
-    @CsvSource({"200,false,-,OK", "201,false,-,FAILED", "500,false,-,FAILED", "503,false,-,FAILED",
-        "503,true,-,QUEUE_FULL", "504,true,-,QUEUE_FULL", "500,true,-,FAILED", "404,false,-,IGNORED",
-        "429,false,-,FAILED", "429,true,-,FAILED",
-        "0,false,-,FAILED", "302,false,-,FAILED",
-        "503,false,UF,CONNECT_ERROR", "503,false,UO,CONNECT_ERROR", "503,false,UH,CONNECT_ERROR",
-        "404,false,NR,CONNECT_ERROR", "503,false,NC,CONNECT_ERROR", "503,false,'UF,UO',CONNECT_ERROR",
-        "503,false,UC,RESET", "503,false,LR,RESET", "503,false,'UF,UC',RESET", "503,false,'UF,URX',RESET",
-        "504,false,UT,TIMED_OUT", "504,false,DT,TIMED_OUT", "504,false,'UT,UF',RESET",
-        "0,false,DC,CANCELED", "503,true,UC,RESET", "503,false,something new,RESET"})
+    @CsvSource({
+        "200,false,-,OK",
+        "201,false,-,FAILED",
+        "500,false,-,FAILED",
+        "503,false,-,FAILED",
+        "503,true,-,QUEUE_FULL",
+        "504,true,-,QUEUE_FULL",
+        "500,true,-,FAILED",
+        "404,false,-,IGNORED",
+        "429,false,-,FAILED",
+        "429,true,-,FAILED",
+        "0,false,-,FAILED",
+        "302,false,-,FAILED",
+        "503,false,UF,CONNECT_ERROR",
+        "503,false,UO,CONNECT_ERROR",
+        "503,false,UH,CONNECT_ERROR",
+        "404,false,NR,CONNECT_ERROR",
+        "503,false,NC,CONNECT_ERROR",
+        "503,false,'UF,UO',CONNECT_ERROR",
+        "503,false,UC,RESET",
+        "503,false,LR,RESET",
+        "503,false,'UF,UC',RESET",
+        "503,false,'UF,URX',RESET",
+        "504,false,UT,TIMED_OUT",
+        "504,false,DT,TIMED_OUT",
+        "504,false,'UT,UF',RESET",
+        "0,false,DC,CANCELED",
+        "503,true,UC,RESET",
+        "503,false,something new,RESET"
+    })
     void byWords(int status, boolean notRun, String flags, AttemptOutcome expected) {
         assertEquals(expected, ProxyOutcome.of(status, notRun, ProxyOutcome.flags(flags)));
     }
--- a/extproc/src/test/java/martenlatch/front/extproc/RandomConsultationsTest.java
+++ b/extproc/src/test/java/martenlatch/front/extproc/RandomConsultationsTest.java
@@ -40,8 +40,7 @@
     }
 
     /** A decision that a proxy has and has not carried out. */
-    private record Held(Asked asked, Desk.Stream stream, String endpoint, double until) {
-    }
+    private record Held(Asked asked, Desk.Stream stream, String endpoint, double until) {}
 
     @Test
     void theRulesHold() {
@@ -56,8 +55,18 @@
             one.seen.forEach((what, count) -> all.merge(what, count, Integer::sum));
         }
         // The sequences must have come by all that they are about.
-        for (String what : List.of("decided", "status 409", "status 500", "status 503", "status 504",
-                "passed", "retriable", "ran", "restart", "late decision", "broken")) {
+        for (String what : List.of(
+                "decided",
+                "status 409",
+                "status 500",
+                "status 503",
+                "status 504",
+                "passed",
+                "retriable",
+                "ran",
+                "restart",
+                "late decision",
+                "broken")) {
             assertTrue(all.getOrDefault(what, 0) > 100, what + ": " + all);
         }
     }
@@ -71,6 +80,7 @@
         private final List<Held> held = new ArrayList<>();
         /** What was sent, and what came of it is not told yet. */
         private final List<Held> sent = new ArrayList<>();
+
         private final Map<String, Integer> seen = new HashMap<>();
         private String doing = "";
 
@@ -187,8 +197,9 @@
                 if (asked.kind.deduplicationScope() == DeduplicationScope.CELL) {
                     assertEquals(1, asked.ranAt.stream().distinct().count(), "a cell each: " + asked.ranAt);
                 }
-                assertTrue(desk.time.now() - asked.ranWhen.get(0) <= asked.kind.deduplicationWindowMs() + 350,
-                    asked.id + " at " + asked.ranWhen);
+                assertTrue(
+                        desk.time.now() - asked.ranWhen.get(0) <= asked.kind.deduplicationWindowMs() + 350,
+                        asked.id + " at " + asked.ranWhen);
             }
             sent.add(one);
         }
@@ -205,15 +216,17 @@
             if (stream.isCancelled() || stream.ends > 0) {
                 return;
             }
-            stream.say(!ran ? Desk.response(503, Desk.NOT_CONNECTED) : switch (random.nextInt(5)) {
-                case 0 -> Desk.response(500, 0);
-                case 1 -> Desk.response(503, Desk.BROKEN);
-                case 2 -> Desk.response(504, Desk.TIMED_OUT);
-                default -> Desk.response(200, 0);
-            });
+            stream.say(
+                    !ran
+                            ? Desk.response(503, Desk.NOT_CONNECTED)
+                            : switch (random.nextInt(5)) {
+                                case 0 -> Desk.response(500, 0);
+                                case 1 -> Desk.response(503, Desk.BROKEN);
+                                case 2 -> Desk.response(504, Desk.TIMED_OUT);
+                                default -> Desk.response(200, 0);
+                            });
             if (stream.error == null) {
-                note(stream.isPassedOn() ? "passed" : stream.status() > 0 ? "status " + stream.status()
-                    : "retriable");
+                note(stream.isPassedOn() ? "passed" : stream.status() > 0 ? "status " + stream.status() : "retriable");
             }
             assertEquals(1, stream.ends);
         }
@@ -221,7 +234,8 @@
         private void breakOff() {
             if (!streams.isEmpty()) {
                 note("broken");
-                streams.get(streams.size() - 1 - random.nextInt(Math.min(5, streams.size()))).breakOff();
+                streams.get(streams.size() - 1 - random.nextInt(Math.min(5, streams.size())))
+                        .breakOff();
             }
         }
 
@@ -237,12 +251,19 @@
             desk.settle();
             streams.forEach(Desk.Stream::breakOff);
             for (Desk.Stream stream : streams) {
-                assertEquals(stream.isCancelled() ? 0 : 1, stream.ends,
-                    "ended " + stream.ends + " times, broken off: " + stream.isCancelled());
+                assertEquals(
+                        stream.isCancelled() ? 0 : 1,
+                        stream.ends,
+                        "ended " + stream.ends + " times, broken off: " + stream.isCancelled());
             }
             desk.time.advance(30_000);
-            assertEquals(List.of(0, 0, 0, 0), List.of(desk.processor.openStreams(),
-                desk.processor.pendingCalls(), desk.exchange.openRequests(), desk.processor.remembered()));
+            assertEquals(
+                    List.of(0, 0, 0, 0),
+                    List.of(
+                            desk.processor.openStreams(),
+                            desk.processor.pendingCalls(),
+                            desk.exchange.openRequests(),
+                            desk.processor.remembered()));
             assertEquals(0, desk.time.waiting());
         }
     }
--- a/extproc/src/test/java/martenlatch/front/extproc/SilentStreamsTest.java
+++ b/extproc/src/test/java/martenlatch/front/extproc/SilentStreamsTest.java
@@ -80,8 +80,8 @@
         Map<Integer, SilentStreams.Place> places = new HashMap<>();
         for (int step = 0; step < 20_000; step++) {
             int one = random.nextInt(50);
-            places.computeIfAbsent(one, n -> new SilentStreams.Place(() ->
-                assertEquals(due.remove(n), time.now(), 1e-6)));
+            places.computeIfAbsent(
+                    one, n -> new SilentStreams.Place(() -> assertEquals(due.remove(n), time.now(), 1e-6)));
             if (random.nextInt(3) == 0) {
                 streams.forget(places.get(one));
                 due.remove(one);
--- a/fleet/src/main/java/martenlatch/fleet/cli/CostCommand.java
+++ b/fleet/src/main/java/martenlatch/fleet/cli/CostCommand.java
@@ -11,12 +11,15 @@
 import picocli.CommandLine.Option;
 
 /** Measures what a relay adds. */
-@Command(name = "cost", mixinStandardHelpOptions = true,
-    description = "Measures what a relay adds to a request's time.")
+@Command(
+        name = "cost",
+        mixinStandardHelpOptions = true,
+        description = "Measures what a relay adds to a request's time.")
 final class CostCommand implements Callable<Integer> {
 
     @Option(names = "--rate", defaultValue = "1000", description = "requests a second (${DEFAULT-VALUE})")
     private double rate;
+
     @Option(names = "--seconds", defaultValue = "10", description = "how long each way (${DEFAULT-VALUE})")
     private double seconds;
 
@@ -30,9 +33,13 @@
 
     private static void line(String way, LoadReport report) {
         Histogram times = report.all().served();
-        System.out.printf(Locale.ROOT, "%-9s served %d, p50 %.3f ms, p99 %.3f ms; %s%n", way,
-            times.getTotalCount(),
-            times.getValueAtPercentile(50) / 1000.0, times.getValueAtPercentile(99) / 1000.0,
-            report.verdict());
+        System.out.printf(
+                Locale.ROOT,
+                "%-9s served %d, p50 %.3f ms, p99 %.3f ms; %s%n",
+                way,
+                times.getTotalCount(),
+                times.getValueAtPercentile(50) / 1000.0,
+                times.getValueAtPercentile(99) / 1000.0,
+                report.verdict());
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/cli/TableCommand.java
+++ b/fleet/src/main/java/martenlatch/fleet/cli/TableCommand.java
@@ -18,31 +18,40 @@
 import picocli.CommandLine.Option;
 
 /** Plays all scenarios at several sizes, with processes and in simulated time, and prints one table. */
-@Command(name = "table", mixinStandardHelpOptions = true,
-    description = "Plays every scenario at several sizes and prints one table (Markdown). Endpoints and rate "
-        + "grow with the number of sidecars.")
+@Command(
+        name = "table",
+        mixinStandardHelpOptions = true,
+        description = "Plays every scenario at several sizes and prints one table (Markdown). Endpoints and rate "
+                + "grow with the number of sidecars.")
 final class TableCommand implements Callable<Integer> {
 
     private static final int TRIES = 3;
     /** As the scenarios that come with the program have it for their six sidecars. */
     private static final int OWN_SIDECARS = 6;
+
     private static final int ENDPOINTS_EACH = 2;
     private static final double RATE_EACH = 25;
 
     @Option(names = "--processes", split = ",", paramLabel = "N", description = "sizes with real processes")
     private List<Integer> processes = List.of();
+
     @Option(names = "--simulated", split = ",", paramLabel = "N", description = "sizes in simulated time")
     private List<Integer> simulated = List.of();
+
     @Option(names = "--scenarios", split = ",", paramLabel = "NAME", description = "only these")
     private List<String> scenarios;
-    @Option(names = "--root", paramLabel = "FOLDER", defaultValue = ".",
-        description = "the checkout (${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--root",
+            paramLabel = "FOLDER",
+            defaultValue = ".",
+            description = "the checkout (${DEFAULT-VALUE})")
     private Path root;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         System.out.println("| scenario | sidecars | requests | served | refused | failed | no answer "
-            + "| attempts/request | back after | broken |");
+                + "| attempts/request | back after | broken |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         for (String name : scenarios == null ? Main.names() : scenarios) {
             for (int size : processes) {
@@ -72,10 +81,13 @@
     private Verdict played(Scenario scenario) throws IOException, InterruptedException {
         Verdict verdict = null;
         for (int i = 0; i < TRIES && (verdict == null || verdict.outcome() == Verdict.Outcome.VOID); i++) {
-            try (FleetRun run = new FleetRun(scenario, DeployFile.read(root.toAbsolutePath().normalize()),
+            try (FleetRun run = new FleetRun(
+                    scenario,
+                    DeployFile.read(root.toAbsolutePath().normalize()),
                     Path.of(System.getProperty("java.io.tmpdir")))) {
-                run.play(second -> { });
-                verdict = Verdict.of(new Record(scenario, run.history().events(), run.history().missing()));
+                run.play(second -> {});
+                verdict = Verdict.of(new Record(
+                        scenario, run.history().events(), run.history().missing()));
             }
         }
         return verdict;
@@ -85,11 +97,22 @@
         Figures of = verdict.figures();
         Map<String, Integer> broken = new TreeMap<>();
         verdict.findings().forEach(one -> broken.merge(one.judge(), 1, Integer::sum));
-        System.out.printf(Locale.ROOT, "| %s | %s | %d | %.4f | %d | %d | %d | %.3f | %s | %s |%n", name,
-            size, of.asked(), of.servedShare(), of.refused(), of.failed(), of.timedOut() + of.notSent(),
-            of.amplification(),
-            Double.isNaN(of.recoveryMs()) ? "" : Double.isInfinite(of.recoveryMs()) ? "never"
-                : String.format(Locale.ROOT, "%.2f s", of.recoveryMs() / 1000),
-            verdict.outcome() == Verdict.Outcome.VOID ? "void" : broken.isEmpty() ? "" : broken.toString());
+        System.out.printf(
+                Locale.ROOT,
+                "| %s | %s | %d | %.4f | %d | %d | %d | %.3f | %s | %s |%n",
+                name,
+                size,
+                of.asked(),
+                of.servedShare(),
+                of.refused(),
+                of.failed(),
+                of.timedOut() + of.notSent(),
+                of.amplification(),
+                Double.isNaN(of.recoveryMs())
+                        ? ""
+                        : Double.isInfinite(of.recoveryMs())
+                                ? "never"
+                                : String.format(Locale.ROOT, "%.2f s", of.recoveryMs() / 1000),
+                verdict.outcome() == Verdict.Outcome.VOID ? "void" : broken.isEmpty() ? "" : broken.toString());
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/explore/Shrink.java
+++ b/fleet/src/main/java/martenlatch/fleet/explore/Shrink.java
@@ -10,8 +10,7 @@
  */
 public final class Shrink {
 
-    private Shrink() {
-    }
+    private Shrink() {}
 
     /** The entries that matter, in their order; {@code fails} must hold of all of them together. */
     public static <T> List<T> of(List<T> all, Predicate<List<T>> fails) {
--- a/fleet/src/main/java/martenlatch/fleet/history/Event.java
+++ b/fleet/src/main/java/martenlatch/fleet/history/Event.java
@@ -41,7 +41,8 @@
         /** A line of a process's log. */
         LOG,
         /** A fault begins, and is over; who is its place in the plan, whom is what it hits. */
-        FAULT_BEGINS, FAULT_ENDS,
+        FAULT_BEGINS,
+        FAULT_ENDS,
         /** The rig itself was late, or could not do what it was to do; the detail says what. */
         RIG
     }
--- a/fleet/src/main/java/martenlatch/fleet/history/History.java
+++ b/fleet/src/main/java/martenlatch/fleet/history/History.java
@@ -38,8 +38,8 @@
     public synchronized void startAt(long nanos) {
         double shift = (start - nanos) / NANOS_IN_MS;
         start = nanos;
-        events.replaceAll(one -> new Event(one.atMs() + shift, one.what(), one.who(), one.whom(), one.id(),
-            one.detail()));
+        events.replaceAll(
+                one -> new Event(one.atMs() + shift, one.what(), one.who(), one.whom(), one.id(), one.detail()));
     }
 
     /** Milliseconds since the start. */
--- a/fleet/src/main/java/martenlatch/fleet/judge/ColdJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/ColdJudge.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import martenlatch.fleet.history.Event.What;
 import martenlatch.fleet.history.Event;
+import martenlatch.fleet.history.Event.What;
 import martenlatch.world.WorldSettings;
 
 /**
@@ -28,8 +28,11 @@
     @Override
     public List<Finding> judge(Record run) {
         WorldSettings world = run.scenario().world();
-        double expected = Rules.TIP_MULTIPLE * Rules.FALL_MS * world.slots()
-            / Math.max(0.001, world.service().meanMs()) / world.coldFactor();
+        double expected = Rules.TIP_MULTIPLE
+                * Rules.FALL_MS
+                * world.slots()
+                / Math.max(0.001, world.service().meanMs())
+                / world.coldFactor();
         double most = expected + CHANCE * Math.sqrt(expected);
         List<Finding> found = new ArrayList<>();
         Map<String, List<Event>> byEndpoint = new HashMap<>();
@@ -50,9 +53,17 @@
                     window.poll();
                 }
                 if (window.size() > most) {
-                    found.add(new Finding(name(), event.id(), event.atMs(), String.format(Locale.ROOT,
-                        "%s had %d requests within %.0f ms while cold, at most %.0f", up.who(), window.size(),
-                        Rules.FALL_MS, most)));
+                    found.add(new Finding(
+                            name(),
+                            event.id(),
+                            event.atMs(),
+                            String.format(
+                                    Locale.ROOT,
+                                    "%s had %d requests within %.0f ms while cold, at most %.0f",
+                                    up.who(),
+                                    window.size(),
+                                    Rules.FALL_MS,
+                                    most)));
                     break;
                 }
             }
--- a/fleet/src/main/java/martenlatch/fleet/judge/CrashJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/CrashJudge.java
@@ -13,8 +13,13 @@
 
     @Override
     public List<Finding> judge(Record run) {
-        return run.all(What.PROCESS).stream().filter(event -> event.detail().startsWith("died"))
-            .map(event -> new Finding(name(), "", event.atMs(), event.who() + " ended with status "
-                + event.detail().substring("died ".length()))).toList();
+        return run.all(What.PROCESS).stream()
+                .filter(event -> event.detail().startsWith("died"))
+                .map(event -> new Finding(
+                        name(),
+                        "",
+                        event.atMs(),
+                        event.who() + " ended with status " + event.detail().substring("died ".length())))
+                .toList();
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/judge/DrainJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/DrainJudge.java
@@ -44,22 +44,38 @@
             } else if (event.what() == Event.What.TOLD && event.detail().equals("in_service")) {
                 told.remove(pair);
             } else if (event.what() == Event.What.TOLD) {
-                double arrived = Math.min(event.atMs() + Rules.TOLD_WITHIN_MS,
-                    run.arrivesBy(event.who(), "discovery", event.atMs()));
+                double arrived = Math.min(
+                        event.atMs() + Rules.TOLD_WITHIN_MS, run.arrivesBy(event.who(), "discovery", event.atMs()));
                 told.putIfAbsent(pair, run.backAt(event.who(), arrived));
-            } else if (event.what() == Event.What.SENT && told.containsKey(pair)
+            } else if (event.what() == Event.What.SENT
+                    && told.containsKey(pair)
                     && event.atMs() > told.get(pair) + grace) {
-                found.add(new Finding(name(), event.id(), event.atMs(), String.format(Locale.ROOT,
-                    "%s sent it to %s %.0f ms after it was told", event.who(), event.whom(),
-                    event.atMs() - told.get(pair))));
-            } else if (event.what() == Event.What.SENT && leaving.containsKey(event.whom())
+                found.add(new Finding(
+                        name(),
+                        event.id(),
+                        event.atMs(),
+                        String.format(
+                                Locale.ROOT,
+                                "%s sent it to %s %.0f ms after it was told",
+                                event.who(),
+                                event.whom(),
+                                event.atMs() - told.get(pair))));
+            } else if (event.what() == Event.What.SENT
+                    && leaving.containsKey(event.whom())
                     && !told.containsKey(pair)) {
                 double since = Math.max(leaving.get(event.whom()), serving.getOrDefault(event.who(), 0.0));
                 double heard = run.backAt(event.who(), due(run, event.who(), since));
                 if (event.atMs() > heard + grace) {
-                    found.add(new Finding(name(), event.id(), event.atMs(), String.format(Locale.ROOT,
-                        "%s sent it to %s %.0f ms after it would have heard, had it asked", event.who(),
-                        event.whom(), event.atMs() - heard)));
+                    found.add(new Finding(
+                            name(),
+                            event.id(),
+                            event.atMs(),
+                            String.format(
+                                    Locale.ROOT,
+                                    "%s sent it to %s %.0f ms after it would have heard, had it asked",
+                                    event.who(),
+                                    event.whom(),
+                                    event.atMs() - heard)));
                 }
             }
         }
--- a/fleet/src/main/java/martenlatch/fleet/judge/Figures.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/Figures.java
@@ -17,8 +17,18 @@
  * first; NaN
  *     where there was no fault, infinite where it did not come back
  */
-public record Figures(int asked, int served, int refused, int failed, int timedOut, int notSent, int sent,
-    int crossed, int listCalls, int listRefusals, double recoveryMs) {
+public record Figures(
+        int asked,
+        int served,
+        int refused,
+        int failed,
+        int timedOut,
+        int notSent,
+        int sent,
+        int crossed,
+        int listCalls,
+        int listRefusals,
+        double recoveryMs) {
 
     private static final double WARM_MS = 1000;
     private static final double WINDOW_MS = 1000;
@@ -36,17 +46,32 @@
             counts[0]++;
             String end = one.end();
             boolean served = end.startsWith("SERVED");
-            counts[served ? 1 : end.startsWith("REFUSED") ? 2 : end.startsWith("FAILED") ? 3
-                : end.startsWith("NOT_SENT") ? 5 : 4]++;
+            counts[
+                    served
+                            ? 1
+                            : end.startsWith("REFUSED")
+                                    ? 2
+                                    : end.startsWith("FAILED") ? 3 : end.startsWith("NOT_SENT") ? 5 : 4]++;
             counts[6] += one.sent().size();
             counts[7] += LostJudge.isCrossed(run, one) ? 1 : 0;
             ends.add(new double[] {one.askedAt(), served ? 1 : 0});
         }
         List<Event> calls = run.all(Event.What.LIST_CALL);
         ends.sort(Comparator.comparingDouble(one -> one[0]));
-        return new Figures(counts[0], counts[1], counts[2], counts[3], counts[4], counts[5], counts[6],
-            counts[7], calls.size(), (int) calls.stream().filter(one ->
-                one.detail().equals("refused")).count(), recovery(run, ends));
+        return new Figures(
+                counts[0],
+                counts[1],
+                counts[2],
+                counts[3],
+                counts[4],
+                counts[5],
+                counts[6],
+                counts[7],
+                calls.size(),
+                (int) calls.stream()
+                        .filter(one -> one.detail().equals("refused"))
+                        .count(),
+                recovery(run, ends));
     }
 
     /** The share of what clients wanted that was served. */
@@ -65,9 +90,10 @@
             return Double.NaN;
         }
         double first = faults.stream().mapToDouble(Fault::atMs).min().orElse(0);
-        double over = faults.stream().mapToDouble(f -> Double.isInfinite(f.forMs()) ? f.atMs()
-            : f.endMs()).max()
-            .orElse(0);
+        double over = faults.stream()
+                .mapToDouble(f -> Double.isInfinite(f.forMs()) ? f.atMs() : f.endMs())
+                .max()
+                .orElse(0);
         double before = share(ends, Math.min(WARM_MS, first / 2), first);
         double last = run.scenario().seconds() * 1000 - WINDOW_MS;
         double recovered = over;
@@ -80,8 +106,10 @@
     }
 
     private static double share(List<double[]> ends, double from, double to) {
-        double[] of = ends.stream().filter(one -> one[0] >= from && one[0] < to).mapToDouble(one ->
-            one[1]).toArray();
+        double[] of = ends.stream()
+                .filter(one -> one[0] >= from && one[0] < to)
+                .mapToDouble(one -> one[1])
+                .toArray();
         double sum = 0;
         for (double one : of) {
             sum += one;
--- a/fleet/src/main/java/martenlatch/fleet/judge/Finding.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/Finding.java
@@ -7,5 +7,4 @@
  * @param id the request's, or empty
  * @param atMs when, since the run's start
  */
-public record Finding(String judge, String id, double atMs, String what) {
-}
+public record Finding(String judge, String id, double atMs, String what) {}
--- a/fleet/src/main/java/martenlatch/fleet/judge/LostJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/LostJudge.java
@@ -19,8 +19,7 @@
     public List<Finding> judge(Record run) {
         List<Finding> found = new ArrayList<>();
         for (Record.Asked one : run.requests()) {
-            if (Double.isNaN(one.askedAt()) || isAnswered(one.end()) || neverTaken(one.end())
-                    || isCrossed(run, one)) {
+            if (Double.isNaN(one.askedAt()) || isAnswered(one.end()) || neverTaken(one.end()) || isCrossed(run, one)) {
                 continue;
             }
             double until = Double.isInfinite(one.endedAt()) ? one.deadlineAt() : one.endedAt();
@@ -28,9 +27,17 @@
                     || run.wasDisturbed("clients", one.sidecar(), one.askedAt(), until)) {
                 continue;
             }
-            found.add(new Finding(name(), one.id(), until, String.format(Locale.ROOT,
-                "%s took it at %.0f ms, to be answered by %.0f ms: %s", one.sidecar(), one.askedAt(),
-                one.deadlineAt(), one.end().isEmpty() ? "no end" : one.end())));
+            found.add(new Finding(
+                    name(),
+                    one.id(),
+                    until,
+                    String.format(
+                            Locale.ROOT,
+                            "%s took it at %.0f ms, to be answered by %.0f ms: %s",
+                            one.sidecar(),
+                            one.askedAt(),
+                            one.deadlineAt(),
+                            one.end().isEmpty() ? "no end" : one.end())));
         }
         return found;
     }
@@ -49,7 +56,8 @@
      * again by its client.
      */
     static boolean isCrossed(Record run, Record.Asked one) {
-        return one.sent().isEmpty() && (one.end().equals("FAILED closed") || one.end().equals("FAILED reset"))
-            && run.wasLeaving(one.sidecar(), one.askedAt(), one.endedAt());
+        return one.sent().isEmpty()
+                && (one.end().equals("FAILED closed") || one.end().equals("FAILED reset"))
+                && run.wasLeaving(one.sidecar(), one.askedAt(), one.endedAt());
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/judge/Record.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/Record.java
@@ -5,8 +5,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import martenlatch.fleet.history.Event.What;
 import martenlatch.fleet.history.Event;
+import martenlatch.fleet.history.Event.What;
 import martenlatch.fleet.scenario.Fault;
 import martenlatch.fleet.scenario.Scenario;
 
@@ -108,7 +108,8 @@
     public Record(Scenario scenario, List<Event> history, long missing) {
         this.scenario = scenario;
         this.missing = missing;
-        events = history.stream().sorted(Comparator.comparingDouble(Event::atMs)).toList();
+        events =
+                history.stream().sorted(Comparator.comparingDouble(Event::atMs)).toList();
         Map<String, Double> awaySince = new LinkedHashMap<>();
         Map<String, Double> leavingSince = new LinkedHashMap<>();
         for (Event event : events) {
@@ -131,22 +132,24 @@
                         leavingSince.put(event.who(), event.atMs());
                     } else if (event.detail().startsWith("ended") && leavingSince.containsKey(event.who())) {
                         leaving.computeIfAbsent(event.who(), k -> new ArrayList<>())
-                            .add(new Span(leavingSince.remove(event.who()), event.atMs()));
+                                .add(new Span(leavingSince.remove(event.who()), event.atMs()));
                     }
-                    boolean back = event.detail().equals("resumed") || event.detail().equals("serves");
+                    boolean back =
+                            event.detail().equals("resumed") || event.detail().equals("serves");
                     if (back && awaySince.containsKey(event.who())) {
                         away.computeIfAbsent(event.who(), k -> new ArrayList<>())
-                            .add(new Span(awaySince.remove(event.who()), event.atMs()));
-                    } else if (!back && !event.detail().equals("reloads")
-                        && !event.detail().equals("told to end")) {
+                                .add(new Span(awaySince.remove(event.who()), event.atMs()));
+                    } else if (!back
+                            && !event.detail().equals("reloads")
+                            && !event.detail().equals("told to end")) {
                         awaySince.putIfAbsent(event.who(), event.atMs());
                     }
                 }
-                default -> { }
+                default -> {}
             }
         }
-        awaySince.forEach((who, since) -> away.computeIfAbsent(who, k -> new ArrayList<>())
-            .add(new Span(since, Double.POSITIVE_INFINITY)));
+        awaySince.forEach((who, since) ->
+                away.computeIfAbsent(who, k -> new ArrayList<>()).add(new Span(since, Double.POSITIVE_INFINITY)));
     }
 
     private Asked of(String id) {
@@ -189,8 +192,11 @@
 
     /** The end of the time for which a sidecar was away at this one; this one if it was not. */
     public double backAt(String sidecar, double at) {
-        return away.getOrDefault(sidecar, List.of()).stream().filter(span -> span.touches(at, at))
-            .mapToDouble(Span::to).max().orElse(at);
+        return away.getOrDefault(sidecar, List.of()).stream()
+                .filter(span -> span.touches(at, at))
+                .mapToDouble(Span::to)
+                .max()
+                .orElse(at);
     }
 
     /**
@@ -199,15 +205,20 @@
      * as the pause before each is twice the last.
      */
     public double arrivesBy(String one, String other, double at) {
-        return scenario.faults().stream().filter(fault -> fault.isOn(one, other) && fault.atMs() <= at
-            && at <= fault.endMs()).mapToDouble(fault -> fault.onwards().loss() + fault.backwards().loss() > 0
-            ? Double.POSITIVE_INFINITY : fault.endMs()).max().orElse(at);
+        return scenario.faults().stream()
+                .filter(fault -> fault.isOn(one, other) && fault.atMs() <= at && at <= fault.endMs())
+                .mapToDouble(fault -> fault.onwards().loss() + fault.backwards().loss() > 0
+                        ? Double.POSITIVE_INFINITY
+                        : fault.endMs())
+                .max()
+                .orElse(at);
     }
 
     /** Whether a fault was on the link between these two at any time of these, its after-effects included. */
     public boolean wasDisturbed(String one, String other, double from, double to) {
-        return scenario.faults().stream().anyMatch(fault -> fault.isOn(one, other)
-            && new Span(fault.atMs(), fault.what() == Fault.What.BREAK ? fault.atMs() : fault.endMs())
-                .touches(from, to));
+        return scenario.faults().stream()
+                .anyMatch(fault -> fault.isOn(one, other)
+                        && new Span(fault.atMs(), fault.what() == Fault.What.BREAK ? fault.atMs() : fault.endMs())
+                                .touches(from, to));
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/judge/Rules.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/Rules.java
@@ -14,6 +14,5 @@
     /** What discovery has to tell counts as told so much later at the latest, whether or not it arrived. */
     public static final double TOLD_WITHIN_MS = 6000;
 
-    private Rules() {
-    }
+    private Rules() {}
 }
--- a/fleet/src/main/java/martenlatch/fleet/judge/TwiceJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/TwiceJudge.java
@@ -19,15 +19,24 @@
         List<Finding> found = new ArrayList<>();
         for (Record.Asked one : run.requests()) {
             if (one.isUnsafe() && one.ran().size() > 1) {
-                found.add(new Finding(name(), one.id(), one.ran().get(1).atMs(), "ran at "
-                    + one.ran().stream().map(Event::who).toList()));
+                found.add(new Finding(
+                        name(),
+                        one.id(),
+                        one.ran().get(1).atMs(),
+                        "ran at " + one.ran().stream().map(Event::who).toList()));
             } else if (one.isUnsafe() && !one.ran().isEmpty() && one.end().startsWith("REFUSED")) {
-                found.add(new Finding(name(), one.id(), one.endedAt(), "refused, though it ran at "
-                    + one.ran().get(0).who()));
+                found.add(new Finding(
+                        name(),
+                        one.id(),
+                        one.endedAt(),
+                        "refused, though it ran at " + one.ran().get(0).who()));
             }
             if (one.ends().size() > 1) {
-                found.add(new Finding(name(), one.id(), one.ends().get(1).atMs(), "ended " + one.ends().size()
-                    + " times for its client"));
+                found.add(new Finding(
+                        name(),
+                        one.id(),
+                        one.ends().get(1).atMs(),
+                        "ended " + one.ends().size() + " times for its client"));
             }
         }
         return found;
--- a/fleet/src/main/java/martenlatch/fleet/judge/Verdict.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/Verdict.java
@@ -14,10 +14,14 @@
 public record Verdict(Figures figures, List<Finding> findings, List<Finding> spoilt) {
 
     /** A run's outcome in one word. */
-    public enum Outcome { HELD, BROKEN, VOID }
+    public enum Outcome {
+        HELD,
+        BROKEN,
+        VOID
+    }
 
-    private static final List<Judge> JUDGES = List.of(new LostJudge(), new TwiceJudge(), new DrainJudge(),
-        new ColdJudge(), new CrashJudge());
+    private static final List<Judge> JUDGES =
+            List.of(new LostJudge(), new TwiceJudge(), new DrainJudge(), new ColdJudge(), new CrashJudge());
 
     /** Of a run, by all judges. */
     public static Verdict of(Record run) {
@@ -31,24 +35,48 @@
     private static List<Finding> holds(Hold hold, Figures figures, double endMs) {
         List<Finding> found = new ArrayList<>();
         if (figures.recoveryMs() > hold.recoverySeconds() * 1000) {
-            found.add(new Finding("hold", "", endMs, String.format(Locale.ROOT,
-                "service came back %.0f ms after the last fault, later than %.0f ms", figures.recoveryMs(),
-                hold.recoverySeconds() * 1000)));
+            found.add(new Finding(
+                    "hold",
+                    "",
+                    endMs,
+                    String.format(
+                            Locale.ROOT,
+                            "service came back %.0f ms after the last fault, later than %.0f ms",
+                            figures.recoveryMs(),
+                            hold.recoverySeconds() * 1000)));
         }
         if (figures.amplification() > hold.amplification()) {
-            found.add(new Finding("hold", "", endMs, String.format(Locale.ROOT,
-                "%.3f attempts for each request, more than %.3f", figures.amplification(),
-                hold.amplification())));
+            found.add(new Finding(
+                    "hold",
+                    "",
+                    endMs,
+                    String.format(
+                            Locale.ROOT,
+                            "%.3f attempts for each request, more than %.3f",
+                            figures.amplification(),
+                            hold.amplification())));
         }
         if (figures.servedShare() < hold.served()) {
-            found.add(new Finding("hold", "", endMs, String.format(Locale.ROOT,
-                "%.3f of all requests served, fewer "
-                + "than %.3f", figures.servedShare(), hold.served())));
+            found.add(new Finding(
+                    "hold",
+                    "",
+                    endMs,
+                    String.format(
+                            Locale.ROOT,
+                            "%.3f of all requests served, fewer " + "than %.3f",
+                            figures.servedShare(),
+                            hold.served())));
         }
         if (figures.listRefusals() > hold.listRefusals()) {
-            found.add(new Finding("hold", "", endMs, String.format(Locale.ROOT,
-                "discovery turned away %d calls, more than %.0f", figures.listRefusals(),
-                hold.listRefusals())));
+            found.add(new Finding(
+                    "hold",
+                    "",
+                    endMs,
+                    String.format(
+                            Locale.ROOT,
+                            "discovery turned away %d calls, more than %.0f",
+                            figures.listRefusals(),
+                            hold.listRefusals())));
         }
         return found;
     }
--- a/fleet/src/main/java/martenlatch/fleet/launch/DeployFile.java
+++ b/fleet/src/main/java/martenlatch/fleet/launch/DeployFile.java
@@ -59,7 +59,8 @@
         List<String> next = new ArrayList<>();
         for (String word : command) {
             if (word.startsWith(ARCHIVE)) {
-                Path archive = jar.resolveSibling(Path.of(word.substring(ARCHIVE.length())).getFileName());
+                Path archive = jar.resolveSibling(
+                        Path.of(word.substring(ARCHIVE.length())).getFileName());
                 if (Files.isRegularFile(archive)) {
                     next.add(ARCHIVE + archive.toAbsolutePath());
                 }
--- a/fleet/src/main/java/martenlatch/fleet/launch/Reaper.java
+++ b/fleet/src/main/java/martenlatch/fleet/launch/Reaper.java
@@ -49,12 +49,14 @@
     public static Reaper begin(Path parent) throws IOException {
         cleanUp(parent);
         Path folder = Files.createTempDirectory(parent, PREFIX);
-        Files.writeString(folder.resolve("owner"), line(ProcessHandle.current().pid()).orElse(""));
+        Files.writeString(
+                folder.resolve("owner"), line(ProcessHandle.current().pid()).orElse(""));
         Files.createFile(folder.resolve(FILE));
         // A group of its own, so that Ctrl-C at a terminal is the rig's alone.
         Process shell = new ProcessBuilder("setsid", "sh", "-c", SCRIPT, "reaper", folder.toString())
-            .redirectOutput(ProcessBuilder.Redirect.DISCARD)
-            .redirectError(ProcessBuilder.Redirect.DISCARD).start();
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                .redirectError(ProcessBuilder.Redirect.DISCARD)
+                .start();
         return new Reaper(folder, shell);
     }
 
@@ -90,7 +92,8 @@
     static boolean cleanUp(Path parent) throws IOException {
         List<Path> folders;
         try (Stream<Path> all = Files.list(parent)) {
-            folders = all.filter(path -> path.getFileName().toString().startsWith(PREFIX)).toList();
+            folders = all.filter(path -> path.getFileName().toString().startsWith(PREFIX))
+                    .toList();
         }
         boolean any = false;
         for (Path one : folders) {
@@ -101,8 +104,7 @@
             any = true;
             for (String line : Files.readAllLines(one.resolve(FILE))) {
                 if (isAlive(line)) {
-                    ProcessHandle.of(Long.parseLong(line.split(" ")[0]))
-                        .ifPresent(ProcessHandle::destroyForcibly);
+                    ProcessHandle.of(Long.parseLong(line.split(" ")[0])).ifPresent(ProcessHandle::destroyForcibly);
                 }
             }
             delete(one);
@@ -112,7 +114,9 @@
 
     private static boolean isAlive(String line) {
         return !line.isBlank()
-            && line(Long.parseLong(line.split(" ")[0])).filter(line.trim()::equals).isPresent();
+                && line(Long.parseLong(line.split(" ")[0]))
+                        .filter(line.trim()::equals)
+                        .isPresent();
     }
 
     private static void delete(Path folder) throws IOException {
--- a/fleet/src/main/java/martenlatch/fleet/launch/SidecarProcess.java
+++ b/fleet/src/main/java/martenlatch/fleet/launch/SidecarProcess.java
@@ -36,7 +36,10 @@
     }
 
     /** How a signal came out. */
-    public enum Stop { STOPPED, NOT_STOPPED }
+    public enum Stop {
+        STOPPED,
+        NOT_STOPPED
+    }
 
     private static final String LISTENS = "martenlatch: listens at /";
     private static final String SERVES = "martenlatch: serves at ";
@@ -48,6 +51,7 @@
     private final Watch watch;
     /** Its configuration, by the address to listen at. */
     private final Function<InetSocketAddress, String> config;
+
     private InetSocketAddress listen;
     private Process process;
     private CompletableFuture<InetSocketAddress> listening;
@@ -58,8 +62,13 @@
      *
      * @param listen with port 0: the system's choice
      */
-    public SidecarProcess(String name, InetSocketAddress listen, Function<InetSocketAddress, String> config,
-            Reaper reaper, Watch watch) throws IOException {
+    public SidecarProcess(
+            String name,
+            InetSocketAddress listen,
+            Function<InetSocketAddress, String> config,
+            Reaper reaper,
+            Watch watch)
+            throws IOException {
         this.name = name;
         this.listen = listen;
         this.config = config;
@@ -94,8 +103,7 @@
         builder.environment().put("GW_CONFIG", folder.resolve("config.json").toString());
         builder.environment().put("GW_NAME", name);
         builder.environment().put("TMPDIR", temporary.toString());
-        builder.environment().keySet().removeAll(List.of("JAVA_TOOL_OPTIONS", "JDK_JAVA_OPTIONS",
-            "GW_ADMIN"));
+        builder.environment().keySet().removeAll(List.of("JAVA_TOOL_OPTIONS", "JDK_JAVA_OPTIONS", "GW_ADMIN"));
         CompletableFuture<InetSocketAddress> bound = new CompletableFuture<>();
         CompletableFuture<Void> ready = new CompletableFuture<>();
         listening = bound;
@@ -115,9 +123,10 @@
     }
 
     private void read(Process of, CompletableFuture<InetSocketAddress> bound, CompletableFuture<Void> ready) {
-        try (BufferedReader in = new BufferedReader(new InputStreamReader(of.getInputStream(),
-                StandardCharsets.UTF_8)); var out = Files.newBufferedWriter(log(), StandardCharsets.UTF_8,
-                StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
+        try (BufferedReader in =
+                        new BufferedReader(new InputStreamReader(of.getInputStream(), StandardCharsets.UTF_8));
+                var out = Files.newBufferedWriter(
+                        log(), StandardCharsets.UTF_8, StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 out.write(line);
                 out.newLine();
@@ -143,8 +152,8 @@
 
     private static InetSocketAddress address(String text) throws IOException {
         int colon = text.lastIndexOf(':');
-        return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)),
-            Integer.parseInt(text.substring(colon + 1)));
+        return new InetSocketAddress(
+                InetAddress.getByName(text.substring(0, colon)), Integer.parseInt(text.substring(colon + 1)));
     }
 
     /**
@@ -172,8 +181,8 @@
             Thread.currentThread().interrupt();
             throw new IOException(name + " was not waited for", e);
         } catch (ExecutionException e) {
-            throw new IOException(e.getCause().getMessage() + " before it came to " + verb + "; see " + log(),
-                e.getCause());
+            throw new IOException(
+                    e.getCause().getMessage() + " before it came to " + verb + "; see " + log(), e.getCause());
         } catch (TimeoutException e) {
             throw new IOException(name + " did not " + verb + " within " + ms + " ms; see " + log(), e);
         }
--- a/fleet/src/main/java/martenlatch/fleet/launch/Signals.java
+++ b/fleet/src/main/java/martenlatch/fleet/launch/Signals.java
@@ -8,6 +8,7 @@
 
     /** The numbers that Linux gives them (signal(7)). */
     static final int HUP = 1;
+
     static final int TERM = 15;
     static final int CONT = 18;
     static final int STOP = 19;
@@ -19,8 +20,7 @@
 
     private static final LibC C = Native.load("c", LibC.class);
 
-    private Signals() {
-    }
+    private Signals() {}
 
     /** Whether the signal could be sent. */
     static boolean send(long pid, int signal) {
--- a/fleet/src/main/java/martenlatch/fleet/link/Conduct.java
+++ b/fleet/src/main/java/martenlatch/fleet/link/Conduct.java
@@ -13,8 +13,15 @@
  * @param half the share of a stream's writes of which half comes, and then a reset
  * @param silent nothing comes through, and nobody is told; what was sent on a stream comes when this is over
  */
-public record Conduct(double delayMs, double jitterMs, double loss, double duplicate, double reorder,
-        double bytesPerSecond, double half, boolean silent) {
+public record Conduct(
+        double delayMs,
+        double jitterMs,
+        double loss,
+        double duplicate,
+        double reorder,
+        double bytesPerSecond,
+        double half,
+        boolean silent) {
 
     /** As good as loopback is. */
     public static final Conduct CLEAR = new Conduct(0, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 0, false);
@@ -33,15 +40,13 @@
         within("reorder", reorder, 0, 1);
         within("half", half, 0, 1);
         if (!(bytesPerSecond >= 1)) {
-            throw new IllegalArgumentException("rate must be 1 byte a second or more but is "
-                + bytesPerSecond);
+            throw new IllegalArgumentException("rate must be 1 byte a second or more but is " + bytesPerSecond);
         }
     }
 
     private static void within(String field, double value, double least, double most) {
         if (!(value >= least && value <= most)) {
-            throw new IllegalArgumentException(field + " must be " + least + " to " + most + " but is "
-                + value);
+            throw new IllegalArgumentException(field + " must be " + least + " to " + most + " but is " + value);
         }
     }
 
@@ -52,11 +57,14 @@
 
     /** Both at once: the delays add up, of the rest the worse holds. */
     public Conduct and(Conduct other) {
-        return new Conduct(Math.min(MOST_MS, delayMs + other.delayMs), Math.min(MOST_MS, jitterMs
-            + other.jitterMs),
-            Math.max(loss, other.loss), Math.max(duplicate, other.duplicate), Math.max(reorder,
-            other.reorder),
-            Math.min(bytesPerSecond, other.bytesPerSecond), Math.max(half, other.half), silent
-            || other.silent);
+        return new Conduct(
+                Math.min(MOST_MS, delayMs + other.delayMs),
+                Math.min(MOST_MS, jitterMs + other.jitterMs),
+                Math.max(loss, other.loss),
+                Math.max(duplicate, other.duplicate),
+                Math.max(reorder, other.reorder),
+                Math.min(bytesPerSecond, other.bytesPerSecond),
+                Math.max(half, other.half),
+                silent || other.silent);
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/link/DatagramLinks.java
+++ b/fleet/src/main/java/martenlatch/fleet/link/DatagramLinks.java
@@ -34,8 +34,8 @@
     private final long[] sentBytes;
 
     /** Links between so many members, none of whom has an address yet. */
-    public DatagramLinks(EventLoop loop, int members, Loopback addresses, long seed, LinkWatch watch,
-            LongSupplier clock) {
+    public DatagramLinks(
+            EventLoop loop, int members, Loopback addresses, long seed, LinkWatch watch, LongSupplier clock) {
         this.loop = loop;
         this.members = members;
         this.watch = watch;
@@ -47,8 +47,11 @@
         sentBytes = new long[members];
         for (int i = 0; i < members; i++) {
             int from = i;
-            toAll[i] = bind(addresses.next(), packet -> IntStream.range(0, members).filter(to -> to != from)
-                .forEach(to -> send(from, to, packet.content())));
+            toAll[i] = bind(
+                    addresses.next(),
+                    packet -> IntStream.range(0, members)
+                            .filter(to -> to != from)
+                            .forEach(to -> send(from, to, packet.content())));
             for (int j = 0; j < members; j++) {
                 int to = j;
                 models[i][j] = new LinkModel(seed * members * members + (long) i * members + j);
@@ -62,19 +65,24 @@
     }
 
     private DatagramChannel bind(InetSocketAddress at, Hearer hearer) {
-        return (DatagramChannel) new Bootstrap().group(loop).channel(NioDatagramChannel.class)
-            .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
-                @Override
-                protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-                    hearer.heard(packet);
-                }
-
-                @Override
-                public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                    // Nobody is at home there: the system says so of a datagram sent before.
-                    return;
-                }
-            }).bind(at).syncUninterruptibly().channel();
+        return (DatagramChannel) new Bootstrap()
+                .group(loop)
+                .channel(NioDatagramChannel.class)
+                .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
+                    @Override
+                    protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
+                        hearer.heard(packet);
+                    }
+
+                    @Override
+                    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+                        // Nobody is at home there: the system says so of a datagram sent before.
+                        return;
+                    }
+                })
+                .bind(at)
+                .syncUninterruptibly()
+                .channel();
     }
 
     private void send(int from, int to, ByteBuf content) {
@@ -89,10 +97,13 @@
             if (at <= now) {
                 doors[to][from].writeAndFlush(new DatagramPacket(copy, home));
             } else {
-                loop.schedule(() -> {
-                    watch.late(now() - at);
-                    doors[to][from].writeAndFlush(new DatagramPacket(copy, home));
-                }, (long) ((at - now) * NANOS_IN_MS), TimeUnit.NANOSECONDS);
+                loop.schedule(
+                        () -> {
+                            watch.late(now() - at);
+                            doors[to][from].writeAndFlush(new DatagramPacket(copy, home));
+                        },
+                        (long) ((at - now) * NANOS_IN_MS),
+                        TimeUnit.NANOSECONDS);
             }
         }
     }
@@ -108,7 +119,9 @@
 
     /** Where a member sends to reach each of the others, and by which it knows them; its own among them. */
     public List<InetSocketAddress> seenBy(int member) {
-        return IntStream.range(0, members).mapToObj(to -> doors[member][to].localAddress()).toList();
+        return IntStream.range(0, members)
+                .mapToObj(to -> doors[member][to].localAddress())
+                .toList();
     }
 
     /** Where a member sends to reach all. */
@@ -129,12 +142,13 @@
     /** Ends all links. */
     public void close() {
         loop.submit(() -> {
-            for (int i = 0; i < members; i++) {
-                toAll[i].close();
-                for (DatagramChannel door : doors[i]) {
-                    door.close();
-                }
-            }
-        }).syncUninterruptibly();
+                    for (int i = 0; i < members; i++) {
+                        toAll[i].close();
+                        for (DatagramChannel door : doors[i]) {
+                            door.close();
+                        }
+                    }
+                })
+                .syncUninterruptibly();
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/link/LinkModel.java
+++ b/fleet/src/main/java/martenlatch/fleet/link/LinkModel.java
@@ -16,12 +16,14 @@
     static final double RESEND_MS = 200;
     /** Comes behind those sent within this time. */
     static final double REORDER_MS = 20;
+
     private static final int MOST_RESENDS = 12;
 
     private final SplittableRandom random;
     private Conduct conduct = Conduct.CLEAR;
     /** When the last byte put on the wire has left, and when the last of the stream arrives. */
     private double freeAt;
+
     private double lastArrival;
 
     /** A clear link. */
--- a/fleet/src/main/java/martenlatch/fleet/link/RequestIds.java
+++ b/fleet/src/main/java/martenlatch/fleet/link/RequestIds.java
@@ -9,8 +9,7 @@
 /** Finds the ids of requests in a stream of HTTP/1.1, wherever its parts are cut. */
 final class RequestIds {
 
-    private static final Pattern ID = Pattern.compile("x-request-id:[ \t]*([^\r\n]*)\r",
-        Pattern.CASE_INSENSITIVE);
+    private static final Pattern ID = Pattern.compile("x-request-id:[ \t]*([^\r\n]*)\r", Pattern.CASE_INSENSITIVE);
     /** No header of an id is longer: what stands further back holds no part of one. */
     private static final int LONGEST = 256;
 
--- a/fleet/src/main/java/martenlatch/fleet/link/StreamLink.java
+++ b/fleet/src/main/java/martenlatch/fleet/link/StreamLink.java
@@ -39,6 +39,7 @@
     private static final int BACKLOG = 32;
     /** What waits in one direction of one connection, in bytes, before its sender is made to wait. */
     private static final int MOST_WAITING = 256 * 1024;
+
     private static final double NANOS_IN_MS = 1e6;
 
     private final EventLoop loop;
@@ -61,8 +62,14 @@
      *
      * @param clock nanoseconds, monotonic
      */
-    public StreamLink(EventLoop loop, String from, String to, InetSocketAddress target, long seed,
-            LinkWatch watch, LongSupplier clock) {
+    public StreamLink(
+            EventLoop loop,
+            String from,
+            String to,
+            InetSocketAddress target,
+            long seed,
+            LinkWatch watch,
+            LongSupplier clock) {
         this.loop = loop;
         this.from = from;
         this.to = to;
@@ -90,8 +97,10 @@
 
     private void awaitBound(ChannelFuture bound) {
         if (!bound.awaitUninterruptibly().isSuccess()) {
-            throw new IllegalStateException(from + " to " + to + " cannot listen at " + address + ": "
-                + bound.cause().getMessage(), bound.cause());
+            throw new IllegalStateException(
+                    from + " to " + to + " cannot listen at " + address + ": "
+                            + bound.cause().getMessage(),
+                    bound.cause());
         }
         address = (InetSocketAddress) bound.channel().localAddress();
     }
@@ -102,20 +111,25 @@
     }
 
     private ChannelFuture bind() {
-        ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, BACKLOG)
-            .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
-            .childOption(ChannelOption.AUTO_READ, false)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel accepted) {
-                    if (fillerAddresses.remove(accepted.remoteAddress())) {
-                        accepted.close();
-                    } else {
-                        new Passage(accepted).open();
+        ChannelFuture bound = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                .childOption(ChannelOption.AUTO_READ, false)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel accepted) {
+                        if (fillerAddresses.remove(accepted.remoteAddress())) {
+                            accepted.close();
+                        } else {
+                            new Passage(accepted).open();
+                        }
                     }
-                }
-            }).bind(address);
+                })
+                .bind(address);
         listener = bound.channel();
         return bound;
     }
@@ -123,29 +137,32 @@
     /** How each direction treats what is sent after this returns; {@code onwards} is that to the target. */
     public void conduct(Conduct onwards, Conduct backwards) {
         loop.submit(() -> {
-            there.conduct(onwards);
-            back.conduct(backwards);
-            mindListener();
-            List.copyOf(passages).forEach(Passage::conductChanged);
-        }).syncUninterruptibly();
+                    there.conduct(onwards);
+                    back.conduct(backwards);
+                    mindListener();
+                    List.copyOf(passages).forEach(Passage::conductChanged);
+                })
+                .syncUninterruptibly();
     }
 
     /** Whether the target takes no connections: then the system refuses them here too. */
     public void refuse(boolean now) {
         ChannelFuture bound = loop.submit(() -> {
-            if (now == refusing) {
-                return null;
-            }
-            refusing = now;
-            if (now) {
-                unfill();
-                // Whoever waits to be accepted goes with the listener.
-                fillerAddresses.clear();
-                listener.close();
-                return null;
-            }
-            return bind();
-        }).syncUninterruptibly().getNow();
+                    if (now == refusing) {
+                        return null;
+                    }
+                    refusing = now;
+                    if (now) {
+                        unfill();
+                        // Whoever waits to be accepted goes with the listener.
+                        fillerAddresses.clear();
+                        listener.close();
+                        return null;
+                    }
+                    return bind();
+                })
+                .syncUninterruptibly()
+                .getNow();
         if (bound != null) {
             awaitBound(bound);
             loop.execute(this::mindListener);
@@ -161,7 +178,7 @@
      */
     private void awaitClosed() {
         for (int i = 0; i < 2; i++) {
-            loop.schedule(() -> { }, 1, TimeUnit.MILLISECONDS).syncUninterruptibly();
+            loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).syncUninterruptibly();
         }
     }
 
@@ -173,11 +190,12 @@
     /** Ends it, and all connections. */
     public void close() {
         loop.submit(() -> {
-            refusing = true;
-            unfill();
-            listener.close();
-            List.copyOf(passages).forEach(Passage::reset);
-        }).syncUninterruptibly();
+                    refusing = true;
+                    unfill();
+                    listener.close();
+                    List.copyOf(passages).forEach(Passage::reset);
+                })
+                .syncUninterruptibly();
     }
 
     private boolean cut() {
@@ -202,13 +220,17 @@
      */
     private void fill() {
         for (int i = 0; i <= BACKLOG; i++) {
-            Channel filler = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .handler(new ChannelInboundHandlerAdapter()).connect(address)
-                .addListener((ChannelFuture up) -> {
-                    if (up.isSuccess()) {
-                        fillerAddresses.add(up.channel().localAddress());
-                    }
-                }).channel();
+            Channel filler = new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
+                    .handler(new ChannelInboundHandlerAdapter())
+                    .connect(address)
+                    .addListener((ChannelFuture up) -> {
+                        if (up.isSuccess()) {
+                            fillerAddresses.add(up.channel().localAddress());
+                        }
+                    })
+                    .channel();
             fillers.add(filler);
         }
     }
@@ -235,25 +257,29 @@
 
         void open() {
             passages.add(this);
-            new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.ALLOW_HALF_CLOSURE, true)
-                .option(ChannelOption.AUTO_READ, false)
-                .handler(new ChannelInboundHandlerAdapter())
-                .connect(target).addListener((ChannelFuture up) -> {
-                    if (!up.isSuccess() || !near.isOpen()) {
-                        reset();
-                        up.channel().close();
-                        return;
-                    }
-                    far = (DuplexChannel) up.channel();
-                    onwards = new Direction(this, near, far, there,
-                        new RequestIds(id -> watch.request(from, to, id)));
-                    backwards = new Direction(this, far, near, back, null);
-                    near.pipeline().addLast(onwards);
-                    far.pipeline().addLast(backwards);
-                    near.config().setAutoRead(true);
-                    far.config().setAutoRead(true);
-                });
+            new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
+                    .option(ChannelOption.TCP_NODELAY, true)
+                    .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                    .option(ChannelOption.AUTO_READ, false)
+                    .handler(new ChannelInboundHandlerAdapter())
+                    .connect(target)
+                    .addListener((ChannelFuture up) -> {
+                        if (!up.isSuccess() || !near.isOpen()) {
+                            reset();
+                            up.channel().close();
+                            return;
+                        }
+                        far = (DuplexChannel) up.channel();
+                        onwards = new Direction(
+                                this, near, far, there, new RequestIds(id -> watch.request(from, to, id)));
+                        backwards = new Direction(this, far, near, back, null);
+                        near.pipeline().addLast(onwards);
+                        far.pipeline().addLast(backwards);
+                        near.config().setAutoRead(true);
+                        far.config().setAutoRead(true);
+                    });
         }
 
         void conductChanged() {
@@ -298,8 +324,7 @@
     }
 
     /** What is under way: bytes, or an end. */
-    private record Part(double at, ByteBuf bytes, boolean isReset) {
-    }
+    private record Part(double at, ByteBuf bytes, boolean isReset) {}
 
     /** One direction of a connection: reads at one end, and writes at the other in its time. */
     private final class Direction extends ChannelDuplexHandler {
@@ -313,10 +338,10 @@
         private boolean ended;
         /** Its end has been passed on. */
         private boolean over;
+
         private double wakeAt = Double.POSITIVE_INFINITY;
 
-        Direction(Passage passage, DuplexChannel source, DuplexChannel sink, LinkModel model,
-            RequestIds ids) {
+        Direction(Passage passage, DuplexChannel source, DuplexChannel sink, LinkModel model, RequestIds ids) {
             this.passage = passage;
             this.source = source;
             this.sink = sink;
@@ -384,13 +409,16 @@
             if (!parts.isEmpty() && parts.peek().at() < wakeAt) {
                 double due = parts.peek().at();
                 wakeAt = due;
-                loop.schedule(() -> {
-                    wakeAt = Double.POSITIVE_INFINITY;
-                    if (!model.conduct().silent()) {
-                        watch.late(now() - due);
-                    }
-                    pump();
-                }, (long) ((due - now) * NANOS_IN_MS), TimeUnit.NANOSECONDS);
+                loop.schedule(
+                        () -> {
+                            wakeAt = Double.POSITIVE_INFINITY;
+                            if (!model.conduct().silent()) {
+                                watch.late(now() - due);
+                            }
+                            pump();
+                        },
+                        (long) ((due - now) * NANOS_IN_MS),
+                        TimeUnit.NANOSECONDS);
             }
         }
 
--- a/fleet/src/main/java/martenlatch/fleet/peers/Heartbeats.java
+++ b/fleet/src/main/java/martenlatch/fleet/peers/Heartbeats.java
@@ -15,6 +15,7 @@
     private static final double TIMEOUT_MS = 3000;
     /** As Akka has it by default. */
     private static final double PHI = 8;
+
     private static final double LEAST_DEVIATION_MS = 100;
     private static final double GAIN = 0.05;
 
--- a/fleet/src/main/java/martenlatch/fleet/peers/PeerCase.java
+++ b/fleet/src/main/java/martenlatch/fleet/peers/PeerCase.java
@@ -12,7 +12,7 @@
  * and last for {@link #lastsMs}.
  */
 enum PeerCase {
-    CALM(10_000, (sim, n) -> { }),
+    CALM(10_000, (sim, n) -> {}),
     /** One dies. */
     KILL(10_000, (sim, n) -> sim.kill(PeerCase.one(n))),
     PAUSE_HALF_SECOND(500, (sim, n) -> paused(sim, i -> i == PeerCase.one(n), 500)),
@@ -30,10 +30,14 @@
     LOSS_10(30_000, (sim, n) -> on(sim, (a, b) -> true, lossy(0.1), 30_000)),
     LOSS_30(30_000, (sim, n) -> on(sim, (a, b) -> true, lossy(0.3), 30_000)),
     LOSS_50(30_000, (sim, n) -> on(sim, (a, b) -> true, lossy(0.5), 30_000)),
-    DELAY_2S(30_000, (sim, n) -> on(sim, (a, b) -> true, new Conduct(0, 2000, 0, 0, 0,
-        Double.POSITIVE_INFINITY, 0, false), 30_000)),
-    REORDER_DUPLICATE(30_000, (sim, n) -> on(sim, (a, b) -> true, new Conduct(1, 50, 0, 0.3, 0.3,
-        Double.POSITIVE_INFINITY, 0, false), 30_000)),
+    DELAY_2S(
+            30_000,
+            (sim, n) ->
+                    on(sim, (a, b) -> true, new Conduct(0, 2000, 0, 0, 0, Double.POSITIVE_INFINITY, 0, false), 30_000)),
+    REORDER_DUPLICATE(
+            30_000,
+            (sim, n) -> on(
+                    sim, (a, b) -> true, new Conduct(1, 50, 0, 0.3, 0.3, Double.POSITIVE_INFINITY, 0, false), 30_000)),
     /** What others send to one is lost; what it sends arrives. */
     DEAF_ONE(15_000, (sim, n) -> on(sim, (a, b) -> b == PeerCase.one(n), Conduct.SILENT, 15_000)),
     /** What one sends is lost; what others send it arrives. */
@@ -149,8 +153,7 @@
     }
 
     private static void on(PeerSim sim, Pair which, Conduct conduct, double forMs) {
-        BiFunction<Integer, Integer, Conduct> links =
-            (from, to) -> which.is(from, to) ? conduct : Conduct.CLEAR;
+        BiFunction<Integer, Integer, Conduct> links = (from, to) -> which.is(from, to) ? conduct : Conduct.CLEAR;
         sim.links(links);
         sim.at(SETTLE_MS + forMs, () -> sim.links((from, to) -> Conduct.CLEAR));
     }
--- a/fleet/src/main/java/martenlatch/fleet/peers/PeerMeasure.java
+++ b/fleet/src/main/java/martenlatch/fleet/peers/PeerMeasure.java
@@ -14,10 +14,10 @@
 public final class PeerMeasure {
 
     private static final Map<String, Membership.Maker> WAYS = new TreeMap<>(Map.of(
-        "ours", Ours::new,
-        "swim", (self, told, zone, seed, wire) -> new PlainSwim(self, told, seed, wire),
-        "heartbeats", (self, told, zone, seed, wire) -> new Heartbeats(false, self, told, seed, wire),
-        "phi-accrual", (self, told, zone, seed, wire) -> new Heartbeats(true, self, told, seed, wire)));
+            "ours", Ours::new,
+            "swim", (self, told, zone, seed, wire) -> new PlainSwim(self, told, seed, wire),
+            "heartbeats", (self, told, zone, seed, wire) -> new Heartbeats(false, self, told, seed, wire),
+            "phi-accrual", (self, told, zone, seed, wire) -> new Heartbeats(true, self, told, seed, wire)));
 
     /**
      * What one way came to over some seeds.
@@ -29,13 +29,30 @@
      * @param allMs until all had, 99th percentile over seeds
      * @param whole whether at the end all that run believe each other alive, in every play
      */
-    public record Result(String way, int members, String what, double wronglyFaulty, double bytesPerSecond,
-            long worstSecond, double firstMs, double allMs, boolean whole) {
+    public record Result(
+            String way,
+            int members,
+            String what,
+            double wronglyFaulty,
+            double bytesPerSecond,
+            long worstSecond,
+            double firstMs,
+            double allMs,
+            boolean whole) {
         /** As a row of a table. */
         public String row() {
-            return String.format(Locale.ROOT, "| %s | %s | %d | %.2f | %.0f | %d | %s | %s | %s |", what, way,
-                members, wronglyFaulty, bytesPerSecond, worstSecond, text(firstMs), text(allMs),
-                whole ? "yes" : "no");
+            return String.format(
+                    Locale.ROOT,
+                    "| %s | %s | %d | %.2f | %.0f | %d | %s | %s | %s |",
+                    what,
+                    way,
+                    members,
+                    wronglyFaulty,
+                    bytesPerSecond,
+                    worstSecond,
+                    text(firstMs),
+                    text(allMs),
+                    whole ? "yes" : "no");
         }
 
         private static String text(double ms) {
@@ -43,8 +60,7 @@
         }
     }
 
-    private PeerMeasure() {
-    }
+    private PeerMeasure() {}
 
     /** All ways there are. */
     public static Set<String> ways() {
@@ -83,9 +99,16 @@
                 detection(sim, PeerCase.one(members), first, all);
             }
         }
-        return new Result(way, members, what, (double) wrong / seeds, bytes, worst,
-            first.getTotalCount() == 0 ? Double.NaN : first.getValueAtPercentile(50),
-            all.getTotalCount() == 0 ? Double.NaN : all.getValueAtPercentile(99), whole);
+        return new Result(
+                way,
+                members,
+                what,
+                (double) wrong / seeds,
+                bytes,
+                worst,
+                first.getTotalCount() == 0 ? Double.NaN : first.getValueAtPercentile(50),
+                all.getTotalCount() == 0 ? Double.NaN : all.getValueAtPercentile(99),
+                whole);
     }
 
     private static String named(String what) {
@@ -107,8 +130,10 @@
         if (!times.isEmpty()) {
             first.recordValue(Math.max(0, (long) (double) times.get(0)));
             // Who never noticed counts as having noticed at the end.
-            all.recordValue(times.size() < sim.size() - 1 ? (long) (sim.now() - PeerCase.SETTLE_MS)
-                : (long) (double) times.get(times.size() - 1));
+            all.recordValue(
+                    times.size() < sim.size() - 1
+                            ? (long) (sim.now() - PeerCase.SETTLE_MS)
+                            : (long) (double) times.get(times.size() - 1));
         }
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/peers/PeerSim.java
+++ b/fleet/src/main/java/martenlatch/fleet/peers/PeerSim.java
@@ -22,14 +22,14 @@
     private static final double BASE_MS = 0.3;
     /** What a socket holds of small datagrams by Linux' usual settings. */
     private static final int SOCKET = 250;
+
     private static final double SECOND_MS = 1000;
 
     /** Who was paused or down is owed this much time to show that it is back. */
     private static final double SETTLED_MS = 2000;
 
     /** What a member has come to believe of another. */
-    record Change(double atMs, int who, int peer, PeerState before, PeerState now) {
-    }
+    record Change(double atMs, int who, int peer, PeerState before, PeerState now) {}
 
     private final class Node {
         private final int number;
@@ -125,7 +125,9 @@
             public void changed(int peer, PeerState before, PeerState now) {
                 changes.add(new Change(time.elapsed(), number, peer, before, now));
                 Node subject = nodes[peer];
-                if (now == PeerState.FAULTY && subject.alive && !subject.paused
+                if (now == PeerState.FAULTY
+                        && subject.alive
+                        && !subject.paused
                         && time.elapsed() - subject.runningSince > SETTLED_MS) {
                     wronglyFaulty++;
                 }
@@ -211,8 +213,10 @@
         double now = time.elapsed();
         for (double at : model.datagram(now, datagram.length)) {
             Node receiver = nodes[to];
-            time.after(at - now + BASE_MS, () -> receiver.enter(receiver.life,
-                () -> receiver.member.receive(receiver.clock(), from, datagram)));
+            time.after(
+                    at - now + BASE_MS,
+                    () -> receiver.enter(
+                            receiver.life, () -> receiver.member.receive(receiver.clock(), from, datagram)));
         }
     }
 
