--- a/fleet/src/main/java/martenlatch/fleet/peers/PlainSwim.java
+++ b/fleet/src/main/java/martenlatch/fleet/peers/PlainSwim.java
@@ -32,8 +32,7 @@
         private double suspectUntil;
     }
 
-    private record News(int peer, int state, int incarnation) {
-    }
+    private record News(int peer, int state, int incarnation) {}
 
     private final int self;
     private final Wire wire;
@@ -156,20 +155,27 @@
         List<News> said = new ArrayList<>();
         List<Integer> over = new ArrayList<>();
         int most = SPREAD * (int) Math.ceil(Math.log10(peers.length + 1.0));
-        told.entrySet().stream().sorted((a, b) -> a.getValue()[0] - b.getValue()[0]).limit(MOST_NEWS)
-            .forEach(one -> {
-                int peer = one.getKey();
-                said.add(new News(peer, peers[peer].state.ordinal(), peers[peer].incarnation));
-                if (++one.getValue()[0] >= most) {
-                    over.add(peer);
-                }
-            });
+        told.entrySet().stream()
+                .sorted((a, b) -> a.getValue()[0] - b.getValue()[0])
+                .limit(MOST_NEWS)
+                .forEach(one -> {
+                    int peer = one.getKey();
+                    said.add(new News(peer, peers[peer].state.ordinal(), peers[peer].incarnation));
+                    if (++one.getValue()[0] >= most) {
+                        over.add(peer);
+                    }
+                });
         over.forEach(told::remove);
-        ByteBuffer out = ByteBuffer.allocate(16 + said.size() * 7).put((byte) kind).putInt(self)
-            .putInt(incarnation).putShort((short) of).putShort((short) target).put((byte) said.size())
-            .putShort((short) 0);
-        said.forEach(one -> out.putShort((short) one.peer()).put((byte) one.state())
-            .putInt(one.incarnation()));
+        ByteBuffer out = ByteBuffer.allocate(16 + said.size() * 7)
+                .put((byte) kind)
+                .putInt(self)
+                .putInt(incarnation)
+                .putShort((short) of)
+                .putShort((short) target)
+                .put((byte) said.size())
+                .putShort((short) 0);
+        said.forEach(
+                one -> out.putShort((short) one.peer()).put((byte) one.state()).putInt(one.incarnation()));
         wire.send(to, out.array());
     }
 
--- a/fleet/src/main/java/martenlatch/fleet/report/JsonReport.java
+++ b/fleet/src/main/java/martenlatch/fleet/report/JsonReport.java
@@ -14,8 +14,7 @@
 
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
-    private JsonReport() {
-    }
+    private JsonReport() {}
 
     /** Writes it. */
     public static void write(Path file, Record run, Verdict verdict) throws IOException {
--- a/fleet/src/main/java/martenlatch/fleet/report/Timeline.java
+++ b/fleet/src/main/java/martenlatch/fleet/report/Timeline.java
@@ -4,8 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import martenlatch.fleet.history.Event.What;
 import martenlatch.fleet.history.Event;
+import martenlatch.fleet.history.Event.What;
 import martenlatch.fleet.judge.Record;
 import martenlatch.fleet.scenario.Selector.Group;
 
@@ -23,20 +23,18 @@
     static Timeline of(Record run) {
         int steps = 1 + (int) (run.scenario().seconds() * 1000 / STEP_MS);
         Map<String, int[]> counts = new LinkedHashMap<>();
-        List.of("asked", "served", "refused", "failed", "attempts", "open").forEach(n -> counts.put(n,
-            new int[steps]));
+        List.of("asked", "served", "refused", "failed", "attempts", "open").forEach(n -> counts.put(n, new int[steps]));
         for (Record.Asked one : run.requests()) {
             if (Double.isNaN(one.askedAt())) {
                 continue;
             }
             String end = one.end();
             add(counts.get("asked"), one.askedAt());
-            add(counts.get(end.startsWith("SERVED") ? "served" : end.startsWith("REFUSED") ? "refused"
-                : "failed"),
-                one.askedAt());
+            add(
+                    counts.get(end.startsWith("SERVED") ? "served" : end.startsWith("REFUSED") ? "refused" : "failed"),
+                    one.askedAt());
             one.sent().forEach(sent -> add(counts.get("attempts"), sent.atMs()));
-            for (int i = step(one.askedAt()) + 1; i <= Math.min(steps - 1, step(Math.min(1e9,
-                one.endedAt()))); i++) {
+            for (int i = step(one.askedAt()) + 1; i <= Math.min(steps - 1, step(Math.min(1e9, one.endedAt()))); i++) {
                 counts.get("open")[i]++;
             }
         }
@@ -46,8 +44,10 @@
             List<String> of = new ArrayList<>();
             for (int step = 0; step < steps; step++) {
                 double from = step * STEP_MS;
-                of.add(run.wasAway(name, from, from + STEP_MS) ? "away"
-                    : run.wasLeaving(name, from, from + STEP_MS) ? "leaving" : "up");
+                of.add(
+                        run.wasAway(name, from, from + STEP_MS)
+                                ? "away"
+                                : run.wasLeaving(name, from, from + STEP_MS) ? "leaving" : "up");
             }
             states.put(name, of);
         }
--- a/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
@@ -68,6 +68,7 @@
     private static final long MOVED_MS = 500;
     /** So often the rig looks how late it is itself. */
     private static final long BEAT_MS = 5;
+
     private static final double LATE_MS = 20;
     /** Any would do: each sidecar has a loopback address of its own. */
     private static final int PEER_PORT = 7946;
@@ -108,8 +109,7 @@
             }
         }
         reaper = Reaper.begin(parent);
-        group = new MultiThreadIoEventLoopGroup(2, new DefaultThreadFactory("links", true),
-            NioIoHandler.newFactory());
+        group = new MultiThreadIoEventLoopGroup(2, new DefaultThreadFactory("links", true), NioIoHandler.newFactory());
         clockwork = Executors.newSingleThreadScheduledExecutor(new DefaultThreadFactory("faults", true));
         front = new Front(scenario.sizes().sidecars(), scenario.load().skew(), scenario.seedFor("front"));
         world = new World(scenario.world(), 0, new Ledger(scenario.world().ids(), new Tally()));
@@ -193,28 +193,36 @@
         world.discovery().queue(scenario.discovery().queue());
         world.discovery().listen(lists);
         long seed = scenario.seedFor("links");
-        peers = new DatagramLinks((EventLoop) group.next(), scenario.sizes().sidecars(), addresses, seed,
-            late, System::nanoTime);
+        peers = new DatagramLinks(
+                (EventLoop) group.next(), scenario.sizes().sidecars(), addresses, seed, late, System::nanoTime);
         for (int i = 0; i < scenario.sizes().sidecars(); i++) {
             String name = Group.SIDECAR.name(i);
             Map<String, InetSocketAddress> seen = new HashMap<>();
             for (Endpoint endpoint : world.endpoints()) {
-                StreamLink link = new StreamLink((EventLoop) group.next(), name, endpoint.id(),
-                    endpoint.address(), ++seed, watch, System::nanoTime).listen(addresses.next());
+                StreamLink link = new StreamLink(
+                                (EventLoop) group.next(),
+                                name,
+                                endpoint.id(),
+                                endpoint.address(),
+                                ++seed,
+                                watch,
+                                System::nanoTime)
+                        .listen(addresses.next());
                 links.put(name + " " + endpoint.id(), link);
                 seen.put(endpoint.id(), link.address());
             }
-            InetSocketAddress view = world.discovery().listen(addresses.next(), name,
-                endpoint -> seen.get(endpoint.id()), lists);
+            InetSocketAddress view =
+                    world.discovery().listen(addresses.next(), name, endpoint -> seen.get(endpoint.id()), lists);
             views.put(name, view);
-            StreamLink discovery = new StreamLink((EventLoop) group.next(), name, "discovery", view, ++seed,
-                late, System::nanoTime).listen(addresses.next());
+            StreamLink discovery = new StreamLink(
+                            (EventLoop) group.next(), name, "discovery", view, ++seed, late, System::nanoTime)
+                    .listen(addresses.next());
             links.put(name + " discovery", discovery);
             InetSocketAddress home = new InetSocketAddress(addresses.next().getAddress(), PEER_PORT);
             peers.home(i, home);
             int number = i;
-            sidecars.add(new SidecarProcess(name, addresses.next(), listen -> config(number, listen, home),
-                reaper, new Processes()));
+            sidecars.add(new SidecarProcess(
+                    name, addresses.next(), listen -> config(number, listen, home), reaper, new Processes()));
         }
         long last = seed;
         for (int i = 0; i < sidecars.size(); i++) {
@@ -233,16 +241,28 @@
         }
         for (int i = 0; i < sidecars.size(); i++) {
             SidecarProcess one = sidecars.get(i);
-            clientLinks.add(new StreamLink((EventLoop) group.next(), "clients", one.name(), one.listen(),
-                ++last, late, System::nanoTime).listen(addresses.next()));
+            clientLinks.add(new StreamLink(
+                            (EventLoop) group.next(),
+                            "clients",
+                            one.name(),
+                            one.listen(),
+                            ++last,
+                            late,
+                            System::nanoTime)
+                    .listen(addresses.next()));
         }
     }
 
     private String config(int number, InetSocketAddress listen, InetSocketAddress home) {
         String name = Group.SIDECAR.name(number);
-        return SidecarConfig.of(scenario, number, listen, links.get(name + " discovery").address(),
-            new SidecarConfig.Peers(home, peers.seenBy(number), peers.all(number)),
-            world.discovery().list(endpoint -> links.get(name + " " + endpoint.id()).address()));
+        return SidecarConfig.of(
+                scenario,
+                number,
+                listen,
+                links.get(name + " discovery").address(),
+                new SidecarConfig.Peers(home, peers.seenBy(number), peers.all(number)),
+                world.discovery()
+                        .list(endpoint -> links.get(name + " " + endpoint.id()).address()));
     }
 
     private void late(SidecarProcess one) throws IOException {
@@ -262,8 +282,8 @@
     }
 
     private boolean isLate(String name) {
-        return scenario.faults().stream().anyMatch(f -> f.what() == Fault.What.LATE
-            && f.who().contains(name));
+        return scenario.faults().stream()
+                .anyMatch(f -> f.what() == Fault.What.LATE && f.who().contains(name));
     }
 
     private void start() throws IOException {
@@ -298,15 +318,29 @@
     public LoadReport play(Consumer<Second> live) throws IOException, InterruptedException {
         Load wanted = scenario.load();
         // Clients wait for a little longer than they say: who answers at the last moment has answered.
-        List<Kind> kinds = wanted.classes().stream().map(Load.ClassOf::kind).map(kind -> new Kind(kind.name(),
-            kind.share(), kind.effect(), kind.bodyBytes(), kind.deadlineMs() + FrontDriver.GRACE_MS,
-            kind.retries()))
-            .toList();
-        List<InetSocketAddress> targets = clientLinks.stream().map(StreamLink::address).toList();
-        load = new LoadRun(new LoadPlan(targets, 1, CONNECTIONS, 0), Arrivals.drawn(new Schedule(List.of(
-            new Shape.Constant(wanted.rate(), scenario.seconds())), true, scenario.seedFor("times")), kinds,
-            scenario.seedFor("kinds")),
-            (loop, most) -> new FrontDriver(loop, targets, most, front, history), live);
+        List<Kind> kinds = wanted.classes().stream()
+                .map(Load.ClassOf::kind)
+                .map(kind -> new Kind(
+                        kind.name(),
+                        kind.share(),
+                        kind.effect(),
+                        kind.bodyBytes(),
+                        kind.deadlineMs() + FrontDriver.GRACE_MS,
+                        kind.retries()))
+                .toList();
+        List<InetSocketAddress> targets =
+                clientLinks.stream().map(StreamLink::address).toList();
+        load = new LoadRun(
+                new LoadPlan(targets, 1, CONNECTIONS, 0),
+                Arrivals.drawn(
+                        new Schedule(
+                                List.of(new Shape.Constant(wanted.rate(), scenario.seconds())),
+                                true,
+                                scenario.seedFor("times")),
+                        kinds,
+                        scenario.seedFor("kinds")),
+                (loop, most) -> new FrontDriver(loop, targets, most, front, history),
+                live);
         history.startAt(load.startNanos());
         beat();
         for (Fault fault : scenario.faults()) {
@@ -329,18 +363,21 @@
     }
 
     private void at(double ms, Step step) {
-        clockwork.schedule(() -> {
-            try {
-                double late = history.now() - ms;
-                if (late > LATE_MS) {
-                    history.tell(What.RIG, "faults", "", "", String.valueOf(late));
-                }
-                step.run();
-            } catch (IOException | RuntimeException e) {
-                history.tell(What.RIG, "faults", "", "", "failed " + e.getMessage());
-                LOG.error("a step of the plan failed", e);
-            }
-        }, (long) ((ms - history.now()) * 1000), TimeUnit.MICROSECONDS);
+        clockwork.schedule(
+                () -> {
+                    try {
+                        double late = history.now() - ms;
+                        if (late > LATE_MS) {
+                            history.tell(What.RIG, "faults", "", "", String.valueOf(late));
+                        }
+                        step.run();
+                    } catch (IOException | RuntimeException e) {
+                        history.tell(What.RIG, "faults", "", "", "failed " + e.getMessage());
+                        LOG.error("a step of the plan failed", e);
+                    }
+                },
+                (long) ((ms - history.now()) * 1000),
+                TimeUnit.MICROSECONDS);
     }
 
     private interface Step {
@@ -349,21 +386,23 @@
 
     /** A thread that does nothing else tells how late this machine lets threads run. */
     private void beat() {
-        Thread thread = new Thread(() -> {
-            long due = System.nanoTime();
-            while (!clockwork.isShutdown()) {
-                due += TimeUnit.MILLISECONDS.toNanos(BEAT_MS);
-                long left = due - System.nanoTime();
-                if (left > 0) {
-                    LockSupport.parkNanos(left);
-                }
-                double late = (System.nanoTime() - due) / 1e6;
-                if (late > LATE_MS) {
-                    history.tell(What.RIG, "beat", "", "", String.valueOf(late));
-                    due = System.nanoTime();
-                }
-            }
-        }, "beat");
+        Thread thread = new Thread(
+                () -> {
+                    long due = System.nanoTime();
+                    while (!clockwork.isShutdown()) {
+                        due += TimeUnit.MILLISECONDS.toNanos(BEAT_MS);
+                        long left = due - System.nanoTime();
+                        if (left > 0) {
+                            LockSupport.parkNanos(left);
+                        }
+                        double late = (System.nanoTime() - due) / 1e6;
+                        if (late > LATE_MS) {
+                            history.tell(What.RIG, "beat", "", "", String.valueOf(late));
+                            due = System.nanoTime();
+                        }
+                    }
+                },
+                "beat");
         thread.setDaemon(true);
         thread.start();
     }
@@ -373,8 +412,8 @@
     private void begin(Fault fault) throws IOException {
         active.add(fault);
         onLinks.begin(fault);
-        history.tell(What.FAULT_BEGINS, String.valueOf(fault.number()), String.join(" ", fault.who()), "",
-            fault.toString());
+        history.tell(
+                What.FAULT_BEGINS, String.valueOf(fault.number()), String.join(" ", fault.who()), "", fault.toString());
         LOG.info("fault {} begins: {}", fault.number(), fault);
         switch (fault.what().aim()) {
             case SIDECARS -> {
@@ -383,11 +422,14 @@
                 }
             }
             case ENDPOINTS -> fault.who().forEach(name -> endpoint(fault, number(name), true));
-            case DISCOVERY -> world.discovery().manner(switch (fault.what()) {
-                case SILENT -> Discovery.Manner.SILENT;
-                case DOWN -> Discovery.Manner.DOWN;
-                default -> Discovery.Manner.WRONG;
-            });
+            case DISCOVERY ->
+                world.discovery()
+                        .manner(
+                                switch (fault.what()) {
+                                    case SILENT -> Discovery.Manner.SILENT;
+                                    case DOWN -> Discovery.Manner.DOWN;
+                                    default -> Discovery.Manner.WRONG;
+                                });
             default -> links(fault, fault.what() == Fault.What.BREAK);
         }
     }
@@ -405,8 +447,8 @@
             case DISCOVERY -> world.discovery().manner(Discovery.Manner.GOOD);
             default -> links(fault, false);
         }
-        history.tell(What.FAULT_ENDS, String.valueOf(fault.number()), String.join(" ", fault.who()), "",
-            fault.toString());
+        history.tell(
+                What.FAULT_ENDS, String.valueOf(fault.number()), String.join(" ", fault.who()), "", fault.toString());
         LOG.info("fault {} is over", fault.number());
     }
 
@@ -453,15 +495,18 @@
                 process(one, "reloads");
             }
             case TWIN -> {
-                SidecarProcess twin = new SidecarProcess(one.name() + "-twin", one.listen(),
-                    listen -> config(number, listen, peers.seenBy(number).get(number)), reaper,
-                    new Processes());
+                SidecarProcess twin = new SidecarProcess(
+                        one.name() + "-twin",
+                        one.listen(),
+                        listen -> config(number, listen, peers.seenBy(number).get(number)),
+                        reaper,
+                        new Processes());
                 twins.add(twin);
                 mayEnd.put(twin.name(), true);
                 twin.start(deploy);
                 process(twin, "started");
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -470,26 +515,38 @@
         switch (fault.what()) {
             case PAUSE, CRAWL -> {
                 if (fault.what() == Fault.What.PAUSE && one.isAlive() && !one.isStopped()) {
-                    history.tell(What.RIG, "faults", "", "", "failed " + one.name()
-                        + " did not stand still for as long as it should");
+                    history.tell(
+                            What.RIG,
+                            "faults",
+                            "",
+                            "",
+                            "failed " + one.name() + " did not stand still for as long as it should");
                 }
                 one.resume();
                 process(one, "resumed");
                 front.believe(number, Front.State.UP, history.now());
             }
             case KILL, TERM, LATE -> again(number, fault);
-            case TWIN -> twins.stream().filter(twin -> twin.name().equals(one.name() + "-twin"))
-                .forEach(SidecarProcess::term);
-            default -> { }
+            case TWIN ->
+                twins.stream()
+                        .filter(twin -> twin.name().equals(one.name() + "-twin"))
+                        .forEach(SidecarProcess::term);
+            default -> {}
         }
     }
 
     /** Discovery is elsewhere for this sidecar from its next configuration on; where it was, it ends soon. */
     private void move(String name) {
         StreamLink before = links.get(name + " discovery");
-        StreamLink next = new StreamLink((EventLoop) group.next(), name, "discovery", views.get(name),
-            scenario.seedFor("moved " + name + retired.size()), late, System::nanoTime)
-            .listen(addresses.next());
+        StreamLink next = new StreamLink(
+                        (EventLoop) group.next(),
+                        name,
+                        "discovery",
+                        views.get(name),
+                        scenario.seedFor("moved " + name + retired.size()),
+                        late,
+                        System::nanoTime)
+                .listen(addresses.next());
         next.conduct(onLinks.conduct(name, "discovery", true), onLinks.conduct(name, "discovery", false));
         links.put(name + " discovery", next);
         retired.add(before);
@@ -511,11 +568,14 @@
         }
         one.pause();
         process(one, "crawls");
-        clockwork.schedule(() -> {
-            one.resume();
-            clockwork.schedule(() -> crawl(fault, one), (long) (100_000 * fault.share()),
+        clockwork.schedule(
+                () -> {
+                    one.resume();
+                    clockwork.schedule(
+                            () -> crawl(fault, one), (long) (100_000 * fault.share()), TimeUnit.MICROSECONDS);
+                },
+                (long) (100_000 * (1 - fault.share())),
                 TimeUnit.MICROSECONDS);
-        }, (long) (100_000 * (1 - fault.share())), TimeUnit.MICROSECONDS);
     }
 
     private void leave(SidecarProcess one, String what) {
@@ -575,14 +635,18 @@
                     world.drain(number);
                 }
             }
-            default -> one.trouble(!begins ? Trouble.NONE : switch (fault.what()) {
-                case HANG -> Trouble.HANGS;
-                case ERROR -> Trouble.ERRORS;
-                case SLOW -> Trouble.SLOW;
-                case RESET -> Trouble.RESETS;
-                case HALF -> Trouble.HALF;
-                default -> Trouble.DEAF;
-            });
+            default ->
+                one.trouble(
+                        !begins
+                                ? Trouble.NONE
+                                : switch (fault.what()) {
+                                    case HANG -> Trouble.HANGS;
+                                    case ERROR -> Trouble.ERRORS;
+                                    case SLOW -> Trouble.SLOW;
+                                    case RESET -> Trouble.RESETS;
+                                    case HALF -> Trouble.HALF;
+                                    default -> Trouble.DEAF;
+                                });
         }
     }
 
@@ -599,8 +663,7 @@
                     peers.conduct(number(to), number(from), onLinks.conduct(from, to, false));
                     continue;
                 }
-                StreamLink link = from.equals("clients") ? clientLinks.get(number(to)) : links.get(from + " "
-                    + to);
+                StreamLink link = from.equals("clients") ? clientLinks.get(number(to)) : links.get(from + " " + to);
                 link.conduct(onLinks.conduct(from, to, true), onLinks.conduct(from, to, false));
                 if (broken) {
                     link.reset();
@@ -641,8 +704,8 @@
 
     /** Plants a fault of the rig's own: the links' threads do nothing else for a time, from that time on. */
     void stallLinks(long afterMs, long forMs) {
-        group.forEach(loop -> loop.schedule(() -> LockSupport.parkNanos(
-            TimeUnit.MILLISECONDS.toNanos(forMs)), afterMs, TimeUnit.MILLISECONDS));
+        group.forEach(loop -> loop.schedule(
+                () -> LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(forMs)), afterMs, TimeUnit.MILLISECONDS));
     }
 
     public History history() {
--- a/fleet/src/main/java/martenlatch/fleet/rig/FrontDriver.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FrontDriver.java
@@ -17,6 +17,7 @@
 
     /** Clients give up so much later than they say that they will. */
     static final int GRACE_MS = 250;
+
     private static final String CLIENTS = "clients";
 
     private final List<HttpDriver> drivers = new ArrayList<>();
@@ -36,8 +37,12 @@
         long said = leftNanos - GRACE_MS * 1_000_000L;
         int sidecar = front.pick(history.now(), i -> drivers.get(i).hasIdle());
         String name = "n" + sidecar;
-        history.tell(What.ASKED, CLIENTS, name, id, wish.kind().name() + " " + wish.kind().effect() + " "
-            + said / 1_000_000);
+        history.tell(
+                What.ASKED,
+                CLIENTS,
+                name,
+                id,
+                wish.kind().name() + " " + wish.kind().effect() + " " + said / 1_000_000);
         Call call = drivers.get(sidecar).send(wish, id, retry, said, new Ending() {
             @Override
             public void written() {
--- a/fleet/src/main/java/martenlatch/fleet/rig/RelayCost.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/RelayCost.java
@@ -32,29 +32,33 @@
     private static final int CONNECTIONS = 64;
     private static final double WARM_SECONDS = 3;
 
-    private RelayCost() {
-    }
+    private RelayCost() {}
 
     /** Both reports; the first is that without a relay. */
-    public static List<LoadReport> measure(double rate, double seconds) throws IOException,
-            InterruptedException {
-        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-            new DefaultThreadFactory("links", true),
-            NioIoHandler.newFactory());
+    public static List<LoadReport> measure(double rate, double seconds) throws IOException, InterruptedException {
+        MultiThreadIoEventLoopGroup group =
+                new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("links", true), NioIoHandler.newFactory());
         try (World world = new World(WorldSettings.plain(1, ServiceTime.parse("constant 0")), 0)) {
             InetSocketAddress direct = world.endpoints().get(0).address();
-            StreamLink link = new StreamLink((EventLoop) group.next(), "load", "s0", direct, 1,
-                new LinkWatch() {
-                @Override
-                public void request(String from, String to, String id) {
-                    return;
-                }
+            StreamLink link = new StreamLink(
+                            (EventLoop) group.next(),
+                            "load",
+                            "s0",
+                            direct,
+                            1,
+                            new LinkWatch() {
+                                @Override
+                                public void request(String from, String to, String id) {
+                                    return;
+                                }
 
-                @Override
-                public void late(double ms) {
-                    return;
-                }
-            }, System::nanoTime).listen(new Loopback(ProcessHandle.current().pid()).next());
+                                @Override
+                                public void late(double ms) {
+                                    return;
+                                }
+                            },
+                            System::nanoTime)
+                    .listen(new Loopback(ProcessHandle.current().pid()).next());
             return List.of(load(direct, rate, seconds), load(link.address(), rate, seconds));
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -65,8 +69,14 @@
             throws IOException, InterruptedException {
         List<InetSocketAddress> targets = List.of(target);
         List<Kind> kinds = List.of(new Kind("look-up", 1, Kind.Effect.REPEATABLE, 0, 1000, 0));
-        return new LoadRun(new LoadPlan(targets, 1, CONNECTIONS, WARM_SECONDS), Arrivals.drawn(new Schedule(
-            List.of(new Shape.Constant(rate, seconds + WARM_SECONDS)), true, 1), kinds, 1),
-            (loop, most) -> new HttpDriver(loop, targets, most), second -> { }).run();
+        return new LoadRun(
+                        new LoadPlan(targets, 1, CONNECTIONS, WARM_SECONDS),
+                        Arrivals.drawn(
+                                new Schedule(List.of(new Shape.Constant(rate, seconds + WARM_SECONDS)), true, 1),
+                                kinds,
+                                1),
+                        (loop, most) -> new HttpDriver(loop, targets, most),
+                        second -> {})
+                .run();
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Fault.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Fault.java
@@ -19,11 +19,26 @@
  * @param jar for {@link What#RESTART}, the other build, or empty
  * @param moves for {@link What#RELOAD}, whether the configuration names another discovery
  */
-public record Fault(int number, double atMs, double forMs, What what, List<String> who, List<String> to,
-        Conduct onwards, Conduct backwards, double share, String jar, boolean moves) {
+public record Fault(
+        int number,
+        double atMs,
+        double forMs,
+        What what,
+        List<String> who,
+        List<String> to,
+        Conduct onwards,
+        Conduct backwards,
+        double share,
+        String jar,
+        boolean moves) {
 
     /** What a fault hits. */
-    public enum Aim { SIDECARS, ENDPOINTS, DISCOVERY, LINKS }
+    public enum Aim {
+        SIDECARS,
+        ENDPOINTS,
+        DISCOVERY,
+        LINKS
+    }
 
     /** Kinds of faults. */
     public enum What {
@@ -43,13 +58,19 @@
         TWIN(Aim.SIDECARS, false),
         /** It does not start with the others, but at the fault's end. */
         LATE(Aim.SIDECARS, true),
-        HANG(Aim.ENDPOINTS, false), ERROR(Aim.ENDPOINTS, false), SLOW(Aim.ENDPOINTS, false),
-        RESET(Aim.ENDPOINTS, false), HALF(Aim.ENDPOINTS, false), DEAF(Aim.ENDPOINTS, false),
+        HANG(Aim.ENDPOINTS, false),
+        ERROR(Aim.ENDPOINTS, false),
+        SLOW(Aim.ENDPOINTS, false),
+        RESET(Aim.ENDPOINTS, false),
+        HALF(Aim.ENDPOINTS, false),
+        DEAF(Aim.ENDPOINTS, false),
         /** An endpoint's process dies; at the fault's end it starts again, cold. */
         DIE(Aim.ENDPOINTS, false),
         /** It is told to drain, and discovery tells so; at the fault's end it starts again, cold. */
         DRAIN(Aim.ENDPOINTS, false),
-        SILENT(Aim.DISCOVERY, false), DOWN(Aim.DISCOVERY, false), WRONG(Aim.DISCOVERY, false),
+        SILENT(Aim.DISCOVERY, false),
+        DOWN(Aim.DISCOVERY, false),
+        WRONG(Aim.DISCOVERY, false),
         /** Links have the conduct that the fault says. */
         LINK(Aim.LINKS, false),
         /** All connections of links are reset, once. */
@@ -78,9 +99,11 @@
         }
 
         static What parse(String text) {
-            return Arrays.stream(values()).filter(one -> one.word().equals(text)).findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("fault.do must be one of "
-                    + Arrays.stream(values()).map(What::word).toList() + " but is \"" + text + "\""));
+            return Arrays.stream(values())
+                    .filter(one -> one.word().equals(text))
+                    .findFirst()
+                    .orElseThrow(() -> new IllegalArgumentException("fault.do must be one of "
+                            + Arrays.stream(values()).map(What::word).toList() + " but is \"" + text + "\""));
         }
     }
 
@@ -101,14 +124,19 @@
 
     /** Whether it is one of a link between these two, in either direction. */
     public boolean isOn(String one, String other) {
-        return what.aim() == Aim.LINKS && (who.contains(one) && to.contains(other)
-            || who.contains(other) && to.contains(one));
+        return what.aim() == Aim.LINKS
+                && (who.contains(one) && to.contains(other) || who.contains(other) && to.contains(one));
     }
 
     @Override
     public String toString() {
-        return String.format(Locale.ROOT, "%.1f s: %s of %s%s%s", atMs / 1000, what.word(), String.join(" ",
-            who), to.isEmpty() ? "" : " to " + String.join(" ", to),
-            Double.isInfinite(forMs) ? "" : String.format(Locale.ROOT, " for %.1f s", forMs / 1000));
+        return String.format(
+                Locale.ROOT,
+                "%.1f s: %s of %s%s%s",
+                atMs / 1000,
+                what.word(),
+                String.join(" ", who),
+                to.isEmpty() ? "" : " to " + String.join(" ", to),
+                Double.isInfinite(forMs) ? "" : String.format(Locale.ROOT, " for %.1f s", forMs / 1000));
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Hold.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Hold.java
@@ -13,12 +13,10 @@
 
     public Hold {
         if (!(recoverySeconds >= 0)) {
-            throw new IllegalArgumentException("hold.recovery-seconds must be 0 or more but is "
-                + recoverySeconds);
+            throw new IllegalArgumentException("hold.recovery-seconds must be 0 or more but is " + recoverySeconds);
         }
         if (!(amplification >= 1)) {
-            throw new IllegalArgumentException("hold.amplification must be 1 or more but is "
-                + amplification);
+            throw new IllegalArgumentException("hold.amplification must be 1 or more but is " + amplification);
         }
         if (!(served >= 0 && served <= 1)) {
             throw new IllegalArgumentException("hold.served must be 0 to 1 but is " + served);
--- a/fleet/src/main/java/martenlatch/fleet/scenario/LinkFaults.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/LinkFaults.java
@@ -8,8 +8,7 @@
 /** The faults that are on links at a time, and what they come to: the same for relays and in simulation. */
 public final class LinkFaults {
 
-    private record One(Fault fault, Set<String> from, Set<String> to) {
-    }
+    private record One(Fault fault, Set<String> from, Set<String> to) {}
 
     private final List<One> active = new ArrayList<>();
 
--- a/fleet/src/main/java/martenlatch/fleet/scenario/ListService.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/ListService.java
@@ -18,8 +18,7 @@
             throw new IllegalArgumentException("discovery." + e.getMessage(), e);
         }
         if (!(askWithinMs >= 100 && askWithinMs <= 600_000)) {
-            throw new IllegalArgumentException("discovery.ask-within-ms must be 100 to 600000 but is "
-                + askWithinMs);
+            throw new IllegalArgumentException("discovery.ask-within-ms must be 100 to 600000 but is " + askWithinMs);
         }
     }
 
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Load.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Load.java
@@ -17,7 +17,7 @@
         public ClassOf {
             if (!(aimMs > 0 && aimMs <= kind.deadlineMs())) {
                 throw new IllegalArgumentException("class.aim-ms must be above 0 and within deadline-ms ("
-                    + kind.deadlineMs() + ") but is " + aimMs);
+                        + kind.deadlineMs() + ") but is " + aimMs);
             }
             if (!(worth > 0 && worth <= 1e6)) {
                 throw new IllegalArgumentException("class.worth must be above 0 but is " + worth);
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Scenario.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Scenario.java
@@ -24,22 +24,46 @@
  * @param discovery how it works through calls
  * @param faults by their times, with the parts that the seed has them hit
  */
-public record Scenario(String name, String about, long seed, double seconds, Sizes sizes, Load load,
-        WorldSettings world, ListService discovery, List<Fault> faults, Hold hold) {
+public record Scenario(
+        String name,
+        String about,
+        long seed,
+        double seconds,
+        Sizes sizes,
+        Load load,
+        WorldSettings world,
+        ListService discovery,
+        List<Fault> faults,
+        Hold hold) {
 
-    private static final Set<String> NAMES = Set.of("name", "about", "seed", "seconds", "fleet", "load",
-        "class", "endpoint", "discovery", "fault", "hold");
+    private static final Set<String> NAMES = Set.of(
+            "name", "about", "seed", "seconds", "fleet", "load", "class", "endpoint", "discovery", "fault", "hold");
     private static final Set<String> DISCOVERY = Set.of("call-ms", "most-wait-ms", "ask-within-ms");
     private static final Set<String> FLEET = Set.of("sidecars", "endpoints", "zones", "peers");
     private static final Set<String> LOAD = Set.of("rate", "skew", "notice-ms");
-    private static final Set<String> CLASS = Set.of("name", "share", "effect", "body-bytes", "aim-ms",
-        "deadline-ms", "retries", "worth");
+    private static final Set<String> CLASS =
+            Set.of("name", "share", "effect", "body-bytes", "aim-ms", "deadline-ms", "retries", "worth");
     private static final Set<String> ENDPOINT = Set.of("service", "slots", "queue", "cold-ms", "cold-factor");
-    private static final Set<String> FAULT = Set.of("at", "for", "do", "who", "from", "to", "direction",
-        "cut", "delay-ms", "jitter-ms", "loss", "duplicate", "reorder", "rate", "half", "share", "jar",
-        "moves");
-    private static final Set<String> HOLD = Set.of("recovery-seconds", "amplification", "served",
-        "list-refusals");
+    private static final Set<String> FAULT = Set.of(
+            "at",
+            "for",
+            "do",
+            "who",
+            "from",
+            "to",
+            "direction",
+            "cut",
+            "delay-ms",
+            "jitter-ms",
+            "loss",
+            "duplicate",
+            "reorder",
+            "rate",
+            "half",
+            "share",
+            "jar",
+            "moves");
+    private static final Set<String> HOLD = Set.of("recovery-seconds", "amplification", "served", "list-refusals");
     private static final double DRAIN_GRACE_MS = 500;
     private static final int MOST_IDS = 5_000_000;
     private static final double MOST_SECONDS = 3600;
@@ -76,16 +100,24 @@
         TomlFile.knownOnly("fleet.", fleet, FLEET);
         List<String> zones = new ArrayList<>();
         fleet.path("zones").forEach(zone -> zones.add(zone.asText()));
-        Sizes sizes = new Sizes(TomlFile.whole("fleet.sidecars", fleet.path("sidecars"), 6),
-            TomlFile.whole("fleet.endpoints", fleet.path("endpoints"), 12), zones.isEmpty() ? List.of("a")
-            : zones, fleet.path("peers").asBoolean(false));
+        Sizes sizes = new Sizes(
+                TomlFile.whole("fleet.sidecars", fleet.path("sidecars"), 6),
+                TomlFile.whole("fleet.endpoints", fleet.path("endpoints"), 12),
+                zones.isEmpty() ? List.of("a") : zones,
+                fleet.path("peers").asBoolean(false));
         long seed = TomlFile.whole("seed", file.path("seed"), 1);
         double seconds = TomlFile.number("seconds", file.path("seconds"), 10);
-        return new Scenario(file.path("name").asText("unnamed"), file.path("about").asText(""), seed,
-            seconds, sizes,
-            load(file), world(file.path("endpoint"), sizes, seed), discovery(file.path("discovery")),
-            faults(file.path("fault"), sizes, seed,
-            seconds), hold(file.path("hold")));
+        return new Scenario(
+                file.path("name").asText("unnamed"),
+                file.path("about").asText(""),
+                seed,
+                seconds,
+                sizes,
+                load(file),
+                world(file.path("endpoint"), sizes, seed),
+                discovery(file.path("discovery")),
+                faults(file.path("fault"), sizes, seed, seconds),
+                hold(file.path("hold")));
     }
 
     private static Load load(JsonNode file) {
@@ -96,38 +128,52 @@
             TomlFile.knownOnly("class.", one, CLASS);
             int deadline = TomlFile.whole("class.deadline-ms", one.path("deadline-ms"), 1000);
             try {
-                Kind kind = new Kind(one.path("name").asText(""), TomlFile.number("class.share",
-                    one.path("share"), 1), Kind.Effect.parse(one.path("effect").asText("")),
-                    TomlFile.whole("class.body-bytes", one.path("body-bytes"), 0), deadline,
-                    TomlFile.whole("class.retries", one.path("retries"), 0));
-                classes.add(new Load.ClassOf(kind, TomlFile.number("class.aim-ms", one.path("aim-ms"),
-                    deadline / 2.0), TomlFile.number("class.worth", one.path("worth"), 1)));
+                Kind kind = new Kind(
+                        one.path("name").asText(""),
+                        TomlFile.number("class.share", one.path("share"), 1),
+                        Kind.Effect.parse(one.path("effect").asText("")),
+                        TomlFile.whole("class.body-bytes", one.path("body-bytes"), 0),
+                        deadline,
+                        TomlFile.whole("class.retries", one.path("retries"), 0));
+                classes.add(new Load.ClassOf(
+                        kind,
+                        TomlFile.number("class.aim-ms", one.path("aim-ms"), deadline / 2.0),
+                        TomlFile.number("class.worth", one.path("worth"), 1)));
             } catch (IllegalArgumentException e) {
-                throw e.getMessage().startsWith("class.") ? e
-                    : new IllegalArgumentException("class." + e.getMessage(), e);
+                throw e.getMessage().startsWith("class.")
+                        ? e
+                        : new IllegalArgumentException("class." + e.getMessage(), e);
             }
         }
-        return new Load(TomlFile.number("load.rate", load.path("rate"), 100),
-            TomlFile.number("load.skew", load.path("skew"), 1),
-            TomlFile.number("load.notice-ms", load.path("notice-ms"), 2000), classes);
+        return new Load(
+                TomlFile.number("load.rate", load.path("rate"), 100),
+                TomlFile.number("load.skew", load.path("skew"), 1),
+                TomlFile.number("load.notice-ms", load.path("notice-ms"), 2000),
+                classes);
     }
 
     private static WorldSettings world(JsonNode one, Sizes sizes, long seed) {
         TomlFile.knownOnly("endpoint.", one, ENDPOINT);
-        return new WorldSettings(sizes.endpoints(), sizes.zones(),
-            ServiceTime.parse(one.path("service").asText("lognormal 8 0.5")),
-            TomlFile.whole("endpoint.slots", one.path("slots"), 16),
-            TomlFile.whole("endpoint.queue", one.path("queue"), 32),
-            TomlFile.number("endpoint.cold-ms", one.path("cold-ms"), 1500),
-            TomlFile.number("endpoint.cold-factor", one.path("cold-factor"), 4), DRAIN_GRACE_MS, 1, MOST_IDS,
-            seed);
+        return new WorldSettings(
+                sizes.endpoints(),
+                sizes.zones(),
+                ServiceTime.parse(one.path("service").asText("lognormal 8 0.5")),
+                TomlFile.whole("endpoint.slots", one.path("slots"), 16),
+                TomlFile.whole("endpoint.queue", one.path("queue"), 32),
+                TomlFile.number("endpoint.cold-ms", one.path("cold-ms"), 1500),
+                TomlFile.number("endpoint.cold-factor", one.path("cold-factor"), 4),
+                DRAIN_GRACE_MS,
+                1,
+                MOST_IDS,
+                seed);
     }
 
     private static ListService discovery(JsonNode one) {
         TomlFile.knownOnly("discovery.", one, DISCOVERY);
-        return new ListService(TomlFile.number("discovery.call-ms", one.path("call-ms"), 0),
-            TomlFile.number("discovery.most-wait-ms", one.path("most-wait-ms"), 1000),
-            TomlFile.number("discovery.ask-within-ms", one.path("ask-within-ms"), 10_000));
+        return new ListService(
+                TomlFile.number("discovery.call-ms", one.path("call-ms"), 0),
+                TomlFile.number("discovery.most-wait-ms", one.path("most-wait-ms"), 1000),
+                TomlFile.number("discovery.ask-within-ms", one.path("ask-within-ms"), 10_000));
     }
 
     private static List<Fault> faults(JsonNode list, Sizes sizes, long seed, double seconds) {
@@ -139,12 +185,11 @@
             Fault fault = fault(one, faults.size(), sizes, random);
             if (fault.atMs() < before) {
                 throw new IllegalArgumentException("fault.at must not be before that of the fault before ("
-                    + before / 1000 + ") but is " + fault.atMs() / 1000);
+                        + before / 1000 + ") but is " + fault.atMs() / 1000);
             }
             if (!(fault.atMs() <= seconds * 1000)) {
-                throw new IllegalArgumentException("fault.at must be within the run's " + seconds
-                    + " seconds but is "
-                    + one.path("at"));
+                throw new IllegalArgumentException(
+                        "fault.at must be within the run's " + seconds + " seconds but is " + one.path("at"));
             }
             before = fault.atMs();
             faults.add(fault);
@@ -162,21 +207,32 @@
         double lasts = TomlFile.number("fault.for", one.path("for"), Double.POSITIVE_INFINITY) * 1000;
         if (!(lasts > 0) || what.mustEnd() && Double.isInfinite(lasts)) {
             throw new IllegalArgumentException("fault.for must be above 0 seconds"
-                + (what.mustEnd() ? ", and be there for " + what.word() : "") + ", but is "
-                + one.path("for"));
+                    + (what.mustEnd() ? ", and be there for " + what.word() : "") + ", but is "
+                    + one.path("for"));
         }
         boolean links = what.aim() == Fault.Aim.LINKS;
-        for (String field : links ? List.of("who", "share", "jar") : List.of("from", "to", "cut", "direction",
-                "delay-ms", "jitter-ms", "loss", "duplicate", "reorder", "rate", "half")) {
+        for (String field : links
+                ? List.of("who", "share", "jar")
+                : List.of(
+                        "from",
+                        "to",
+                        "cut",
+                        "direction",
+                        "delay-ms",
+                        "jitter-ms",
+                        "loss",
+                        "duplicate",
+                        "reorder",
+                        "rate",
+                        "half")) {
             if (one.has(field)) {
-                throw new IllegalArgumentException("fault." + field + " says nothing to " + what.word()
-                    + " but is "
-                    + one.path(field));
+                throw new IllegalArgumentException(
+                        "fault." + field + " says nothing to " + what.word() + " but is " + one.path(field));
             }
         }
         if (one.has("moves") && what != Fault.What.RELOAD) {
-            throw new IllegalArgumentException("fault.moves says nothing to " + what.word() + " but is "
-                + one.path("moves"));
+            throw new IllegalArgumentException(
+                    "fault.moves says nothing to " + what.word() + " but is " + one.path("moves"));
         }
         double share = TomlFile.number("fault.share", one.path("share"), 0.1);
         if (!(share > 0 && share < 1)) {
@@ -184,64 +240,86 @@
         }
         if (!links) {
             Selector who = what.aim() == Fault.Aim.DISCOVERY && !one.has("who")
-                ? new Selector(Selector.Group.DISCOVERY, -1, "", 1)
-                : Selector.parse("fault.who", one.path("who").asText(""), sizes);
-            Selector.Group wanted = switch (what.aim()) {
-                case SIDECARS -> Selector.Group.SIDECAR;
-                case ENDPOINTS -> Selector.Group.ENDPOINT;
-                default -> Selector.Group.DISCOVERY;
-            };
+                    ? new Selector(Selector.Group.DISCOVERY, -1, "", 1)
+                    : Selector.parse("fault.who", one.path("who").asText(""), sizes);
+            Selector.Group wanted =
+                    switch (what.aim()) {
+                        case SIDECARS -> Selector.Group.SIDECAR;
+                        case ENDPOINTS -> Selector.Group.ENDPOINT;
+                        default -> Selector.Group.DISCOVERY;
+                    };
             if (who.group() != wanted) {
-                throw new IllegalArgumentException("fault.who must be of " + wanted.name().toLowerCase(
-                    Locale.ROOT) + "s for " + what.word() + " but is " + one.path("who"));
+                throw new IllegalArgumentException(
+                        "fault.who must be of " + wanted.name().toLowerCase(Locale.ROOT) + "s for " + what.word()
+                                + " but is " + one.path("who"));
             }
-            return new Fault(number, at, lasts, what, who.resolve(sizes, random), List.of(), Conduct.CLEAR,
-                Conduct.CLEAR, share, one.path("jar").asText(""), one.path("moves").asBoolean(false));
+            return new Fault(
+                    number,
+                    at,
+                    lasts,
+                    what,
+                    who.resolve(sizes, random),
+                    List.of(),
+                    Conduct.CLEAR,
+                    Conduct.CLEAR,
+                    share,
+                    one.path("jar").asText(""),
+                    one.path("moves").asBoolean(false));
         }
         Selector from = Selector.parse("fault.from", one.path("from").asText(""), sizes);
         Selector to = Selector.parse("fault.to", one.path("to").asText(""), sizes);
         if (!isLink(from.group(), to.group())) {
             throw new IllegalArgumentException("fault.to must be at the other end of a link from " + from
-                + " (clients to sidecars; sidecars to endpoints, discovery or sidecars) but is "
-                + one.path("to"));
+                    + " (clients to sidecars; sidecars to endpoints, discovery or sidecars) but is "
+                    + one.path("to"));
         }
         Conduct conduct = conduct(one);
         String direction = one.path("direction").asText("both");
         if (!List.of("both", "onwards", "backwards").contains(direction)) {
-            throw new IllegalArgumentException("fault.direction must be both, onwards or backwards but is \""
-                + direction + "\"");
+            throw new IllegalArgumentException(
+                    "fault.direction must be both, onwards or backwards but is \"" + direction + "\"");
         }
-        return new Fault(number, at, lasts, what, from.resolve(sizes, random), to.resolve(sizes, random),
-            direction.equals("backwards") ? Conduct.CLEAR : conduct,
-            direction.equals("onwards") ? Conduct.CLEAR : conduct, share, "", false);
+        return new Fault(
+                number,
+                at,
+                lasts,
+                what,
+                from.resolve(sizes, random),
+                to.resolve(sizes, random),
+                direction.equals("backwards") ? Conduct.CLEAR : conduct,
+                direction.equals("onwards") ? Conduct.CLEAR : conduct,
+                share,
+                "",
+                false);
     }
 
     private static boolean isLink(Selector.Group from, Selector.Group to) {
         return from == Selector.Group.CLIENTS && to == Selector.Group.SIDECAR
-            || from == Selector.Group.SIDECAR && to != Selector.Group.CLIENTS;
+                || from == Selector.Group.SIDECAR && to != Selector.Group.CLIENTS;
     }
 
     private static Conduct conduct(JsonNode one) {
         try {
-            return new Conduct(TomlFile.number("fault.delay-ms", one.path("delay-ms"), 0),
-                TomlFile.number("fault.jitter-ms", one.path("jitter-ms"), 0),
-                TomlFile.number("fault.loss", one.path("loss"), 0),
-                TomlFile.number("fault.duplicate", one.path("duplicate"), 0),
-                TomlFile.number("fault.reorder", one.path("reorder"), 0),
-                TomlFile.number("fault.rate", one.path("rate"), Double.POSITIVE_INFINITY),
-                TomlFile.number("fault.half", one.path("half"), 0), one.path("cut").asBoolean(false));
+            return new Conduct(
+                    TomlFile.number("fault.delay-ms", one.path("delay-ms"), 0),
+                    TomlFile.number("fault.jitter-ms", one.path("jitter-ms"), 0),
+                    TomlFile.number("fault.loss", one.path("loss"), 0),
+                    TomlFile.number("fault.duplicate", one.path("duplicate"), 0),
+                    TomlFile.number("fault.reorder", one.path("reorder"), 0),
+                    TomlFile.number("fault.rate", one.path("rate"), Double.POSITIVE_INFINITY),
+                    TomlFile.number("fault.half", one.path("half"), 0),
+                    one.path("cut").asBoolean(false));
         } catch (IllegalArgumentException e) {
-            throw e.getMessage().startsWith("fault.") ? e : new IllegalArgumentException("fault."
-                + e.getMessage(), e);
+            throw e.getMessage().startsWith("fault.") ? e : new IllegalArgumentException("fault." + e.getMessage(), e);
         }
     }
 
     private static Hold hold(JsonNode hold) {
         TomlFile.knownOnly("hold.", hold, HOLD);
-        return new Hold(TomlFile.number("hold.recovery-seconds", hold.path("recovery-seconds"),
-            Double.POSITIVE_INFINITY),
-            TomlFile.number("hold.amplification", hold.path("amplification"), Double.POSITIVE_INFINITY),
-            TomlFile.number("hold.served", hold.path("served"), 0),
-            TomlFile.number("hold.list-refusals", hold.path("list-refusals"), Double.POSITIVE_INFINITY));
+        return new Hold(
+                TomlFile.number("hold.recovery-seconds", hold.path("recovery-seconds"), Double.POSITIVE_INFINITY),
+                TomlFile.number("hold.amplification", hold.path("amplification"), Double.POSITIVE_INFINITY),
+                TomlFile.number("hold.served", hold.path("served"), 0),
+                TomlFile.number("hold.list-refusals", hold.path("list-refusals"), Double.POSITIVE_INFINITY));
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Selector.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Selector.java
@@ -20,7 +20,10 @@
 
     /** Kinds of parts. */
     public enum Group {
-        SIDECAR("n"), ENDPOINT("s"), DISCOVERY("discovery"), CLIENTS("clients");
+        SIDECAR("n"),
+        ENDPOINT("s"),
+        DISCOVERY("discovery"),
+        CLIENTS("clients");
 
         private final String prefix;
 
@@ -34,9 +37,8 @@
         }
     }
 
-    private static final String FORMS =
-        "sidecar N, sidecars, sidecars zone Z, sidecars random SHARE, the same of "
-        + "endpoints, discovery or clients";
+    private static final String FORMS = "sidecar N, sidecars, sidecars zone Z, sidecars random SHARE, the same of "
+            + "endpoints, discovery or clients";
 
     /** Reads one of a fleet of that size; what names nobody is an exception with field and value. */
     public static Selector parse(String field, String text, Sizes sizes) {
@@ -47,12 +49,11 @@
         }
         if (read.number >= sizes.count(read.group)) {
             throw new IllegalArgumentException(field + " must name one of " + sizes.count(read.group)
-                + ", counted from 0, but is \"" + text + "\"");
+                    + ", counted from 0, but is \"" + text + "\"");
         }
         if (!read.zone.isEmpty() && !sizes.zones().contains(read.zone)) {
-            throw new IllegalArgumentException(field + " must name one of the zones " + sizes.zones()
-                + " but is \""
-                + text + "\"");
+            throw new IllegalArgumentException(
+                    field + " must name one of the zones " + sizes.zones() + " but is \"" + text + "\"");
         }
         return read;
     }
@@ -68,10 +69,10 @@
     }
 
     private static Selector numbered(String[] words) {
-        Group group = words[0].equals("sidecar") ? Group.SIDECAR : words[0].equals("endpoint")
-            ? Group.ENDPOINT : null;
-        return group == null || !words[1].matches("\\d{1,6}") ? null
-            : new Selector(group, Integer.parseInt(words[1]), "", 1);
+        Group group = words[0].equals("sidecar") ? Group.SIDECAR : words[0].equals("endpoint") ? Group.ENDPOINT : null;
+        return group == null || !words[1].matches("\\d{1,6}")
+                ? null
+                : new Selector(group, Integer.parseInt(words[1]), "", 1);
     }
 
     private static Selector some(String[] words) {
@@ -82,8 +83,7 @@
         if (words[1].equals("zone")) {
             return new Selector(all.group, -1, words[2], 1);
         }
-        if (words[1].equals("random") && words[2].matches("0?\\.\\d+|1(\\.0+)?")
-                && Double.parseDouble(words[2]) > 0) {
+        if (words[1].equals("random") && words[2].matches("0?\\.\\d+|1(\\.0+)?") && Double.parseDouble(words[2]) > 0) {
             return new Selector(all.group, -1, "", Double.parseDouble(words[2]));
         }
         return null;
@@ -92,9 +92,10 @@
     /** The parts that it means, in order; what is random of them comes from {@code random}. */
     public List<String> resolve(Sizes sizes, Random random) {
         List<Integer> numbers = new ArrayList<>(IntStream.range(0, sizes.count(group))
-            .filter(i -> (number < 0 || i == number) && (zone.isEmpty()
-            || sizes.zoneOf(i).equals(zone))).boxed()
-            .toList());
+                .filter(i -> (number < 0 || i == number)
+                        && (zone.isEmpty() || sizes.zoneOf(i).equals(zone)))
+                .boxed()
+                .toList());
         if (share < 1) {
             Collections.shuffle(numbers, random);
             numbers = numbers.subList(0, Math.max(1, (int) Math.round(share * numbers.size())));
@@ -109,7 +110,8 @@
         if (group == Group.DISCOVERY || group == Group.CLIENTS) {
             return one;
         }
-        return number >= 0 ? one + " " + number
-            : one + "s" + (zone.isEmpty() ? share < 1 ? " random " + share : "" : " zone " + zone);
+        return number >= 0
+                ? one + " " + number
+                : one + "s" + (zone.isEmpty() ? share < 1 ? " random " + share : "" : " zone " + zone);
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimDiscovery.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimDiscovery.java
@@ -22,11 +22,9 @@
         void refused();
     }
 
-    private record Entry(Endpoint server, long version) {
-    }
+    private record Entry(Endpoint server, long version) {}
 
-    private record Watch(String viewer, long index, Caller caller) {
-    }
+    private record Watch(String viewer, long index, Caller caller) {}
 
     private final History history;
     private final VirtualTime time;
@@ -73,8 +71,7 @@
         if (turn.atMs() <= time.elapsed()) {
             hear(viewer, index, waitMs, caller, turn.refused());
         } else {
-            time.after(turn.atMs() - time.elapsed(),
-                () -> hear(viewer, index, waitMs, caller, turn.refused()));
+            time.after(turn.atMs() - time.elapsed(), () -> hear(viewer, index, waitMs, caller, turn.refused()));
         }
     }
 
@@ -106,13 +103,17 @@
 
     private void answer(Watch watch) {
         switch (manner) {
-            case SILENT -> { }
+            case SILENT -> {}
             case DOWN, WRONG -> watch.caller().refused();
             default -> {
                 ServerList list = list(watch.index());
                 for (ServerList.Entry entry : list.entries()) {
-                    history.tell(What.TOLD, watch.viewer(), entry.server().id(), "",
-                        word(entry.server().status()));
+                    history.tell(
+                            What.TOLD,
+                            watch.viewer(),
+                            entry.server().id(),
+                            "",
+                            word(entry.server().status()));
                 }
                 watch.caller().answered(list);
             }
@@ -130,8 +131,9 @@
     private ServerList list(long since) {
         boolean full = since < 0;
         List<ServerList.Entry> told = entries.values().stream()
-            .filter(one -> one.version() > since && !(full && one.server().status() == EndpointStatus.GONE))
-            .map(one -> new ServerList.Entry(one.server(), null)).toList();
+                .filter(one -> one.version() > since && !(full && one.server().status() == EndpointStatus.GONE))
+                .map(one -> new ServerList.Entry(one.server(), null))
+                .toList();
         return new ServerList(version, full, told);
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimEndpoint.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimEndpoint.java
@@ -17,7 +17,12 @@
     private static final int SLOWNESS = 10;
 
     /** How a request ends there. */
-    enum Reply { OK, ERROR, NOT_RUN, RESET }
+    enum Reply {
+        OK,
+        ERROR,
+        NOT_RUN,
+        RESET
+    }
 
     /** Hears of the end, if there is one. */
     interface Caller {
@@ -114,8 +119,9 @@
 
     private void work(String request, Caller caller) {
         working++;
-        double ms = settings.service().draw(random) * (trouble == Trouble.SLOW ? SLOWNESS : 1)
-            * (time.elapsed() < warmAt ? settings.coldFactor() : 1);
+        double ms = settings.service().draw(random)
+                * (trouble == Trouble.SLOW ? SLOWNESS : 1)
+                * (time.elapsed() < warmAt ? settings.coldFactor() : 1);
         int begun = life;
         time.after(ms, () -> {
             if (begun == life) {
@@ -132,7 +138,7 @@
 
     private void reply(String request, Caller caller) {
         switch (trouble) {
-            case HANGS -> { }
+            case HANGS -> {}
             case RESETS, HALF, GARBLES -> caller.ended(Reply.RESET);
             case ERRORS -> caller.ended(Reply.ERROR);
             default -> {
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimLink.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimLink.java
@@ -12,10 +12,10 @@
 
     /** Within a data centre, one way. */
     static final double BASE_MS = 0.2;
+
     private static final int BYTES = 400;
 
-    private record Held(Runnable arrival) {
-    }
+    private record Held(Runnable arrival) {}
 
     private final VirtualTime time;
     private final LinkModel model;
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
@@ -46,10 +46,12 @@
     private static final int MOST_EVENTS = 50_000_000;
     /** From the start of a process until it serves: what one takes on half a core. */
     private static final double START_MS = 1000;
+
     private static final double LEAVE_MS = 300;
     private static final double CRAWL_MS = 100;
     /** Clients give up so much later than they say, as in runs with real processes. */
     private static final double GRACE_MS = 250;
+
     private static final double BACK_OFF_MS = 100;
     private static final int MOST_DOUBLINGS = 10;
     private static final double CONNECT_TIMEOUT_MS = 150;
@@ -78,8 +80,8 @@
         discovery = new SimDiscovery(history, time, scenario.discovery().queue());
         Sizes sizes = scenario.sizes();
         for (int i = 0; i < sizes.endpoints(); i++) {
-            endpoints.add(new SimEndpoint(Group.ENDPOINT.name(i), time, scenario.world(), history,
-                scenario.seedFor("endpoint " + i)));
+            endpoints.add(new SimEndpoint(
+                    Group.ENDPOINT.name(i), time, scenario.world(), history, scenario.seedFor("endpoint " + i)));
             history.tell(What.ENDPOINT_UP, Group.ENDPOINT.name(i), "", "", "0.0");
             list(i, EndpointStatus.READY);
         }
@@ -93,9 +95,15 @@
             toSidecars[i] = new SimLink(time, scenario.seedFor("to " + i));
             fromSidecars[i] = new SimLink(time, scenario.seedFor("from " + i));
             String name = Group.SIDECAR.name(i);
-            sidecars.add(new SimSidecar(name, time, history, discovery, id -> endpoints.get(number(id)),
-                id -> new SimSidecar.Conducts(onLinks.conduct(name, id, true),
-                    onLinks.conduct(name, id, false)), settings(i), scenario.seedFor("sidecar " + i)));
+            sidecars.add(new SimSidecar(
+                    name,
+                    time,
+                    history,
+                    discovery,
+                    id -> endpoints.get(number(id)),
+                    id -> new SimSidecar.Conducts(onLinks.conduct(name, id, true), onLinks.conduct(name, id, false)),
+                    settings(i),
+                    scenario.seedFor("sidecar " + i)));
         }
     }
 
@@ -105,21 +113,43 @@
 
     private void list(int number, EndpointStatus state) {
         SimEndpoint one = endpoints.get(number);
-        discovery.put(new Endpoint(one.id(), number % scenario.sizes().zones().size(), 0, 0, one.startedMs(),
-            state, 1));
+        discovery.put(
+                new Endpoint(one.id(), number % scenario.sizes().zones().size(), 0, 0, one.startedMs(), state, 1));
     }
 
     /** What a sidecar would be told; the same figures as {@code rig.SidecarConfig} gives real ones. */
     private BalancerSettings settings(int number) {
-        List<RequestClass> kinds = scenario.load().classes().stream().map(one ->
-            new RequestClass(one.kind().name(),
-            one.aimMs(), one.kind().deadlineMs(), one.worth(), 0, idempotency(one.kind().effect()),
-            DeduplicationScope.ALL, KEY_WINDOW_MS, false)).toList();
-        return new BalancerSettings(scenario.sizes().sidecars(), number, number % scenario.sizes().zones().size(), 0,
-            true, false, 1, 0, kinds, List.of(), new AttemptLimits(TRIES, true, true, MOST_COOL_DOWN_MS,
-            CONNECT_TIMEOUT_MS), new EndpointRules(1 / scenario.world().coldFactor(), scenario.world().coldMs(),
-                martenlatch.fleet.judge.Rules.TIP_MULTIPLE, martenlatch.fleet.judge.Rules.FALL_MS,
-                scenario.world().drainGraceMs(), scenario.discovery().askWithinMs()));
+        List<RequestClass> kinds = scenario.load().classes().stream()
+                .map(one -> new RequestClass(
+                        one.kind().name(),
+                        one.aimMs(),
+                        one.kind().deadlineMs(),
+                        one.worth(),
+                        0,
+                        idempotency(one.kind().effect()),
+                        DeduplicationScope.ALL,
+                        KEY_WINDOW_MS,
+                        false))
+                .toList();
+        return new BalancerSettings(
+                scenario.sizes().sidecars(),
+                number,
+                number % scenario.sizes().zones().size(),
+                0,
+                true,
+                false,
+                1,
+                0,
+                kinds,
+                List.of(),
+                new AttemptLimits(TRIES, true, true, MOST_COOL_DOWN_MS, CONNECT_TIMEOUT_MS),
+                new EndpointRules(
+                        1 / scenario.world().coldFactor(),
+                        scenario.world().coldMs(),
+                        martenlatch.fleet.judge.Rules.TIP_MULTIPLE,
+                        martenlatch.fleet.judge.Rules.FALL_MS,
+                        scenario.world().drainGraceMs(),
+                        scenario.discovery().askWithinMs()));
     }
 
     private static Idempotency idempotency(Kind.Effect effect) {
@@ -134,8 +164,8 @@
     public History play(DoubleConsumer live) {
         for (int i = 0; i < sidecars.size(); i++) {
             String name = Group.SIDECAR.name(i);
-            if (scenario.faults().stream().noneMatch(f -> f.what() == Fault.What.LATE
-                && f.who().contains(name))) {
+            if (scenario.faults().stream()
+                    .noneMatch(f -> f.what() == Fault.What.LATE && f.who().contains(name))) {
                 sidecars.get(i).start();
                 front.believe(i, Front.State.UP, 0);
             } else {
@@ -148,9 +178,15 @@
                 time.after(fault.endMs(), () -> end(fault));
             }
         }
-        List<Kind> kinds = scenario.load().classes().stream().map(Load.ClassOf::kind).toList();
-        Arrivals arrivals = Arrivals.drawn(new Schedule(List.of(new Shape.Constant(scenario.load().rate(),
-            scenario.seconds())), true, scenario.seedFor("times")), kinds, scenario.seedFor("kinds"));
+        List<Kind> kinds =
+                scenario.load().classes().stream().map(Load.ClassOf::kind).toList();
+        Arrivals arrivals = Arrivals.drawn(
+                new Schedule(
+                        List.of(new Shape.Constant(scenario.load().rate(), scenario.seconds())),
+                        true,
+                        scenario.seedFor("times")),
+                kinds,
+                scenario.seedFor("kinds"));
         arrive(arrivals);
         for (double at = 1000; at <= scenario.seconds() * 1000; at += 1000) {
             ran += time.runUntil(at);
@@ -200,8 +236,12 @@
             String id = "w" + wish.number() + "-" + tries;
             int to = front.pick(time.elapsed(), number -> sidecars.get(number).takes());
             SimSidecar sidecar = sidecars.get(to);
-            history.tell(What.ASKED, "clients", Group.SIDECAR.name(to), id, wish.kind().name() + " "
-                + wish.kind().effect() + " " + wish.deadlineMs());
+            history.tell(
+                    What.ASKED,
+                    "clients",
+                    Group.SIDECAR.name(to),
+                    id,
+                    wish.kind().name() + " " + wish.kind().effect() + " " + wish.deadlineMs());
             One one = new One(id, Group.SIDECAR.name(to));
             if (!sidecar.takes()) {
                 time.after(2 * SimLink.BASE_MS, () -> one.end("FAILED no connect", Double.NaN));
@@ -218,8 +258,9 @@
                     one.end("FAILED closed", Double.NaN);
                     return;
                 }
-                sidecar.request(new Request(id, classes.get(wish.kind().name()), 0, deadline, tries > 1),
-                    new Answers(one, fromSidecars[to]));
+                sidecar.request(
+                        new Request(id, classes.get(wish.kind().name()), 0, deadline, tries > 1),
+                        new Answers(one, fromSidecars[to]));
             });
             awaitDeath(sidecar, one);
         }
@@ -234,7 +275,7 @@
             private final String id;
             private final String sidecar;
             private boolean ended;
-            private Runnable over = () -> { };
+            private Runnable over = () -> {};
 
             One(String id, String sidecar) {
                 this.id = id;
@@ -248,12 +289,17 @@
                 ended = true;
                 over.run();
                 history.tell(What.ENDED, "clients", sidecar, id, how);
-                boolean harmless = how.startsWith("REFUSED") || how.equals("FAILED no connect")
-                    || wish.kind().effect() != Kind.Effect.UNSAFE;
-                if (!how.startsWith("SERVED") && harmless && tries <= wish.kind().retries()) {
-                    time.after(Double.isNaN(coolDownMs) ? BACK_OFF_MS * (1 << Math.min(MOST_DOUBLINGS,
-                        tries - 1))
-                        : coolDownMs, Wanted.this::attempt);
+                boolean harmless = how.startsWith("REFUSED")
+                        || how.equals("FAILED no connect")
+                        || wish.kind().effect() != Kind.Effect.UNSAFE;
+                if (!how.startsWith("SERVED")
+                        && harmless
+                        && tries <= wish.kind().retries()) {
+                    time.after(
+                            Double.isNaN(coolDownMs)
+                                    ? BACK_OFF_MS * (1 << Math.min(MOST_DOUBLINGS, tries - 1))
+                                    : coolDownMs,
+                            Wanted.this::attempt);
                 }
                 return true;
             }
@@ -290,16 +336,18 @@
     private void begin(Fault fault) {
         active.add(fault);
         onLinks.begin(fault);
-        history.tell(What.FAULT_BEGINS, String.valueOf(fault.number()), String.join(" ", fault.who()), "",
-            fault.toString());
+        history.tell(
+                What.FAULT_BEGINS, String.valueOf(fault.number()), String.join(" ", fault.who()), "", fault.toString());
         switch (fault.what().aim()) {
             case SIDECARS -> fault.who().forEach(name -> begin(fault, number(name)));
             case ENDPOINTS -> fault.who().forEach(name -> endpoint(fault, number(name), true));
-            case DISCOVERY -> discovery.manner(switch (fault.what()) {
-                case SILENT -> Manner.SILENT;
-                case DOWN -> Manner.DOWN;
-                default -> Manner.WRONG;
-            });
+            case DISCOVERY ->
+                discovery.manner(
+                        switch (fault.what()) {
+                            case SILENT -> Manner.SILENT;
+                            case DOWN -> Manner.DOWN;
+                            default -> Manner.WRONG;
+                        });
             default -> links(fault);
         }
     }
@@ -313,8 +361,8 @@
             case DISCOVERY -> discovery.manner(Manner.GOOD);
             default -> links(fault);
         }
-        history.tell(What.FAULT_ENDS, String.valueOf(fault.number()), String.join(" ", fault.who()), "",
-            fault.toString());
+        history.tell(
+                What.FAULT_ENDS, String.valueOf(fault.number()), String.join(" ", fault.who()), "", fault.toString());
     }
 
     private void begin(Fault fault, int number) {
@@ -347,7 +395,7 @@
                 }
             }
             // A second process at one name changes nothing here.
-            default -> { }
+            default -> {}
         }
     }
 
@@ -375,7 +423,7 @@
                 front.believe(number, Front.State.UP, time.elapsed());
             }
             case KILL, TERM, LATE -> start(number);
-            default -> { }
+            default -> {}
         }
     }
 
@@ -395,14 +443,17 @@
     private void endpoint(Fault fault, int number, boolean begins) {
         SimEndpoint one = endpoints.get(number);
         if (fault.what() != Fault.What.DIE && fault.what() != Fault.What.DRAIN) {
-            one.trouble(!begins ? Trouble.NONE : switch (fault.what()) {
-                case HANG -> Trouble.HANGS;
-                case ERROR -> Trouble.ERRORS;
-                case SLOW -> Trouble.SLOW;
-                case RESET -> Trouble.RESETS;
-                case HALF -> Trouble.HALF;
-                default -> Trouble.DEAF;
-            });
+            one.trouble(
+                    !begins
+                            ? Trouble.NONE
+                            : switch (fault.what()) {
+                                case HANG -> Trouble.HANGS;
+                                case ERROR -> Trouble.ERRORS;
+                                case SLOW -> Trouble.SLOW;
+                                case RESET -> Trouble.RESETS;
+                                case HALF -> Trouble.HALF;
+                                default -> Trouble.DEAF;
+                            });
         } else if (!begins) {
             one.restart();
             broken(one);
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimSidecar.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimSidecar.java
@@ -37,11 +37,11 @@
 
     /** How it drains ({@code sidecar.Sidecar}): the last new request, every answer, its end. */
     private static final double LAST_CALL_MS = 2700;
+
     private static final double ANSWERED_MS = 3400;
 
     /** Both directions of a link. */
-    record Conducts(Conduct onwards, Conduct backwards) {
-    }
+    record Conducts(Conduct onwards, Conduct backwards) {}
 
     /** Links to one endpoint, made when they are first used. */
     private final class Way {
@@ -82,6 +82,7 @@
     private final Deque<Runnable> waiting = new ArrayDeque<>();
     /** Who waits for this process's end. */
     private final List<Runnable> endings = new ArrayList<>();
+
     private Exchange exchange;
     private boolean paused;
     private boolean alive;
@@ -91,8 +92,14 @@
     /** How links to an endpoint, or to discovery, are at this time. */
     private final Function<String, Conducts> conducts;
 
-    SimSidecar(String name, VirtualTime time, History history, SimDiscovery discovery,
-            Function<String, SimEndpoint> endpoints, Function<String, Conducts> conducts, BalancerSettings settings,
+    SimSidecar(
+            String name,
+            VirtualTime time,
+            History history,
+            SimDiscovery discovery,
+            Function<String, SimEndpoint> endpoints,
+            Function<String, Conducts> conducts,
+            BalancerSettings settings,
             long seed) {
         this.name = name;
         this.time = time;
@@ -125,8 +132,8 @@
         Time own = new OwnTime();
         Complaints complaints = new Complaints(time, new PrintStream(OutputStream.nullOutputStream()));
         watch = new ListWatch(own, new Line(), complaints, () -> Pace.next(settings, moves));
-        exchange = new Exchange(own, complaints, new Table(), watch::watch, settings, seed * 31 + life,
-            known, Witness.NONE);
+        exchange = new Exchange(
+                own, complaints, new Table(), watch::watch, settings, seed * 31 + life, known, Witness.NONE);
         watch.listen(exchange, known.version());
         history.tell(What.PROCESS, name, "", "", "serves");
     }
@@ -209,11 +216,12 @@
     void request(Request request, Client client) {
         enter(life, () -> {
             double latest = leavesAt + ANSWERED_MS - time.elapsed() + time.now();
-            Request taken = request.deadlineMs() <= latest ? request
-                : new Request(request.id(), request.classIndex(), request.tenantIndex(), latest,
-                request.clientRetry());
-            exchange.request(taken, (server, wait, notAfter, ending) ->
-                send(request.id(), server, notAfter, ending), client);
+            Request taken = request.deadlineMs() <= latest
+                    ? request
+                    : new Request(
+                            request.id(), request.classIndex(), request.tenantIndex(), latest, request.clientRetry());
+            exchange.request(
+                    taken, (server, wait, notAfter, ending) -> send(request.id(), server, notAfter, ending), client);
         });
     }
 
@@ -232,11 +240,13 @@
         public Timer after(double ms, Runnable task) {
             int mine = life;
             boolean[] cancelled = new boolean[1];
-            Timer timer = time.after(ms, () -> enter(mine, () -> {
-                if (!cancelled[0]) {
-                    task.run();
-                }
-            }));
+            Timer timer = time.after(
+                    ms,
+                    () -> enter(mine, () -> {
+                        if (!cancelled[0]) {
+                            task.run();
+                        }
+                    }));
             return () -> {
                 cancelled[0] = true;
                 timer.cancel();
@@ -267,8 +277,7 @@
     // ---- attempts ----
 
     private Way way(String server) {
-        return ways.computeIfAbsent(server, id -> new Way(endpoints.apply(id), seed * 1_000_003
-            + id.hashCode()));
+        return ways.computeIfAbsent(server, id -> new Way(endpoints.apply(id), seed * 1_000_003 + id.hashCode()));
     }
 
     private final class Sent implements Carrier.Attempt {
@@ -301,28 +310,32 @@
             return sent;
         }
         double up = 2 * SimLink.BASE_MS;
-        Time.Timer failed = time.after(settings.limits().connectTimeoutMs(), () -> enter(mine, () -> {
-            if (!sent.written && !sent.over) {
-                sent.over = true;
-                ending.ended(AttemptOutcome.CONNECT_ERROR, null);
-            }
-        }));
+        Time.Timer failed = time.after(
+                settings.limits().connectTimeoutMs(),
+                () -> enter(mine, () -> {
+                    if (!sent.written && !sent.over) {
+                        sent.over = true;
+                        ending.ended(AttemptOutcome.CONNECT_ERROR, null);
+                    }
+                }));
         if (!way.isCut()) {
-            time.after(up, () -> enter(mine, () -> {
-                if (sent.over) {
-                    return;
-                }
-                failed.cancel();
-                if (time.now() > notAfter) {
-                    sent.over = true;
-                    ending.ended(AttemptOutcome.NOT_EXECUTED, null);
-                } else if (way.endpoint.isAlive()) {
-                    write(way, id, sent, ending, mine);
-                } else {
-                    sent.over = true;
-                    ending.ended(AttemptOutcome.CONNECT_ERROR, null);
-                }
-            }));
+            time.after(
+                    up,
+                    () -> enter(mine, () -> {
+                        if (sent.over) {
+                            return;
+                        }
+                        failed.cancel();
+                        if (time.now() > notAfter) {
+                            sent.over = true;
+                            ending.ended(AttemptOutcome.NOT_EXECUTED, null);
+                        } else if (way.endpoint.isAlive()) {
+                            write(way, id, sent, ending, mine);
+                        } else {
+                            sent.over = true;
+                            ending.ended(AttemptOutcome.CONNECT_ERROR, null);
+                        }
+                    }));
         }
         return sent;
     }
@@ -331,22 +344,24 @@
         sent.written = true;
         history.tell(What.SENT, name, way.endpoint.id(), id, "");
         boolean[] answered = new boolean[1];
-        way.onwards.send(() -> way.endpoint.receive(id, reply -> way.backwards.send(() -> enter(mine, () -> {
-            if (sent.over || answered[0]) {
-                return;
-            }
-            answered[0] = true;
-            sent.over = true;
-            if (reply != SimEndpoint.Reply.RESET) {
-                way.idle++;
-            }
-            switch (reply) {
-                case OK -> ending.ended(AttemptOutcome.OK, new Answer(200, false, true, null, new byte[0]));
-                case ERROR -> ending.ended(AttemptOutcome.FAILED, null);
-                case NOT_RUN -> ending.ended(AttemptOutcome.REJECTED_QUEUE_FULL, null);
-                default -> ending.ended(AttemptOutcome.RESET, null);
-            }
-        }))));
+        way.onwards.send(() -> way.endpoint.receive(
+                id,
+                reply -> way.backwards.send(() -> enter(mine, () -> {
+                    if (sent.over || answered[0]) {
+                        return;
+                    }
+                    answered[0] = true;
+                    sent.over = true;
+                    if (reply != SimEndpoint.Reply.RESET) {
+                        way.idle++;
+                    }
+                    switch (reply) {
+                        case OK -> ending.ended(AttemptOutcome.OK, new Answer(200, false, true, null, new byte[0]));
+                        case ERROR -> ending.ended(AttemptOutcome.FAILED, null);
+                        case NOT_RUN -> ending.ended(AttemptOutcome.REJECTED_QUEUE_FULL, null);
+                        default -> ending.ended(AttemptOutcome.RESET, null);
+                    }
+                }))));
     }
 
     // ---- the watch on discovery ----
--- a/fleet/src/main/java/martenlatch/fleet/sim/VirtualTime.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/VirtualTime.java
@@ -11,6 +11,7 @@
 
     /** Any moment will do; endpoints' start times must lie above 0. */
     private static final double START_MS = 1.7e12;
+
     private static final double NANOS_IN_MS = 1e6;
 
     private static final class Task implements Comparable<Task>, Timer {
--- a/fleet/src/test/java/martenlatch/fleet/cli/MainTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/cli/MainTest.java
@@ -36,16 +36,19 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"pause", "one-way", "third-killed", "discovery-silent", "lossy-zone",
-        "moved-together"})
+    @ValueSource(strings = {"pause", "one-way", "third-killed", "discovery-silent", "lossy-zone", "moved-together"})
     void whatTheScenarioAsksHolds(String name) throws Exception {
         Path json = folder.resolve("report.json");
         Path page = folder.resolve("report.html");
-        assertEquals(0, run("run", name, "--quiet", "--root", "..", "--json", json.toString(), "--html",
-            page.toString()), () -> text(json));
+        assertEquals(
+                0,
+                run("run", name, "--quiet", "--root", "..", "--json", json.toString(), "--html", page.toString()),
+                () -> text(json));
         JsonNode report = new ObjectMapper().readTree(json.toFile());
         assertEquals("HELD", report.path("outcome").asText());
-        assertTrue(report.path("figures").path("asked").asInt() > 1200, report.path("figures").toString());
+        assertTrue(
+                report.path("figures").path("asked").asInt() > 1200,
+                report.path("figures").toString());
         assertTrue(report.path("faults").size() > 0);
         assertTrue(Files.readString(page).contains("HELD"));
     }
--- a/fleet/src/test/java/martenlatch/fleet/explore/ShrinkTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/explore/ShrinkTest.java
@@ -28,15 +28,21 @@
     void nothingMoreCanBeLeftOut() {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
-            List<Integer> all = IntStream.range(0, 1 + random.nextInt(30)).boxed().toList();
+            List<Integer> all =
+                    IntStream.range(0, 1 + random.nextInt(30)).boxed().toList();
             int sum = 1 + random.nextInt(all.stream().mapToInt(i -> i + 1).sum());
             Predicate<List<Integer>> fails =
-                plan -> plan.stream().mapToInt(i -> i + 1).sum() >= sum;
+                    plan -> plan.stream().mapToInt(i -> i + 1).sum() >= sum;
             List<Integer> left = Shrink.of(all, fails);
             assertEquals(true, fails.test(left));
             for (Integer one : left) {
-                assertEquals(false, left.size() > 1
-                    && fails.test(left.stream().filter(i -> !i.equals(one)).toList()), "seed " + seed);
+                assertEquals(
+                        false,
+                        left.size() > 1
+                                && fails.test(left.stream()
+                                        .filter(i -> !i.equals(one))
+                                        .toList()),
+                        "seed " + seed);
             }
         }
     }
--- a/fleet/src/test/java/martenlatch/fleet/judge/JudgesTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/judge/JudgesTest.java
@@ -7,8 +7,8 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import martenlatch.fleet.history.Event.What;
 import martenlatch.fleet.history.Event;
+import martenlatch.fleet.history.Event.What;
 import martenlatch.fleet.scenario.Scenario;
 import org.junit.jupiter.api.Test;
 
@@ -62,8 +62,9 @@
 
     private void assertFound(String judge, String id) {
         Verdict verdict = verdict("");
-        assertEquals(List.of(judge + " " + id), verdict.findings().stream().map(f -> f.judge() + " "
-            + f.id()).toList());
+        assertEquals(
+                List.of(judge + " " + id),
+                verdict.findings().stream().map(f -> f.judge() + " " + f.id()).toList());
         assertEquals(Verdict.Outcome.BROKEN, verdict.outcome());
     }
 
@@ -94,8 +95,8 @@
     @Test
     void whatALinkSpoilsIsNotTheSidecars() {
         asked(1100, "r1").ended(1200, "r1", "FAILED reset");
-        assertClean("[[fault]]\nat = 1\nfor = 1\ndo = \"link\"\nfrom = \"clients\"\n"
-            + "to = \"sidecar 0\"\nhalf = 0.5\n");
+        assertClean(
+                "[[fault]]\nat = 1\nfor = 1\ndo = \"link\"\nfrom = \"clients\"\n" + "to = \"sidecar 0\"\nhalf = 0.5\n");
         assertFound("lost", "r1");
     }
 
@@ -125,8 +126,10 @@
     @Test
     void whatIsSentAfterADrainWasToldIsNamed() {
         at(100, What.TOLD, "n0", "s0", "", "terminating");
-        asked(400, "r1").at(600, What.SENT, "n0", "s0", "r1", "").at(2000, What.RAN, "s0", "", "r1", "")
-            .ended(2100, "r1", "FAILED status 502");
+        asked(400, "r1")
+                .at(600, What.SENT, "n0", "s0", "r1", "")
+                .at(2000, What.RAN, "s0", "", "r1", "")
+                .ended(2100, "r1", "FAILED status 502");
         assertClean("");
         asked(500, "r2").ran(700, "r2", "s0").ended(800, "r2", "SERVED");
         asked(500, "r3").ran(700, "r3", "s1").ended(800, "r3", "SERVED");
@@ -136,8 +139,9 @@
     /** What a process was told is not known to the next one, which starts from a list of its own. */
     @Test
     void aRestartForgetsWhatWasTold() {
-        at(100, What.TOLD, "n0", "s0", "", "terminating").at(200, What.PROCESS, "n0", "", "", "killed")
-            .at(1200, What.PROCESS, "n0", "", "", "serves");
+        at(100, What.TOLD, "n0", "s0", "", "terminating")
+                .at(200, What.PROCESS, "n0", "", "", "killed")
+                .at(1200, What.PROCESS, "n0", "", "", "serves");
         asked(1500, "r1").ran(1510, "r1", "s0").ended(1600, "r1", "SERVED");
         assertClean("");
     }
@@ -147,10 +151,11 @@
         at(100, What.TOLD, "n0", "s0", "", "terminating");
         asked(500, "r1").ran(2500, "r1", "s0").ended(2600, "r1", "SERVED");
         String cut = "[[fault]]\nat = 0\nfor = 2\ndo = \"link\"\nfrom = \"sidecar 0\"\n"
-            + "to = \"discovery\"\ncut = true\n";
+                + "to = \"discovery\"\ncut = true\n";
         assertClean(cut);
         asked(500, "r2").ran(2600, "r2", "s0").ended(2700, "r2", "SERVED");
-        assertEquals(List.of("r2"), verdict(cut).findings().stream().map(Finding::id).toList());
+        assertEquals(
+                List.of("r2"), verdict(cut).findings().stream().map(Finding::id).toList());
     }
 
     /** Warm it does 100 a second, cold 25: three times that for 1.5 s, and what chance adds, are 144. */
@@ -197,13 +202,15 @@
     @Test
     void whoDoesNotAskCountsAsTold() {
         String often = "[discovery]\nask-within-ms = 2000\n";
-        at(-5, What.PROCESS, "n0", "", "", "serves").at(1000, What.CHANGED, "discovery", "s0", "",
-            "terminating");
+        at(-5, What.PROCESS, "n0", "", "", "serves").at(1000, What.CHANGED, "discovery", "s0", "", "terminating");
         asked(3400, "r1").ran(3410, "r1", "s0").ended(3450, "r1", "SERVED");
         assertClean(often);
         asked(3550, "r2").ran(3560, "r2", "s0").ended(3570, "r2", "SERVED");
-        assertEquals(List.of("drain r2"), verdict(often).findings().stream().map(f -> f.judge() + " "
-            + f.id()).toList());
+        assertEquals(
+                List.of("drain r2"),
+                verdict(often).findings().stream()
+                        .map(f -> f.judge() + " " + f.id())
+                        .toList());
         assertClean("");
         // While discovery says nothing there is nothing to hear, and then four times as long is allowed.
         assertClean(often + "[[fault]]\nat = 2\nfor = 0.5\ndo = \"silent\"\n");
@@ -212,8 +219,7 @@
     /** What a lossy link has swallowed is sent again long after the loss is over (plan 41 of calm). */
     @Test
     void whatALossyLinkHeldBackIsToldLater() {
-        String fault = "[[fault]]\nat = 1\nfor = 1\ndo = \"link\"\nfrom = \"sidecar 0\"\n"
-            + "to = \"discovery\"\n";
+        String fault = "[[fault]]\nat = 1\nfor = 1\ndo = \"link\"\nfrom = \"sidecar 0\"\n" + "to = \"discovery\"\n";
         at(1500, What.TOLD, "n0", "s0", "", "terminating");
         asked(3000, "r1").ran(3010, "r1", "s0").ended(3050, "r1", "SERVED");
         assertClean(fault + "loss = 0.4\n");
--- a/fleet/src/test/java/martenlatch/fleet/launch/ReaperTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/launch/ReaperTest.java
@@ -41,8 +41,8 @@
 
     private List<Path> left() {
         try (Stream<Path> all = Files.list(folder)) {
-            return all.filter(path ->
-                path.getFileName().toString().startsWith("martenlatch-fleet-")).toList();
+            return all.filter(path -> path.getFileName().toString().startsWith("martenlatch-fleet-"))
+                    .toList();
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -52,8 +52,7 @@
         List<Long> pids = new ArrayList<>();
         for (Path one : left()) {
             try {
-                Files.readAllLines(one.resolve("processes")).forEach(l ->
-                    pids.add(Long.parseLong(l.split(" ")[0])));
+                Files.readAllLines(one.resolve("processes")).forEach(l -> pids.add(Long.parseLong(l.split(" ")[0])));
             } catch (IOException e) {
                 continue;
             }
@@ -76,10 +75,18 @@
             List<Long> pids = processes();
             assertEquals(6, pids.size());
             assertTrue(pids.stream().allMatch(pid -> ProcessHandle.of(pid).isPresent()));
-            assertEquals(0, new ProcessBuilder("kill", "-" + signal, "" + rig.pid()).start().waitFor());
+            assertEquals(
+                    0,
+                    new ProcessBuilder("kill", "-" + signal, "" + rig.pid())
+                            .start()
+                            .waitFor());
             await("the rig ends", () -> !rig.isAlive());
-            await("its processes end", () -> pids.stream().noneMatch(pid -> ProcessHandle.of(pid)
-                .filter(ProcessHandle::isAlive).isPresent()));
+            await(
+                    "its processes end",
+                    () -> pids.stream()
+                            .noneMatch(pid -> ProcessHandle.of(pid)
+                                    .filter(ProcessHandle::isAlive)
+                                    .isPresent()));
             await("its folder goes", () -> left().isEmpty());
         } finally {
             rig.destroyForcibly();
@@ -92,9 +99,13 @@
         Process rig = rig();
         try (var out = rig.inputReader()) {
             assertTrue(out.readLine().contains("served"));
-            assertEquals(0, new ProcessBuilder("kill", "-STOP", "" + rig.pid()).start().waitFor());
+            assertEquals(
+                    0,
+                    new ProcessBuilder("kill", "-STOP", "" + rig.pid()).start().waitFor());
             Thread.sleep(STARVED_MS);
-            assertEquals(0, new ProcessBuilder("kill", "-CONT", "" + rig.pid()).start().waitFor());
+            assertEquals(
+                    0,
+                    new ProcessBuilder("kill", "-CONT", "" + rig.pid()).start().waitFor());
             List<String> lines = out.lines().toList();
             assertEquals(VOID, rig.waitFor(), lines.toString());
             assertTrue(lines.stream().anyMatch(l -> l.contains("beat was ")), lines.toString());
@@ -105,11 +116,18 @@
     }
 
     private Process rig() throws IOException {
-        return new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-Djava.io.tmpdir=" + folder, "-cp", System.getProperty("java.class.path"),
-            "martenlatch.fleet.cli.Main",
-            "run", "calm", "--root", Path.of("..").toAbsolutePath().normalize().toString())
-            .redirectErrorStream(true).start();
+        return new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-Djava.io.tmpdir=" + folder,
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "martenlatch.fleet.cli.Main",
+                        "run",
+                        "calm",
+                        "--root",
+                        Path.of("..").toAbsolutePath().normalize().toString())
+                .redirectErrorStream(true)
+                .start();
     }
 
     /**
@@ -150,11 +168,13 @@
         Files.writeString(file, "run = \"exec java -Xmx64m -jar no.jar serve\"\n");
         DeployFile read = DeployFile.read(folder);
         assertEquals(List.of("java", "-Xmx64m", "-jar", "no.jar", "serve"), read.command());
-        assertEquals("the jar is not built: " + folder.resolve("no.jar"),
-            assertThrows(IllegalArgumentException.class,
-            () -> read.with(read.jar())).getMessage());
+        assertEquals(
+                "the jar is not built: " + folder.resolve("no.jar"),
+                assertThrows(IllegalArgumentException.class, () -> read.with(read.jar()))
+                        .getMessage());
         Files.writeString(file, "run = \"java -jar x.jar | tee log\"\n");
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> DeployFile.read(folder)).getMessage()
-            .startsWith("run must be exec and a plain command but is"));
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> DeployFile.read(folder))
+                .getMessage()
+                .startsWith("run must be exec and a plain command but is"));
     }
 }
--- a/fleet/src/test/java/martenlatch/fleet/link/LinkModelTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/link/LinkModelTest.java
@@ -27,9 +27,15 @@
             double before = 0;
             for (int i = 0; i < 50; i++) {
                 if (i % 10 == 0) {
-                    Conduct next = new Conduct(random.nextInt(100), random.nextInt(100),
-                        random.nextDouble() * 0.5, 0,
-                        0, random.nextBoolean() ? NO_BOUND : 1000 + random.nextInt(100_000), 0, false);
+                    Conduct next = new Conduct(
+                            random.nextInt(100),
+                            random.nextInt(100),
+                            random.nextDouble() * 0.5,
+                            0,
+                            0,
+                            random.nextBoolean() ? NO_BOUND : 1000 + random.nextInt(100_000),
+                            0,
+                            false);
                     one.conduct(next);
                     again.conduct(next);
                 }
@@ -81,10 +87,12 @@
 
     @Test
     void conductsAddUpAndBadOnesAreNamed() {
-        Conduct both = new Conduct(5, 1, 0.1, 0, 0, 1000, 0, false).and(new Conduct(7, 2, 0.2, 0, 0,
-            NO_BOUND, 0, true));
+        Conduct both =
+                new Conduct(5, 1, 0.1, 0, 0, 1000, 0, false).and(new Conduct(7, 2, 0.2, 0, 0, NO_BOUND, 0, true));
         assertEquals(new Conduct(12, 3, 0.2, 0, 0, 1000, 0, true), both);
-        assertEquals("loss must be 0.0 to 0.95 but is 1.0", assertThrows(IllegalArgumentException.class,
-            () -> new Conduct(0, 0, 1, 0, 0, NO_BOUND, 0, false)).getMessage());
+        assertEquals(
+                "loss must be 0.0 to 0.95 but is 1.0",
+                assertThrows(IllegalArgumentException.class, () -> new Conduct(0, 0, 1, 0, 0, NO_BOUND, 0, false))
+                        .getMessage());
     }
 }
--- a/fleet/src/test/java/martenlatch/fleet/link/LinksOnSocketsTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/link/LinksOnSocketsTest.java
@@ -32,8 +32,7 @@
     private static final int QUIET_MS = 300;
     private static final int PATIENCE_MS = 20_000;
 
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-        NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Loopback addresses = new Loopback(ProcessHandle.current().pid() + 1);
     private final List<String> heads = new CopyOnWriteArrayList<>();
     private final LinkWatch watch = new LinkWatch() {
@@ -54,9 +53,15 @@
     void listen() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         server.setSoTimeout(PATIENCE_MS);
-        link = new StreamLink((EventLoop) group.next(), "a", "b",
-            (InetSocketAddress) server.getLocalSocketAddress(), 1,
-            watch, System::nanoTime).listen(addresses.next());
+        link = new StreamLink(
+                        (EventLoop) group.next(),
+                        "a",
+                        "b",
+                        (InetSocketAddress) server.getLocalSocketAddress(),
+                        1,
+                        watch,
+                        System::nanoTime)
+                .listen(addresses.next());
     }
 
     @AfterEach
@@ -92,15 +97,16 @@
     @Test
     void aPortThatIsTakenIsNamed() {
         InetSocketAddress taken = (InetSocketAddress) server.getLocalSocketAddress();
-        StreamLink late = new StreamLink((EventLoop) group.next(), "a", "b", taken, 1, watch,
-            System::nanoTime);
-        String said = assertThrows(IllegalStateException.class, () -> late.listen(taken)).getMessage();
+        StreamLink late = new StreamLink((EventLoop) group.next(), "a", "b", taken, 1, watch, System::nanoTime);
+        String said = assertThrows(IllegalStateException.class, () -> late.listen(taken))
+                .getMessage();
         assertTrue(said.startsWith("a to b cannot listen at /127.0.0.1:" + taken.getPort() + ": "), said);
     }
 
     @Test
     void whatIsSentArrivesBothWaysAndSoDoEnds() throws Exception {
-        try (Socket near = connect(); Socket far = accept()) {
+        try (Socket near = connect();
+                Socket far = accept()) {
             near.getOutputStream().write("GET /api HTTP/1.1\r\nX-Request".getBytes());
             assertEquals("GET /api HTTP/1.1\r\nX-Request", read(far, 28));
             near.getOutputStream().write("-Id: r7\r\n\r\n".getBytes());
@@ -121,7 +127,8 @@
      */
     @Test
     void aCutInOneDirectionIsSilentInThatOneOnly() throws Exception {
-        try (Socket near = connect(); Socket far = accept()) {
+        try (Socket near = connect();
+                Socket far = accept()) {
             link.conduct(Conduct.CLEAR, Conduct.SILENT);
             near.getOutputStream().write('q');
             assertEquals('q', far.getInputStream().read());
@@ -140,13 +147,14 @@
     @Test
     void nobodyConnectsThroughACut() throws Exception {
         link.conduct(Conduct.CLEAR, Conduct.SILENT);
-        group.next().submit(() -> { }).sync();
+        group.next().submit(() -> {}).sync();
         Thread.sleep(QUIET_MS);
         try (Socket socket = new Socket()) {
             assertThrows(SocketTimeoutException.class, () -> socket.connect(link.address(), QUIET_MS));
         }
         link.conduct(Conduct.CLEAR, Conduct.CLEAR);
-        try (Socket near = connect(); Socket far = accept()) {
+        try (Socket near = connect();
+                Socket far = accept()) {
             near.getOutputStream().write('x');
             assertEquals('x', far.getInputStream().read());
         }
@@ -154,7 +162,8 @@
 
     @Test
     void refusalsAndResetsAreSeenAtOnce() throws Exception {
-        try (Socket near = connect(); Socket far = accept()) {
+        try (Socket near = connect();
+                Socket far = accept()) {
             near.getOutputStream().write('x');
             assertEquals('x', far.getInputStream().read());
             link.reset();
@@ -164,7 +173,8 @@
         link.refuse(true);
         assertThrows(ConnectException.class, this::connect);
         link.refuse(false);
-        try (Socket near = connect(); Socket far = accept()) {
+        try (Socket near = connect();
+                Socket far = accept()) {
             near.getOutputStream().write('y');
             assertEquals('y', far.getInputStream().read());
         }
@@ -173,12 +183,14 @@
     @Test
     void writesComeTwiceOrHalf() throws Exception {
         link.conduct(new Conduct(0, 0, 0, 1, 0, Double.POSITIVE_INFINITY, 0, false), Conduct.CLEAR);
-        try (Socket near = connect(); Socket far = accept()) {
+        try (Socket near = connect();
+                Socket far = accept()) {
             near.getOutputStream().write("once".getBytes());
             assertEquals("onceonce", read(far, 8));
         }
         link.conduct(new Conduct(0, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 1, false), Conduct.CLEAR);
-        try (Socket near = connect(); Socket far = accept()) {
+        try (Socket near = connect();
+                Socket far = accept()) {
             near.getOutputStream().write("half".getBytes());
             assertThrows(SocketException.class, () -> far.getInputStream().readNBytes(3));
         }
@@ -187,7 +199,8 @@
     @Test
     void aDelayIsKept() throws Exception {
         link.conduct(new Conduct(150, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 0, false), Conduct.CLEAR);
-        try (Socket near = connect(); Socket far = accept()) {
+        try (Socket near = connect();
+                Socket far = accept()) {
             long sent = System.nanoTime();
             near.getOutputStream().write('x');
             assertEquals('x', far.getInputStream().read());
@@ -198,8 +211,7 @@
     /** UDP as the platform gives it: who sends is known by an address of one's own, and directions differ. */
     @Test
     void datagramsGoBetweenMembersAndAreCutOneWay() throws Exception {
-        DatagramLinks links = new DatagramLinks((EventLoop) group.next(), 3, addresses, 1, watch,
-            System::nanoTime);
+        DatagramLinks links = new DatagramLinks((EventLoop) group.next(), 3, addresses, 1, watch, System::nanoTime);
         DatagramSocket[] members = new DatagramSocket[3];
         for (int i = 0; i < members.length; i++) {
             members[i] = new DatagramSocket(addresses.next());
--- a/fleet/src/test/java/martenlatch/fleet/peers/PeerSimTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/peers/PeerSimTest.java
@@ -27,7 +27,9 @@
 
     /** Nobody that runs is called faulty, and after each fault all know each other again. */
     @ParameterizedTest
-    @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = {"MUTE_ONE", "KILL", "LOSS_50"})
+    @EnumSource(
+            mode = EnumSource.Mode.EXCLUDE,
+            names = {"MUTE_ONE", "KILL", "LOSS_50"})
     void nobodyThatRunsIsCalledFaulty(PeerCase what) {
         for (int seed = 1; seed <= SEEDS; seed++) {
             PeerSim sim = what.play(members(seed), seed, Ours::new);
@@ -46,7 +48,9 @@
 
     /** With half of all messages lost some accusation may go through; the fleet is whole soon after. */
     @ParameterizedTest
-    @EnumSource(mode = EnumSource.Mode.INCLUDE, names = {"MUTE_ONE", "LOSS_50"})
+    @EnumSource(
+            mode = EnumSource.Mode.INCLUDE,
+            names = {"MUTE_ONE", "LOSS_50"})
     void whoCannotBeHeardIsBackWhenItCan(PeerCase what) {
         int wrong = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
@@ -64,8 +68,9 @@
             PeerSim sim = PeerCase.KILL.play(members, seed, Ours::new);
             int dead = PeerCase.one(members);
             Map<Integer, Double> at = new HashMap<>();
-            sim.changes().stream().filter(one -> one.peer() == dead && one.now() == PeerState.FAULTY)
-                .forEach(one -> at.putIfAbsent(one.who(), one.atMs() - PeerCase.SETTLE_MS));
+            sim.changes().stream()
+                    .filter(one -> one.peer() == dead && one.now() == PeerState.FAULTY)
+                    .forEach(one -> at.putIfAbsent(one.who(), one.atMs() - PeerCase.SETTLE_MS));
             assertEquals(members - 1, at.size(), "seed " + seed);
             assertTrue(at.values().stream().allMatch(ms -> ms < 7000), "seed " + seed + ": " + at);
         }
@@ -73,8 +78,9 @@
 
     /** However long it stood still, and so did a third of all: back in every view within two seconds. */
     @ParameterizedTest
-    @EnumSource(mode = EnumSource.Mode.INCLUDE, names = {"PAUSE_HALF_SECOND", "PAUSE_2S", "PAUSE_10S",
-        "PAUSE_THIRD_2S", "PAUSE_THIRD_10S"})
+    @EnumSource(
+            mode = EnumSource.Mode.INCLUDE,
+            names = {"PAUSE_HALF_SECOND", "PAUSE_2S", "PAUSE_10S", "PAUSE_THIRD_2S", "PAUSE_THIRD_10S"})
     void whoWakesIsBackWithinTwoSeconds(PeerCase what) {
         for (int seed = 1; seed <= SEEDS / 4; seed++) {
             PeerSim sim = new PeerSim(members(seed), 2, seed, Ours::new);
@@ -101,8 +107,12 @@
             PeerCase.PAUSE_AGAIN.into(sim);
             sim.runUntil(PeerCase.SETTLE_MS + PeerCase.PAUSE_AGAIN.lastsMs() + BACK_MS);
             int paused = PeerCase.one(sim.size());
-            accused += sim.changes().stream().anyMatch(one -> one.who() == paused
-                && one.atMs() >= PeerCase.SETTLE_MS && one.now() == PeerState.SUSPECT) ? 1 : 0;
+            accused += sim.changes().stream()
+                            .anyMatch(one -> one.who() == paused
+                                    && one.atMs() >= PeerCase.SETTLE_MS
+                                    && one.now() == PeerState.SUSPECT)
+                    ? 1
+                    : 0;
         }
         assertTrue(accused <= 3, accused + " of " + SEEDS + " plays");
     }
@@ -140,7 +150,8 @@
             assertEquals(6, view.atLeast(), i + " sees " + view);
             assertEquals(12, view.atMost(), i + " sees " + view);
             assertTrue(view.massed() && !view.cutOff(), i + " sees " + view);
-            assertEquals(new PeerView.Bounds(i % 2 == 0 ? 6 : 0, 6), view.zones().get(0));
+            assertEquals(
+                    new PeerView.Bounds(i % 2 == 0 ? 6 : 0, 6), view.zones().get(0));
         }
     }
 
--- a/fleet/src/test/java/martenlatch/fleet/rig/FleetRunTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/rig/FleetRunTest.java
@@ -10,8 +10,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.stream.Collectors;
-import martenlatch.fleet.history.Event.What;
 import martenlatch.fleet.history.Event;
+import martenlatch.fleet.history.Event.What;
 import martenlatch.fleet.judge.Finding;
 import martenlatch.fleet.judge.Record;
 import martenlatch.fleet.judge.Verdict;
@@ -28,6 +28,7 @@
 
     /** A run that the machine has spoilt says nothing: it is played again, and not for ever. */
     private static final int TRIES = 3;
+
     private static final String SMALL = """
         seconds = %s
         [fleet]
@@ -62,12 +63,12 @@
     private Verdict play(Scenario scenario, int tries, Plant plant) throws Exception {
         Verdict verdict = null;
         for (int i = 0; i < tries && (verdict == null || verdict.outcome() == Verdict.Outcome.VOID); i++) {
-            try (FleetRun run = new FleetRun(scenario,
-                DeployFile.read(Path.of("..").toAbsolutePath().normalize()),
-                    folder)) {
+            try (FleetRun run = new FleetRun(
+                    scenario, DeployFile.read(Path.of("..").toAbsolutePath().normalize()), folder)) {
                 plant.in(run);
-                run.play(second -> { });
-                record = new Record(scenario, run.history().events(), run.history().missing());
+                run.play(second -> {});
+                record = new Record(
+                        scenario, run.history().events(), run.history().missing());
                 verdict = Verdict.of(record);
             }
         }
@@ -80,7 +81,11 @@
     }
 
     private List<String> judges(Verdict verdict) {
-        return verdict.findings().stream().map(Finding::judge).distinct().sorted().toList();
+        return verdict.findings().stream()
+                .map(Finding::judge)
+                .distinct()
+                .sorted()
+                .toList();
     }
 
     /**
@@ -98,44 +103,61 @@
             to = "endpoints"
             duplicate = 0.5
             direction = "onwards"
-            """), run -> { });
-        List<Finding> twice = verdict.findings().stream().filter(f -> f.judge().equals("twice")).toList();
+            """), run -> {});
+        List<Finding> twice = verdict.findings().stream()
+                .filter(f -> f.judge().equals("twice"))
+                .toList();
         assertFalse(twice.isEmpty(), verdict.toString());
-        List<String> ranTwice = record.all(What.RAN).stream().collect(Collectors.groupingBy(Event::id,
-            Collectors.counting())).entrySet().stream().filter(e ->
-            e.getValue() > 1).map(e -> e.getKey()).toList();
+        List<String> ranTwice = record.all(What.RAN).stream()
+                .collect(Collectors.groupingBy(Event::id, Collectors.counting()))
+                .entrySet()
+                .stream()
+                .filter(e -> e.getValue() > 1)
+                .map(e -> e.getKey())
+                .toList();
         assertTrue(ranTwice.containsAll(twice.stream().map(Finding::id).toList()), ranTwice.toString());
     }
 
     /** The same: answers that a relay loses, which the plan does not say, are requests lost. */
     @Test
     void aRelayThatLosesAnswersIsFoundOut() throws Exception {
-        Verdict verdict = play(small("3", ""),
-            run -> run.clientLink(1).conduct(Conduct.CLEAR,
-                new Conduct(60_000, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 0, false)));
+        Verdict verdict = play(
+                small("3", ""),
+                run -> run.clientLink(1)
+                        .conduct(Conduct.CLEAR, new Conduct(60_000, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 0, false)));
         assertTrue(judges(verdict).contains("lost"), verdict.toString());
-        assertTrue(verdict.findings().stream().filter(f -> f.judge().equals("lost"))
-            .allMatch(f -> f.what().startsWith("n1 ")), verdict.toString());
+        assertTrue(
+                verdict.findings().stream()
+                        .filter(f -> f.judge().equals("lost"))
+                        .allMatch(f -> f.what().startsWith("n1 ")),
+                verdict.toString());
     }
 
     /** Guards against a rig that calls the program right, or wrong, for a fault that was not there. */
     @Test
     void aProcessThatDidNotStandStillMakesTheRunVoid() throws Exception {
-        Verdict verdict = play(small("3", """
+        Verdict verdict = play(
+                small("3", """
             [[fault]]
             at = 0.5
             for = 1.5
             do = "pause"
             who = "sidecar 0"
-            """), 1, run -> new Thread(() -> {
-                while (run.history().events().stream().noneMatch(e -> e.detail().equals("paused"))) {
-                    Thread.yield();
-                }
-                run.sidecar(0).resume();
-            }).start());
+            """),
+                1,
+                run -> new Thread(() -> {
+                            while (run.history().events().stream()
+                                    .noneMatch(e -> e.detail().equals("paused"))) {
+                                Thread.yield();
+                            }
+                            run.sidecar(0).resume();
+                        })
+                        .start());
         assertEquals(Verdict.Outcome.VOID, verdict.outcome());
-        assertTrue(verdict.spoilt().stream().anyMatch(one -> one.what().equals(
-            "failed n0 did not stand still for as long as it should")), verdict.spoilt().toString());
+        assertTrue(
+                verdict.spoilt().stream()
+                        .anyMatch(one -> one.what().equals("failed n0 did not stand still for as long as it should")),
+                verdict.spoilt().toString());
     }
 
     /** A relay whose thread has no time passes on what it holds later than its conduct says. */
@@ -151,15 +173,17 @@
             delay-ms = 20
             """), 1, run -> run.stallLinks(1000, 600));
         assertEquals(Verdict.Outcome.VOID, verdict.outcome());
-        assertTrue(verdict.spoilt().stream().anyMatch(one -> one.what().startsWith("link was ")),
-            verdict.spoilt().toString());
+        assertTrue(
+                verdict.spoilt().stream().anyMatch(one -> one.what().startsWith("link was ")),
+                verdict.spoilt().toString());
     }
 
     /** Over UDP: a death is known to all, who stood still accuses nobody, a cut of two alone is no death. */
     @Test
     void sidecarsKnowWhoLives() throws Exception {
-        Scenario plan = Scenario.of(new TomlMapper().readTree(SMALL.replace("sidecars = 3",
-            "sidecars = 5\npeers = true").formatted("16") + """
+        Scenario plan = Scenario.of(new TomlMapper()
+                .readTree(SMALL.replace("sidecars = 3", "sidecars = 5\npeers = true")
+                                .formatted("16") + """
             [[fault]]
             at = 1
             for = 14
@@ -178,24 +202,28 @@
             do = "kill"
             who = "sidecar 4"
             """));
-        Verdict verdict = play(plan, run -> { });
+        Verdict verdict = play(plan, run -> {});
         assertEquals(List.of(), verdict.findings(), verdict.toString());
-        List<String> told = record.all(What.LOG).stream().filter(e -> e.detail().contains(": peer "))
-            .map(e -> e.who() + e.detail().substring(e.detail().indexOf(": peer "))).toList();
+        List<String> told = record.all(What.LOG).stream()
+                .filter(e -> e.detail().contains(": peer "))
+                .map(e -> e.who() + e.detail().substring(e.detail().indexOf(": peer ")))
+                .toList();
         for (int i = 0; i < 4; i++) {
             assertTrue(told.contains("n" + i + ": peer 4: SUSPECT -> FAULTY"), told.toString());
             assertTrue(told.contains("n" + i + ": peer 4: FAULTY -> ALIVE"), told.toString());
         }
         // What is said after the load is over is of the end of all.
-        assertTrue(told.stream().filter(line -> line.endsWith("FAULTY"))
-            .allMatch(line -> line.contains("peer 4:")), told.toString());
+        assertTrue(
+                told.stream().filter(line -> line.endsWith("FAULTY")).allMatch(line -> line.contains("peer 4:")),
+                told.toString());
     }
 
     /** Who hears nobody but is heard, and the other half of a split, are not dead: nobody calls them so. */
     @Test
     void oneSidedCutsAndSplitsAreNoDeaths() throws Exception {
-        Scenario plan = Scenario.of(new TomlMapper().readTree(SMALL.replace("sidecars = 3",
-            "sidecars = 6\npeers = true").formatted("20") + """
+        Scenario plan = Scenario.of(new TomlMapper()
+                .readTree(SMALL.replace("sidecars = 3", "sidecars = 6\npeers = true")
+                                .formatted("20") + """
             [[fault]]
             at = 2
             for = 7
@@ -212,10 +240,14 @@
             to = "sidecars zone east"
             cut = true
             """));
-        Verdict verdict = play(plan, run -> { });
+        Verdict verdict = play(plan, run -> {});
         assertEquals(List.of(), verdict.findings(), verdict.toString());
-        assertEquals(List.of(), record.all(What.LOG).stream().map(e -> e.who() + " " + e.detail())
-            .filter(line -> line.contains(": peer ") && line.endsWith("FAULTY")).toList());
+        assertEquals(
+                List.of(),
+                record.all(What.LOG).stream()
+                        .map(e -> e.who() + " " + e.detail())
+                        .filter(line -> line.contains(": peer ") && line.endsWith("FAULTY"))
+                        .toList());
     }
 
     /** A drain is told, a link delays what is on its way: the sidecar has done nothing wrong. */
@@ -234,7 +266,7 @@
             at = 1.5
             do = "drain"
             who = "endpoint 1"
-            """), run -> { });
+            """), run -> {});
         assertEquals(List.of(), verdict.findings(), verdict.toString());
         assertFalse(record.all(What.TOLD).isEmpty());
     }
@@ -257,7 +289,7 @@
             at = 2
             do = "restart"
             who = "sidecars"
-            """), run -> { });
+            """), run -> {});
         assertEquals(List.of(), verdict.findings(), verdict.toString());
     }
 }
--- a/fleet/src/test/java/martenlatch/fleet/scenario/ScenarioTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/scenario/ScenarioTest.java
@@ -52,41 +52,53 @@
         assertEquals(3, one.faults().get(0).who().size());
         assertEquals(List.of("n0", "n2", "n4", "n6", "n8"), one.faults().get(1).who());
         assertEquals(List.of("s1", "s3"), one.faults().get(1).to());
-        assertTrue(one.faults().get(1).backwards().silent() && !one.faults().get(1).onwards().silent());
-        long others = IntStream.range(0, 20).filter(seed -> {
-            try {
-                return !read(seed, faults).faults().get(0).who().equals(one.faults().get(0).who());
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-        }).count();
+        assertTrue(one.faults().get(1).backwards().silent()
+                && !one.faults().get(1).onwards().silent());
+        long others = IntStream.range(0, 20)
+                .filter(seed -> {
+                    try {
+                        return !read(seed, faults)
+                                .faults()
+                                .get(0)
+                                .who()
+                                .equals(one.faults().get(0).who());
+                    } catch (IOException e) {
+                        throw new IllegalStateException(e);
+                    }
+                })
+                .count();
         assertTrue(others > 10, "another seed, another third");
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "at = 1\\ndo = \"pause\"\\nwho = \"sidecar 0\"|fault.for must be above 0 seconds, and be",
-        "at = -1\\ndo = \"kill\"\\nwho = \"sidecar 0\"|fault.at must be 0 or more seconds but is -1",
-        "at = 11\\ndo = \"kill\"\\nwho = \"sidecar 0\"|fault.at must be within the run's 10.0 seconds",
-        "at = 1\\ndo = \"vanish\"\\nwho = \"sidecar 0\"|fault.do must be one of [pause, crawl,",
-        "at = 1\\ndo = \"kill\"\\nwho = \"sidecar 9\"|fault.who must name one of 9, counted from 0",
-        "at = 1\\ndo = \"kill\"\\nwho = \"endpoint 1\"|fault.who must be of sidecars for kill but is",
-        "at = 1\\ndo = \"kill\"\\nwho = \"sidecars zone south\"|fault.who must name one of the zones",
-        "at = 1\\ndo = \"kill\"\\nwho = \"sidecars random 2\"|fault.who must be sidecar N, sidecars,",
-        "at = 1\\ndo = \"kill\"\\nwho = \"sidecar 1\"\\nwhen = 2|fault.when is no setting; there are [at,",
-        "at = 1\\ndo = \"kill\"\\nwho = \"sidecar 1\"\\nloss = 0.1|fault.loss says nothing to kill",
-        "at = 1\\ndo = \"link\"\\nfrom = \"endpoints\"\\nto = \"sidecars\"|fault.to must be at the other end",
-        "at = 1\\ndo = \"link\"\\nfrom = \"clients\"\\nto = \"sidecars\"\\nloss = 2|fault.loss must be",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "at = 1\\ndo = \"pause\"\\nwho = \"sidecar 0\"|fault.for must be above 0 seconds, and be",
+                "at = -1\\ndo = \"kill\"\\nwho = \"sidecar 0\"|fault.at must be 0 or more seconds but is -1",
+                "at = 11\\ndo = \"kill\"\\nwho = \"sidecar 0\"|fault.at must be within the run's 10.0 seconds",
+                "at = 1\\ndo = \"vanish\"\\nwho = \"sidecar 0\"|fault.do must be one of [pause, crawl,",
+                "at = 1\\ndo = \"kill\"\\nwho = \"sidecar 9\"|fault.who must name one of 9, counted from 0",
+                "at = 1\\ndo = \"kill\"\\nwho = \"endpoint 1\"|fault.who must be of sidecars for kill but is",
+                "at = 1\\ndo = \"kill\"\\nwho = \"sidecars zone south\"|fault.who must name one of the zones",
+                "at = 1\\ndo = \"kill\"\\nwho = \"sidecars random 2\"|fault.who must be sidecar N, sidecars,",
+                "at = 1\\ndo = \"kill\"\\nwho = \"sidecar 1\"\\nwhen = 2|fault.when is no setting; there are [at,",
+                "at = 1\\ndo = \"kill\"\\nwho = \"sidecar 1\"\\nloss = 0.1|fault.loss says nothing to kill",
+                "at = 1\\ndo = \"link\"\\nfrom = \"endpoints\"\\nto = \"sidecars\"|fault.to must be at the other end",
+                "at = 1\\ndo = \"link\"\\nfrom = \"clients\"\\nto = \"sidecars\"\\nloss = 2|fault.loss must be",
+            })
     void whatCannotBeUsedIsNamed(String fault, String message) {
-        String got = assertThrows(IllegalArgumentException.class,
-            () -> read(1, "[[fault]]\n" + fault.replace("\\n", "\n") + "\n")).getMessage();
+        String got = assertThrows(
+                        IllegalArgumentException.class,
+                        () -> read(1, "[[fault]]\n" + fault.replace("\\n", "\n") + "\n"))
+                .getMessage();
         assertTrue(got.startsWith(message), got);
     }
 
     @Test
     void aTimeLineOutOfOrderIsNamed() {
-        String got = assertThrows(IllegalArgumentException.class, () -> read(1, """
+        String got =
+                assertThrows(IllegalArgumentException.class, () -> read(1, """
             [[fault]]
             at = 3
             do = "silent"
--- a/fleet/src/test/java/martenlatch/fleet/sim/SimRunTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/sim/SimRunTest.java
@@ -57,9 +57,11 @@
     @Test
     void aRunRepeatsEventForEvent() {
         Scenario plan = RandomFaults.in(scenario(""), 3, 8);
-        String first = new SimRun(plan).play(at -> { }).digest();
-        assertEquals(first, new SimRun(plan).play(at -> { }).digest());
-        assertNotEquals(first, new SimRun(RandomFaults.in(scenario(""), 4, 8)).play(at -> { }).digest());
+        String first = new SimRun(plan).play(at -> {}).digest();
+        assertEquals(first, new SimRun(plan).play(at -> {}).digest());
+        assertNotEquals(
+                first,
+                new SimRun(RandomFaults.in(scenario(""), 4, 8)).play(at -> {}).digest());
     }
 
     /** Whatever befalls a fleet, the four rules hold, and nothing is left open. */
@@ -68,7 +70,7 @@
         for (int seed = 1; seed <= 40; seed++) {
             Scenario plan = RandomFaults.in(scenario(""), seed, 6);
             SimRun run = new SimRun(plan);
-            Verdict verdict = judged(plan, run.play(at -> { }));
+            Verdict verdict = judged(plan, run.play(at -> {}));
             assertEquals(List.of(), verdict.findings(), "plan " + seed);
             assertEquals(List.of(), verdict.spoilt(), "plan " + seed);
             assertEquals(0, run.open(), "plan " + seed);
@@ -91,7 +93,7 @@
             duplicate = 0.5
             direction = "onwards"
             """);
-        List<Finding> found = judged(plan, new SimRun(plan).play(at -> { })).findings();
+        List<Finding> found = judged(plan, new SimRun(plan).play(at -> {})).findings();
         assertFalse(found.isEmpty());
         assertTrue(found.stream().allMatch(one -> one.judge().equals("twice")), found.toString());
     }
@@ -110,6 +112,6 @@
             do = "restart"
             who = "sidecars"
             """);
-        assertEquals(List.of(), judged(plan, new SimRun(plan).play(at -> { })).findings());
+        assertEquals(List.of(), judged(plan, new SimRun(plan).play(at -> {})).findings());
     }
 }
--- a/sidecar/src/main/java/martenlatch/admin/AdminServer.java
+++ b/sidecar/src/main/java/martenlatch/admin/AdminServer.java
@@ -38,6 +38,7 @@
     public static final int MOST = 16;
     /** Operators are owed an answer within a second: a call is whole by then, or gets an error. */
     private static final int WHOLE_MS = 800;
+
     private static final int MOST_BODY = 4096;
     private static final int MOST_LINE = 2048;
     private static final int MOST_HEAD = 4096;
@@ -46,6 +47,7 @@
     private final Operations operations;
     /** Those that have made no whole call yet, the oldest first. */
     private final Set<Channel> silent = new LinkedHashSet<>();
+
     private int open;
     private Channel listener;
 
@@ -56,18 +58,23 @@
 
     /** Listens for calls. */
     public ChannelFuture listen(InetSocketAddress address) {
-        ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_REUSEADDR, true)
-            .childOption(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel accepted) {
-                    accepted.pipeline().addLast(new HttpServerCodec(MOST_LINE, MOST_HEAD, MOST_BODY),
-                        new HttpObjectAggregator(MOST_BODY, true), new Call());
-                }
-            })
-            .bind(address);
+        ChannelFuture bound = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .childOption(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel accepted) {
+                        accepted.pipeline()
+                                .addLast(
+                                        new HttpServerCodec(MOST_LINE, MOST_HEAD, MOST_BODY),
+                                        new HttpObjectAggregator(MOST_BODY, true),
+                                        new Call());
+                    }
+                })
+                .bind(address);
         listener = bound.channel();
         return bound;
     }
@@ -90,11 +97,14 @@
             if (open > MOST) {
                 silent.iterator().next().close();
             }
-            loop.schedule(() -> {
-                if (silent.contains(ctx.channel())) {
-                    answer(ctx, Operations.Reply.no(408, "no whole call in time"));
-                }
-            }, WHOLE_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        if (silent.contains(ctx.channel())) {
+                            answer(ctx, Operations.Reply.no(408, "no whole call in time"));
+                        }
+                    },
+                    WHOLE_MS,
+                    TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -113,8 +123,11 @@
                 return;
             }
             int query = call.uri().indexOf('?');
-            operations.call(call.method().name(), query < 0 ? call.uri() : call.uri().substring(0, query),
-                ByteBufUtil.getBytes(call.content()), reply -> answer(ctx, reply));
+            operations.call(
+                    call.method().name(),
+                    query < 0 ? call.uri() : call.uri().substring(0, query),
+                    ByteBufUtil.getBytes(call.content()),
+                    reply -> answer(ctx, reply));
         }
 
         private void answer(ChannelHandlerContext ctx, Operations.Reply reply) {
@@ -124,11 +137,12 @@
             }
             answered = true;
             byte[] body = (reply.json() + "\n").getBytes(StandardCharsets.UTF_8);
-            FullHttpResponse made = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(body));
-            made.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length)
-                .set(HttpHeaderNames.CONTENT_TYPE, "application/json")
-                .set(HttpHeaderNames.CONNECTION, "close");
+            FullHttpResponse made = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(body));
+            made.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, body.length)
+                    .set(HttpHeaderNames.CONTENT_TYPE, "application/json")
+                    .set(HttpHeaderNames.CONNECTION, "close");
             ctx.writeAndFlush(made).addListener(ChannelFutureListener.CLOSE);
         }
 
--- a/sidecar/src/main/java/martenlatch/admin/DisabledEndpoints.java
+++ b/sidecar/src/main/java/martenlatch/admin/DisabledEndpoints.java
@@ -34,8 +34,7 @@
     }
 
     /** A change made here that the folder may not show yet, or never will. */
-    private record Change(long number, boolean out) {
-    }
+    private record Change(long number, boolean out) {}
 
     private final Set<String> listed = new HashSet<>();
     private final Map<String, Boolean> former = new LinkedHashMap<>() {
@@ -91,8 +90,8 @@
 
     /** A change could not be kept: it holds in this process until the next call for that endpoint. */
     void notKept(String id, long changeNumber) {
-        changes.computeIfPresent(id, (k, change) -> change.number == changeNumber
-            ? new Change(Long.MAX_VALUE, change.out) : change);
+        changes.computeIfPresent(
+                id, (k, change) -> change.number == changeNumber ? new Change(Long.MAX_VALUE, change.out) : change);
     }
 
     /**
--- a/sidecar/src/main/java/martenlatch/admin/Keeper.java
+++ b/sidecar/src/main/java/martenlatch/admin/Keeper.java
@@ -37,6 +37,7 @@
     private final AtomicInteger waiting = new AtomicInteger();
     /** Touched by the worker's thread alone. */
     private Set<String> last;
+
     private long written;
     private long lastTold = -1;
 
--- a/sidecar/src/main/java/martenlatch/admin/Operations.java
+++ b/sidecar/src/main/java/martenlatch/admin/Operations.java
@@ -24,6 +24,7 @@
 
     /** A call whose change the disk has not taken by then is answered without waiting on: within a second. */
     private static final int KEEP_MS = 600;
+
     private static final JsonFactory JSON = new JsonFactory();
 
     /** The sidecar as its operators see it. */
@@ -171,8 +172,7 @@
             case "/ready" -> answer.accept(state(service.ready() ? 200 : 503));
             case "/peers" -> {
                 String peers = service.peers();
-                answer.accept(peers == null ? Reply.no(404, "started without --peers")
-                    : new Reply(200, peers));
+                answer.accept(peers == null ? Reply.no(404, "started without --peers") : new Reply(200, peers));
             }
             case "/drain", "/undrain" -> {
                 service.drain(path.equals("/drain"));
@@ -198,15 +198,13 @@
         try {
             id = name(body);
         } catch (IOException | IllegalArgumentException e) {
-            String why = e instanceof JsonProcessingException json
-                ? json.getOriginalMessage() : e.getMessage();
+            String why = e instanceof JsonProcessingException json ? json.getOriginalMessage() : e.getMessage();
             answer.accept(Reply.no(400, "the body must be {\"name\":\"ID\"}: " + why));
             return;
         }
         switch (endpoints.set(id, out)) {
             case UNKNOWN -> answer.accept(Reply.no(404, "no list has named an endpoint " + id));
-            case FULL -> answer.accept(Reply.no(503,
-                DisabledEndpoints.MOST_OUT + " endpoints are out already"));
+            case FULL -> answer.accept(Reply.no(503, DisabledEndpoints.MOST_OUT + " endpoints are out already"));
             default -> {
                 complaints.say("by hand: endpoint " + id + (out ? " is out" : " is put back"));
                 service.disabled(Set.copyOf(endpoints.out()));
@@ -234,8 +232,10 @@
                 complaints.log("a call by hand is not kept", wrong);
             }
             if (!answered[0]) {
-                answer.accept(wrong == null ? state(200)
-                    : Reply.no(500, "it holds in this process, but could not be kept: " + wrong));
+                answer.accept(
+                        wrong == null
+                                ? state(200)
+                                : Reply.no(500, "it holds in this process, but could not be kept: " + wrong));
             }
         });
     }
--- a/sidecar/src/main/java/martenlatch/benchlink/BenchLink.java
+++ b/sidecar/src/main/java/martenlatch/benchlink/BenchLink.java
@@ -33,8 +33,9 @@
  */
 public final class BenchLink {
 
-    private static final EndpointListKind[] LIST_KINDS =
-        {EndpointListKind.CACHED, EndpointListKind.FULL, EndpointListKind.DELTA, EndpointListKind.FAILED};
+    private static final EndpointListKind[] LIST_KINDS = {
+        EndpointListKind.CACHED, EndpointListKind.FULL, EndpointListKind.DELTA, EndpointListKind.FAILED
+    };
     private static final EndpointStatus[] STATES = {EndpointStatus.GONE, EndpointStatus.READY, EndpointStatus.DRAINING};
     private static final int LISTS = 16;
 
@@ -42,6 +43,7 @@
     private final OutputStream replies;
     /** The reply in the making: sent whole, so that nothing of a bad batch is acted on. */
     private final ByteArrayOutputStream reply = new ByteArrayOutputStream(1 << 16);
+
     private final JsonGenerator out;
     private final PrintStream complaints;
     private final Map<String, Instance> instances = new HashMap<>();
@@ -53,7 +55,8 @@
     /** An adapter that reads {@code input} and writes {@code output}; warnings go to {@code errors}. */
     public BenchLink(InputStream input, OutputStream output, PrintStream errors) throws IOException {
         JsonFactory factory = JsonFactory.builder()
-            .disable(JsonFactory.Feature.INTERN_FIELD_NAMES).build();
+                .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
+                .build();
         in = factory.createParser(input);
         replies = output;
         out = factory.createGenerator(reply).setRootValueSeparator(null);
@@ -73,8 +76,10 @@
             if (e instanceof WireException) {
                 throw e;
             }
-            throw new WireException("batch " + (batch < 0 ? "(number unread)" : String.valueOf(batch))
-                + (current == null ? "" : ", instance " + current) + ": " + plain(e), e);
+            throw new WireException(
+                    "batch " + (batch < 0 ? "(number unread)" : String.valueOf(batch))
+                            + (current == null ? "" : ", instance " + current) + ": " + plain(e),
+                    e);
         }
     }
 
@@ -85,8 +90,7 @@
     }
 
     /** One instance's part of a batch, as read. */
-    private record Part(String instance, List<Event> events) {
-    }
+    private record Part(String instance, List<Event> events) {}
 
     /** One event with whichever fields it had. */
     private static final class Event {
@@ -397,21 +401,24 @@
             }
             case "Endpoints" -> {
                 EndpointListKind kind = pick(LIST_KINDS, e.mode, "mode");
-                running().onEndpointList(now, kind,
-                    kind == EndpointListKind.FAILED ? List.of() : lists.get(checkRef(e.ref)));
+                running()
+                        .onEndpointList(
+                                now, kind, kind == EndpointListKind.FAILED ? List.of() : lists.get(checkRef(e.ref)));
             }
-            case "Query" -> running().onRequest(now,
-                new Request(e.id, e.type, e.tenant, e.deadline, e.resent));
+            case "Query" -> running().onRequest(now, new Request(e.id, e.type, e.tenant, e.deadline, e.resent));
             case "Accepted" -> running().onStreamStarted(now, e.id, e.hop);
-            case "Finished" -> running().onAttemptFinished(now, new AttemptResult(e.id, e.hop, e.endpoint,
-                outcome(e.reason), e.took, e.done, load(e)));
+            case "Finished" ->
+                running()
+                        .onAttemptFinished(
+                                now,
+                                new AttemptResult(e.id, e.hop, e.endpoint, outcome(e.reason), e.took, e.done, load(e)));
             case "CancelledByClient" -> running().onClientDisconnected(now, e.id);
             case "Fired" -> running().onTimer(now, e.number);
             case "PingResult", "NeighbourSays" -> running();
             default -> {
                 if (unknownKinds.add(e.kind)) {
-                    complaints.println("martenlatch: batch " + batch + ", instance " + current
-                        + ": events of kind '" + e.kind + "' are unknown and skipped");
+                    complaints.println("martenlatch: batch " + batch + ", instance " + current + ": events of kind '"
+                            + e.kind + "' are unknown and skipped");
                 }
             }
         }
--- a/sidecar/src/main/java/martenlatch/cli/Main.java
+++ b/sidecar/src/main/java/martenlatch/cli/Main.java
@@ -30,8 +30,7 @@
     private static final String PEERS = "--peers";
     private static final Set<String> HELP = Set.of("--help", "-h", "help");
 
-    private Main() {
-    }
+    private Main() {}
 
     /** Runs the program until it is done; a failure is one plain line and a status above 0. */
     public static void main(String[] args) throws IOException {
@@ -51,8 +50,7 @@
     }
 
     /** The adapter on streams of the caller's; returns the exit status. */
-    public static int run(String[] args, InputStream in, OutputStream out, PrintStream errors)
-            throws IOException {
+    public static int run(String[] args, InputStream in, OutputStream out, PrintStream errors) throws IOException {
         if (args.length == 1 && HELP.contains(args[0])) {
             out.write((USAGE + "\n").getBytes(StandardCharsets.UTF_8));
             return 0;
@@ -74,28 +72,28 @@
     static int serve(String configFile, String shared, boolean withPeers, PrintStream errors) {
         // Before all else: until there is a handler, SIGHUP ends the program.
         CompletableFuture<Sidecar> running = new CompletableFuture<>();
-        SignalHandler before = Signal.handle(new Signal("HUP"),
-            signal -> running.thenAccept(Sidecar::reload));
+        SignalHandler before = Signal.handle(new Signal("HUP"), signal -> running.thenAccept(Sidecar::reload));
         if (before == SignalHandler.SIG_IGN) {
             // The JVM leaves a signal alone that was ignored when it started.
             errors.println("martenlatch: whoever started this process has it ignore SIGHUP (nohup does): "
-                + "a changed configuration holds from the next start on");
+                    + "a changed configuration holds from the next start on");
         }
         // Clients may come before start returns: a stop by SIGTERM waits for it, and drains.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(running), "drain"));
         try {
             if (configFile == null || configFile.isBlank()) {
-                throw new IllegalArgumentException("GW_CONFIG must name the configuration file but is "
-                    + configFile);
+                throw new IllegalArgumentException("GW_CONFIG must name the configuration file but is " + configFile);
             }
-            Sidecar sidecar = Sidecar.start(Path.of(configFile), shared == null ? null : Path.of(shared),
-                withPeers, errors);
+            Sidecar sidecar =
+                    Sidecar.start(Path.of(configFile), shared == null ? null : Path.of(shared), withPeers, errors);
             running.complete(sidecar);
             return 0;
         } catch (IOException | RuntimeException e) {
             running.completeExceptionally(e);
-            errors.println("martenlatch: " + (e.getMessage() == null ? e.toString()
-                : e.getMessage().lines().findFirst().orElse("")));
+            errors.println("martenlatch: "
+                    + (e.getMessage() == null
+                            ? e.toString()
+                            : e.getMessage().lines().findFirst().orElse("")));
             return 1;
         }
     }
--- a/sidecar/src/main/java/martenlatch/config/SettingsReader.java
+++ b/sidecar/src/main/java/martenlatch/config/SettingsReader.java
@@ -18,8 +18,7 @@
 /** Turns the wire's settings object into {@link BalancerSettings}; what it does not know it passes over. */
 public final class SettingsReader {
 
-    private SettingsReader() {
-    }
+    private SettingsReader() {}
 
     /** Reads any JSON value: objects as maps, arrays as lists. */
     public static Object value(JsonParser in) throws IOException {
@@ -43,38 +42,57 @@
         if (token.isNumeric()) {
             return in.getDoubleValue();
         }
-        return token == JsonToken.VALUE_NULL ? null
-                : token.isBoolean() ? (Object) in.getBooleanValue() : in.getText();
+        return token == JsonToken.VALUE_NULL ? null : token.isBoolean() ? (Object) in.getBooleanValue() : in.getText();
     }
 
     /** The settings that the decisions need, from the object as {@link #value} reads it. */
     public static BalancerSettings settings(Map<String, Object> p) {
         List<RequestClass> classes = new ArrayList<>();
         for (Map<String, Object> c : maps(p, "classes")) {
-            classes.add(new RequestClass(text(c, "name", ""), needed(c, "slo-ms"),
-                    needed(c, "hard-limit-ms"), number(c, "worth", 1), number(c, "late-worth", 0),
-                    effect(text(c, "effect", "once")), group(text(c, "group", "all")),
-                    number(c, "memory-span-ms", 0), flag(c, "stream")));
+            classes.add(new RequestClass(
+                    text(c, "name", ""),
+                    needed(c, "slo-ms"),
+                    needed(c, "hard-limit-ms"),
+                    number(c, "worth", 1),
+                    number(c, "late-worth", 0),
+                    effect(text(c, "effect", "once")),
+                    group(text(c, "group", "all")),
+                    number(c, "memory-span-ms", 0),
+                    flag(c, "stream")));
         }
         List<Tenant> tenants = new ArrayList<>();
         for (Map<String, Object> t : maps(p, "projects")) {
-            tenants.add(new Tenant(text(t, "name", ""), number(t, "allowance-per-s", 0),
-                    number(t, "share", 0)));
+            tenants.add(new Tenant(text(t, "name", ""), number(t, "allowance-per-s", 0), number(t, "share", 0)));
         }
         Map<String, Object> l = map(p, "limits");
-        AttemptLimits limits = new AttemptLimits((int) number(l, "try-limit", 1), flag(l, "parallel-tries"),
-                flag(l, "cancel"), number(l, "max-retry-after-ms", 0),
+        AttemptLimits limits = new AttemptLimits(
+                (int) number(l, "try-limit", 1),
+                flag(l, "parallel-tries"),
+                flag(l, "cancel"),
+                number(l, "max-retry-after-ms", 0),
                 number(l, "dial-timeout-ms", 250));
         Map<String, Object> r = map(p, "rules");
-        EndpointRules rules = new EndpointRules(number(r, "cold-share", 1), number(r, "cold-ms", 0),
-                number(r, "tip-multiple", 1), number(r, "fall-ms", 1000),
-                number(r, "drain-grace-ms", 0), number(r, "ask-within-ms", 10_000));
+        EndpointRules rules = new EndpointRules(
+                number(r, "cold-share", 1),
+                number(r, "cold-ms", 0),
+                number(r, "tip-multiple", 1),
+                number(r, "fall-ms", 1000),
+                number(r, "drain-grace-ms", 0),
+                number(r, "ask-within-ms", 10_000));
         String weights = text(p, "weight-kind", "silent");
-        return new BalancerSettings((int) number(p, "replicas-of-me", 1), (int) number(p, "slot-no", 0),
-                (int) number(p, "zone", 0), (int) number(p, "tier", 0),
+        return new BalancerSettings(
+                (int) number(p, "replicas-of-me", 1),
+                (int) number(p, "slot-no", 0),
+                (int) number(p, "zone", 0),
+                (int) number(p, "tier", 0),
                 text(p, "membership-mode", "pushed").equals("on_request"),
-                weights.equals("nominal") || weights.equals("rough"), number(p, "over-share-worth", 1),
-                number(map(p, "prices"), "cross-zone", 0), classes, tenants, limits, rules);
+                weights.equals("nominal") || weights.equals("rough"),
+                number(p, "over-share-worth", 1),
+                number(map(p, "prices"), "cross-zone", 0),
+                classes,
+                tenants,
+                limits,
+                rules);
     }
 
     private static Idempotency effect(String word) {
--- a/sidecar/src/main/java/martenlatch/config/Shape.java
+++ b/sidecar/src/main/java/martenlatch/config/Shape.java
@@ -12,8 +12,7 @@
  */
 public final class Shape {
 
-    private Shape() {
-    }
+    private Shape() {}
 
     /** The paths of all fields, of objects within objects too. */
     public static Set<String> of(Map<?, ?> object) {
@@ -55,8 +54,8 @@
         for (String path : before) {
             // A list with nothing in it has lost no field.
             int element = path.lastIndexOf("[].");
-            boolean empty = element >= 0
-                && next.stream().noneMatch(field -> field.startsWith(path.substring(0, element + 3)));
+            boolean empty =
+                    element >= 0 && next.stream().noneMatch(field -> field.startsWith(path.substring(0, element + 3)));
             if (!empty && !next.contains(path)) {
                 throw Fields.bad(path, null);
             }
--- a/sidecar/src/main/java/martenlatch/front/CallReader.java
+++ b/sidecar/src/main/java/martenlatch/front/CallReader.java
@@ -19,6 +19,7 @@
      * event loop: a final answer that leaves when the time is up always comes late.
      */
     private static final double ANSWER_MARGIN_SHARE = 0.04;
+
     private static final double MAX_ANSWER_MARGIN_MS = 40;
     private static final String CLASS = "X-Class";
     private static final String TENANT = "X-Tenant";
@@ -44,8 +45,7 @@
      * @param status the status to give up with where there is none
      * @param why the reason in words
      */
-    public record Reading(Request request, int status, String why) {
-    }
+    public record Reading(Request request, int status, String why) {}
 
     private final Map<String, Integer> classes = new HashMap<>();
     private final Map<String, Integer> tenants = new HashMap<>();
@@ -87,8 +87,8 @@
         // No client waits longer than its class may take, whatever it says.
         double allowed = Math.min(deadline, kinds.get(kind).deadlineMs());
         double until = now + allowed - Math.min(MAX_ANSWER_MARGIN_MS, allowed * ANSWER_MARGIN_SHARE);
-        return new Reading(new Request(id, kind, tenant, Math.min(until, latest),
-            "1".equals(head.first("X-Retry"))), 200, null);
+        return new Reading(
+                new Request(id, kind, tenant, Math.min(until, latest), "1".equals(head.first("X-Retry"))), 200, null);
     }
 
     private static Reading bad(String why) {
--- a/sidecar/src/main/java/martenlatch/front/http/ClientGuard.java
+++ b/sidecar/src/main/java/martenlatch/front/http/ClientGuard.java
@@ -27,15 +27,18 @@
      * of it.
      */
     private static final int PACE = 16;
+
     private static final int MOST_BEHIND = 2000 * PACE;
     private static final int TICK_MS = 250;
     /** Between requests a connection is closed after this time. */
     private static final int IDLE_MS = 5000;
     /** What a client still sends when it has its last answer is read, so that no reset destroys that. */
     private static final int LINGER_MS = 300;
+
     private static final int MOST_LINGERING_BYTES = 256 * 1024;
     /** The same for who is in the middle of a long body, and may look for an answer only now and then. */
     private static final int BODY_LINGER_MS = 2000;
+
     private static final long MOST_BODY_BYTES = RequestReader.MOST_BODY;
 
     /**
@@ -50,6 +53,7 @@
     private boolean holding;
     /** The clock that stands, and when it is due; what is awaited, until when, and how long that was. */
     private Future<?> limit;
+
     private long limitNanos;
     private boolean awaited;
     private long dueNanos;
@@ -61,11 +65,13 @@
     private boolean heard;
     /** What has come is being passed on: it must not be read again from within. */
     private boolean reading;
+
     private boolean deaf;
     /** The last answer has been handed over. */
     private boolean ended;
     /** A body was still coming when its connection was ended. */
     private boolean cutShort;
+
     private long unheard;
     private long behind;
 
@@ -98,14 +104,18 @@
 
     private void schedule(ChannelHandlerContext ctx) {
         limitNanos = dueNanos;
-        limit = channel.eventLoop().schedule(() -> {
-            limit = null;
-            if (awaited && dueNanos - System.nanoTime() > 0) {
-                schedule(ctx);
-            } else if (awaited) {
-                due(ctx);
-            }
-        }, dueNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
+        limit = channel.eventLoop()
+                .schedule(
+                        () -> {
+                            limit = null;
+                            if (awaited && dueNanos - System.nanoTime() > 0) {
+                                schedule(ctx);
+                            } else if (awaited) {
+                                due(ctx);
+                            }
+                        },
+                        dueNanos - System.nanoTime(),
+                        TimeUnit.NANOSECONDS);
     }
 
     private void due(ChannelHandlerContext ctx) {
@@ -260,8 +270,7 @@
         lastAnswer.addListener(written -> {
             if (written.isSuccess()) {
                 channel.shutdownOutput();
-                await(channel.pipeline().context(this),
-                    Math.max((int) leastMs, inBody ? BODY_LINGER_MS : LINGER_MS));
+                await(channel.pipeline().context(this), Math.max((int) leastMs, inBody ? BODY_LINGER_MS : LINGER_MS));
             } else {
                 channel.close();
             }
--- a/sidecar/src/main/java/martenlatch/front/http/Frontend.java
+++ b/sidecar/src/main/java/martenlatch/front/http/Frontend.java
@@ -59,11 +59,18 @@
     private static final int MOST_AHEAD = 8;
     /** Connections above the bound that are still taken in, to refuse what they ask in good order. */
     public static final int OVERFLOW = 16;
+
     private static final double OVERFLOW_COOL_DOWN_MS = 1000;
     /** Headers that concern one connection only. */
-    private static final List<CharSequence> HOP_BY_HOP = List.of(HttpHeaderNames.CONNECTION,
-        HttpHeaderNames.PROXY_CONNECTION, "keep-alive", HttpHeaderNames.TE, HttpHeaderNames.TRAILER,
-        HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderNames.UPGRADE, HttpHeaderNames.EXPECT);
+    private static final List<CharSequence> HOP_BY_HOP = List.of(
+            HttpHeaderNames.CONNECTION,
+            HttpHeaderNames.PROXY_CONNECTION,
+            "keep-alive",
+            HttpHeaderNames.TE,
+            HttpHeaderNames.TRAILER,
+            HttpHeaderNames.TRANSFER_ENCODING,
+            HttpHeaderNames.UPGRADE,
+            HttpHeaderNames.EXPECT);
 
     private final EventLoop loop;
     private final Time time;
@@ -78,19 +85,28 @@
     private final Set<Connection> expendable = new LinkedHashSet<>();
     /** Those with no request in hand, the longest idle first. */
     private final Set<Connection> idle = new LinkedHashSet<>();
+
     private ClientListener listener;
     private boolean warm;
     /** Ends for good, with or without another process that goes on at this address. */
     private boolean stopping;
+
     private boolean hasHeir;
     /** Sends its clients away, until it is told otherwise. */
     private boolean away;
     /** Each answer is the last on its connection. */
     private boolean finishing;
+
     private double endsAt = Double.POSITIVE_INFINITY;
 
-    public Frontend(EventLoop loop, Time time, Complaints complaints, Exchange exchange,
-            EndpointPool endpoints, BalancerSettings settings, int most) {
+    public Frontend(
+            EventLoop loop,
+            Time time,
+            Complaints complaints,
+            Exchange exchange,
+            EndpointPool endpoints,
+            BalancerSettings settings,
+            int most) {
         this.loop = loop;
         this.time = time;
         this.complaints = complaints;
@@ -101,23 +117,25 @@
     }
 
     public ChannelFuture listen(InetSocketAddress address) {
-        ChannelFuture bound = new ServerBootstrap().group(loop).channelFactory(ClientListener::new)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG)
-            .option(ChannelOption.SO_REUSEADDR, true)
-            // During an upgrade the old process and the new one listen at once.
-            .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
-            .childOption(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Buffers.WATER_MARK)
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR, Buffers.reads())
-            .childOption(ChannelOption.SO_SNDBUF, Buffers.SYSTEM)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel accepted) {
-                    new Connection(accepted).addTo(accepted.pipeline());
-                }
-            })
-            .bind(address);
+        ChannelFuture bound = new ServerBootstrap()
+                .group(loop)
+                .channelFactory(ClientListener::new)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                // During an upgrade the old process and the new one listen at once.
+                .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
+                .childOption(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Buffers.WATER_MARK)
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Buffers.reads())
+                .childOption(ChannelOption.SO_SNDBUF, Buffers.SYSTEM)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel accepted) {
+                        new Connection(accepted).addTo(accepted.pipeline());
+                    }
+                })
+                .bind(address);
         listener = (ClientListener) bound.channel();
         bound.addListener(at -> listener.pipeline().addLast(new Refusals()));
         return bound;
@@ -263,9 +281,11 @@
         private final Deque<Reply> replies = new ArrayDeque<>();
         /** There was no room for it: it is told to come back later. */
         private boolean surplus;
+
         private boolean hasAsked;
         /** The request whose body is still coming, and whether it comes faster than it can be passed on. */
         private Reply coming;
+
         private boolean bodyPaused;
         /** The request that was coming has had its answer before its end. */
         private boolean bodyCut;
@@ -358,8 +378,8 @@
         public void goOn() {
             // Not among the answers to earlier requests: the client goes on by itself after a while.
             if (replies.isEmpty() || replies.peek() == coming) {
-                channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+                channel.writeAndFlush(new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
             }
         }
 
@@ -393,8 +413,9 @@
 
         private void ready(Reply reply) {
             boolean ready = isReady();
-            reply.plain(ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
-                ready ? "ready" : away || stopping ? "draining" : warm ? "no endpoint is known" : "starting");
+            reply.plain(
+                    ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                    ready ? "ready" : away || stopping ? "draining" : warm ? "no endpoint is known" : "starting");
         }
 
         private void api(Reply reply, HttpRequest request, byte[] body, Upload upload) {
@@ -528,8 +549,7 @@
     }
 
     /** A request that was read, and who waits for its answer. */
-    private record Arrival(Reply reply, Request request, EndpointPool.Message message) {
-    }
+    private record Arrival(Reply reply, Request request, EndpointPool.Message message) {}
 
     private record Head(HttpRequest request) implements CallReader.Head {
         @Override
@@ -561,12 +581,14 @@
         private boolean knowsChunks;
         /** What its body takes of the room. */
         private int bodySize;
+
         private HttpResponse response;
         /**
          * What is passed on after the response's head, or null; and whether only the connection's end ends
          * it.
          */
         private Rest rest;
+
         private boolean untilClose;
         private boolean isLast;
 
@@ -691,8 +713,12 @@
         }
 
         private static FullHttpResponse response(HttpResponseStatus status, ByteBuf body) {
-            FullHttpResponse made = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body,
-                DefaultHttpHeadersFactory.headersFactory().newHeaders(), EmptyHttpHeaders.INSTANCE);
+            FullHttpResponse made = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1,
+                    status,
+                    body,
+                    DefaultHttpHeadersFactory.headersFactory().newHeaders(),
+                    EmptyHttpHeaders.INSTANCE);
             made.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
             return made;
         }
--- a/sidecar/src/main/java/martenlatch/front/http/RequestReader.java
+++ b/sidecar/src/main/java/martenlatch/front/http/RequestReader.java
@@ -32,16 +32,13 @@
     static final long MOST_BODY = 32 * 1024 * 1024;
 
     /** Why a connection is given up. */
-    record Refusal(HttpResponseStatus status, String why) {
-    }
+    record Refusal(HttpResponseStatus status, String why) {}
 
     /** A whole request; its body takes room until it is answered. */
-    record Whole(HttpRequest head, byte[] body) {
-    }
+    record Whole(HttpRequest head, byte[] body) {}
 
     /** A request whose body is still coming. */
-    record Begun(HttpRequest head, Upload upload) {
-    }
+    record Begun(HttpRequest head, Upload upload) {}
 
     /** The body of the request that has begun is whole. */
     static final Object ALL_CAME = new Object();
@@ -52,9 +49,11 @@
     private HttpRequest head;
     /** Read at once: a head that is passed on loses what concerns this connection alone. */
     private boolean keepAlive;
+
     private ByteBuf body;
     /** Where the body goes that is passed on, and how much of it has come. */
     private Upload upload;
+
     private long passed;
     private boolean owesContinue;
     private boolean over;
@@ -69,7 +68,9 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
-            if (!over && message instanceof HttpObject part && part.decoderResult().isFailure()) {
+            if (!over
+                    && message instanceof HttpObject part
+                    && part.decoderResult().isFailure()) {
                 refuse(ctx, unreadable(part.decoderResult().cause()));
             }
             if (!over && message instanceof HttpRequest begun) {
@@ -85,8 +86,8 @@
 
     private static Refusal unreadable(Throwable cause) {
         return cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException
-            ? new Refusal(HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
-            : new Refusal(HttpResponseStatus.BAD_REQUEST, "malformed request");
+                ? new Refusal(HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
+                : new Refusal(HttpResponseStatus.BAD_REQUEST, "malformed request");
     }
 
     private void begin(ChannelHandlerContext ctx, HttpRequest begun) {
@@ -94,8 +95,10 @@
         List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
         String expected = headers.get(HttpHeaderNames.EXPECT);
         long length = HttpUtil.getContentLength(begun, 0L);
-        if (!codings.isEmpty() && (codings.size() > 1 || headers.contains(HttpHeaderNames.CONTENT_LENGTH)
-                || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0)))) {
+        if (!codings.isEmpty()
+                && (codings.size() > 1
+                        || headers.contains(HttpHeaderNames.CONTENT_LENGTH)
+                        || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0)))) {
             // Where it is not plain where a body ends, another request may hide in it.
             refuse(ctx, new Refusal(HttpResponseStatus.BAD_REQUEST, "ambiguous framing"));
         } else if (length > MOST_BODY) {
--- a/sidecar/src/main/java/martenlatch/host/Answer.java
+++ b/sidecar/src/main/java/martenlatch/host/Answer.java
@@ -12,8 +12,7 @@
  * @param body empty where a proxy passes it on by itself, or where there is a rest
  * @param rest what is passed on as it comes, or null where the body is whole
  */
-public record Answer(int status, boolean notRun, boolean keepAlive, String contentType, byte[] body,
-        Rest rest) {
+public record Answer(int status, boolean notRun, boolean keepAlive, String contentType, byte[] body, Rest rest) {
 
     /** Means to a client that it may safely ask again. */
     private static final int TOO_MANY = 429;
@@ -38,6 +37,8 @@
         }
         // The request was turned away for what it is, which says nothing of the endpoint. But 429 passed on
         // would be our word that it has not run, and nothing here says so.
-        return status >= 400 && status < 500 && status != TOO_MANY ? AttemptOutcome.NOT_EXECUTED : AttemptOutcome.FAILED;
+        return status >= 400 && status < 500 && status != TOO_MANY
+                ? AttemptOutcome.NOT_EXECUTED
+                : AttemptOutcome.FAILED;
     }
 }
--- a/sidecar/src/main/java/martenlatch/host/Complaints.java
+++ b/sidecar/src/main/java/martenlatch/host/Complaints.java
@@ -33,15 +33,14 @@
         }
         known.nextAt = now + PAUSE_MS;
         out.println("martenlatch: " + kind + ": " + detail
-            + (known.suppressed == 0 ? "" : " (and " + known.suppressed + " more before)"));
+                + (known.suppressed == 0 ? "" : " (and " + known.suppressed + " more before)"));
         known.suppressed = 0;
     }
 
     /** An exception of our own making: the place it came from is what helps. */
     public void bug(String kind, Throwable e) {
         StackTraceElement[] trace = e.getStackTrace();
-        log(kind, e + (trace.length == 0 ? "" : " at " + trace[0]
-            + (trace.length == 1 ? "" : ", " + trace[1])));
+        log(kind, e + (trace.length == 0 ? "" : " at " + trace[0] + (trace.length == 1 ? "" : ", " + trace[1])));
     }
 
     /** A line that the decision module wants the operators to see. */
--- a/sidecar/src/main/java/martenlatch/host/Exchange.java
+++ b/sidecar/src/main/java/martenlatch/host/Exchange.java
@@ -38,8 +38,7 @@
         void tell(double now);
     }
 
-    private record Queued(Open open, Event event) {
-    }
+    private record Queued(Open open, Event event) {}
 
     private static final class Open {
         final Request request;
@@ -47,11 +46,13 @@
         final Client client;
         /** As the settings had them when the request came. */
         final RequestClass kind;
+
         final int mostTries;
         final List<Try> tries = new ArrayList<>(2);
         Time.Timer overdue;
         /** When the client stops waiting; its time does not begin before its last byte has come. */
         double deadlineMs;
+
         boolean coming;
         final double takenAt;
         boolean concluded;
@@ -107,18 +108,27 @@
     private final EndpointTable endpoints;
     /** Begins a watch on the list of endpoints. */
     private final Runnable watch;
+
     private BalancerSettings settings;
     private final Witness witness;
     private final BalancerEvents module;
     private final Map<String, Open> table = new HashMap<>();
     /** BalancerEvents wait here while the module is at work: it is never called from within its own call. */
     private final Deque<Queued> events = new ArrayDeque<>();
+
     private boolean telling;
     private boolean listed;
 
     /** A host that knows a list, perhaps an old one, and no calls. */
-    public Exchange(Time time, Complaints complaints, EndpointTable endpoints, Runnable watch,
-            BalancerSettings settings, long seed, ServerList known, Witness witness) {
+    public Exchange(
+            Time time,
+            Complaints complaints,
+            EndpointTable endpoints,
+            Runnable watch,
+            BalancerSettings settings,
+            long seed,
+            ServerList known,
+            Witness witness) {
         this.time = time;
         this.complaints = complaints;
         this.endpoints = endpoints;
@@ -197,8 +207,9 @@
         for (Try made : open.tries) {
             if (!made.ended) {
                 made.sentAt = now;
-                made.timeout = time.after(Math.min(made.waitMs, open.deadlineMs - now),
-                    () -> giveUp(open, made, AttemptOutcome.TIMED_OUT));
+                made.timeout = time.after(
+                        Math.min(made.waitMs, open.deadlineMs - now),
+                        () -> giveUp(open, made, AttemptOutcome.TIMED_OUT));
             }
         }
     }
@@ -218,8 +229,7 @@
             for (Try made : open.tries) {
                 if (!made.ended && made.sentAt + made.waitMs > latest) {
                     made.timeout.cancel();
-                    made.timeout = time.after(latest - time.now(),
-                        () -> giveUp(open, made, AttemptOutcome.TIMED_OUT));
+                    made.timeout = time.after(latest - time.now(), () -> giveUp(open, made, AttemptOutcome.TIMED_OUT));
                 }
             }
         }
@@ -334,8 +344,7 @@
                 made.timeout = time.after(wait, () -> giveUp(open, made, AttemptOutcome.TIMED_OUT));
             }
             try {
-                made.attempt = open.carrier.send(server, new Written(open, made), notAfter,
-                        (outcome, answer) -> {
+                made.attempt = open.carrier.send(server, new Written(open, made), notAfter, (outcome, answer) -> {
                     if (answer != null && !open.concluded) {
                         pass(open, outcome, answer);
                     } else if (answer != null && answer.rest() != null) {
@@ -374,8 +383,7 @@
         /** No time of an attempt passes while its request is incomplete. */
         @Override
         public double remainingMs() {
-            return open.coming ? made.waitMs
-                : Math.min(made.sentAt + made.waitMs, open.deadlineMs) - time.now();
+            return open.coming ? made.waitMs : Math.min(made.sentAt + made.waitMs, open.deadlineMs) - time.now();
         }
 
         @Override
@@ -417,8 +425,16 @@
         double took = open.coming ? 0 : time.now() - made.sentAt;
         raise(open, now -> {
             open.out--;
-            module.onAttemptFinished(now, new AttemptResult(open.request.id(), made.number, made.server, outcome, took,
-                open.concluded, LoadReport.NONE));
+            module.onAttemptFinished(
+                    now,
+                    new AttemptResult(
+                            open.request.id(),
+                            made.number,
+                            made.server,
+                            outcome,
+                            took,
+                            open.concluded,
+                            LoadReport.NONE));
         });
     }
 
--- a/sidecar/src/main/java/martenlatch/host/ServerList.java
+++ b/sidecar/src/main/java/martenlatch/host/ServerList.java
@@ -8,8 +8,7 @@
 public record ServerList(long version, boolean full, List<Entry> entries) {
 
     /** An endpoint and where it listens; the address is null for one that is gone. */
-    public record Entry(Endpoint server, InetSocketAddress address) {
-    }
+    public record Entry(Endpoint server, InetSocketAddress address) {}
 
     /** Hears what comes of a source of such lists. */
     public interface Listener {
--- a/sidecar/src/main/java/martenlatch/membership/DiscoveryClient.java
+++ b/sidecar/src/main/java/martenlatch/membership/DiscoveryClient.java
@@ -53,24 +53,35 @@
     /** Until when the end of the connection says nothing of the call that is out on it. */
     private double crossedUntil;
 
-    public DiscoveryClient(EventLoop loop, Time time, InetSocketAddress address, RegistryList.Names names,
-            Complaints complaints, Supplier<Pace> pace) {
+    public DiscoveryClient(
+            EventLoop loop,
+            Time time,
+            InetSocketAddress address,
+            RegistryList.Names names,
+            Complaints complaints,
+            Supplier<Pace> pace) {
         this.loop = loop;
         this.time = time;
         this.address = address;
         this.names = names;
         watch = new ListWatch(time, this, complaints, pace);
-        bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-            .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
-            .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, ListWatch.SILENCE_MS)
-            .handler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel fresh) {
-                    fresh.pipeline().addLast(new Start(), new HttpClientCodec(),
-                        new HttpObjectAggregator(MOST_BODY), new Calls());
-                }
-            });
+        bootstrap = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, ListWatch.SILENCE_MS)
+                .handler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel fresh) {
+                        fresh.pipeline()
+                                .addLast(
+                                        new Start(),
+                                        new HttpClientCodec(),
+                                        new HttpObjectAggregator(MOST_BODY),
+                                        new Calls());
+                    }
+                });
     }
 
     /** Who hears of lists, and which version is known already. */
@@ -133,8 +144,8 @@
     }
 
     private void ask() {
-        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, out.path(),
-            Unpooled.EMPTY_BUFFER);
+        FullHttpRequest request =
+                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, out.path(), Unpooled.EMPTY_BUFFER);
         request.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
         channel.writeAndFlush(request);
     }
--- a/sidecar/src/main/java/martenlatch/membership/ListWatch.java
+++ b/sidecar/src/main/java/martenlatch/membership/ListWatch.java
@@ -27,8 +27,8 @@
     public record Call(long number, OptionalLong index, Pace pace) {
         /** What is asked for, as the protocol's page has it. */
         public String path() {
-            return "/registry/instances" + (index.isPresent()
-                ? "?index=" + index.getAsLong() + "&wait=" + pace.waitMs() : "");
+            return "/registry/instances"
+                    + (index.isPresent() ? "?index=" + index.getAsLong() + "&wait=" + pace.waitMs() : "");
         }
 
         /** When it is over without an answer, in milliseconds from its start. */
@@ -51,12 +51,15 @@
     private final Complaints complaints;
     /** That of the next call. */
     private final Supplier<Pace> pace;
+
     private ServerList.Listener listener;
     /** What is known of the list at this place; none calls for the whole of it. */
     private OptionalLong version = OptionalLong.empty();
+
     private long calls;
     /** The call that is out, until when its answer may come, and whether that has begun to come. */
     private Call out;
+
     private Time.Timer silence;
     private double overAt;
     private boolean begun;
@@ -79,7 +82,8 @@
      */
     public static double spreadMs(BalancerSettings settings) {
         return settings.pollsEndpointList()
-            ? settings.rules().pollIntervalMs() / 2 * (1 - 1.0 / settings.balancerCount()) : 0;
+                ? settings.rules().pollIntervalMs() / 2 * (1 - 1.0 / settings.balancerCount())
+                : 0;
     }
 
     /** Who hears of lists, and which version is known already. */
@@ -134,8 +138,9 @@
         over();
         line.drop();
         brokeOff = broken;
-        complaints.log("discovery fell silent", broken ? "in the middle of an answer"
-            : "no answer after " + Math.round(over.overAfterMs()) + " ms");
+        complaints.log(
+                "discovery fell silent",
+                broken ? "in the middle of an answer" : "no answer after " + Math.round(over.overAfterMs()) + " ms");
         watch();
     }
 
--- a/sidecar/src/main/java/martenlatch/membership/Pace.java
+++ b/sidecar/src/main/java/martenlatch/membership/Pace.java
@@ -17,6 +17,7 @@
      * who count what it misses as told, which is 6 s after it fell silent at the earliest.
      */
     static final int MOST_WAIT_MS = 20_000;
+
     static final int LEAST_WAIT_MS = 4_000;
     /**
      * What a silent watch misses counts as told 2 s after its wait: half of that is for noticing, the other
@@ -28,6 +29,7 @@
      * was silent has to be heard well within a drain's grace once it speaks again.
      */
     private static final int AGENT_WAIT_MS = 300;
+
     private static final int AGENT_OWED_MS = 100;
 
     /**
@@ -37,8 +39,12 @@
      */
     public static Pace next(BalancerSettings settings, SplittableRandom random) {
         return settings.pollsEndpointList()
-            ? new Pace((long) Math.max(LEAST_WAIT_MS, Math.min(MOST_WAIT_MS,
-                settings.rules().pollIntervalMs() * (1 + random.nextDouble()))), OWED_MS, ListWatch.SILENCE_MS)
-            : new Pace(AGENT_WAIT_MS, AGENT_OWED_MS, AGENT_WAIT_MS);
+                ? new Pace(
+                        (long) Math.max(
+                                LEAST_WAIT_MS,
+                                Math.min(MOST_WAIT_MS, settings.rules().pollIntervalMs() * (1 + random.nextDouble()))),
+                        OWED_MS,
+                        ListWatch.SILENCE_MS)
+                : new Pace(AGENT_WAIT_MS, AGENT_OWED_MS, AGENT_WAIT_MS);
     }
 }
--- a/sidecar/src/main/java/martenlatch/membership/RegistryList.java
+++ b/sidecar/src/main/java/martenlatch/membership/RegistryList.java
@@ -18,12 +18,10 @@
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private RegistryList() {
-    }
+    private RegistryList() {}
 
     /** The names of the zones and kinds, whose places in the settings stand for them. */
-    public record Names(List<String> zones, List<String> kinds) {
-    }
+    public record Names(List<String> zones, List<String> kinds) {}
 
     public static ServerList parse(byte[] json, Names names) throws IOException {
         try (JsonParser in = JSON.createParser(json)) {
@@ -59,18 +57,26 @@
         if (!(fields.get("id") instanceof String id)) {
             throw Fields.bad("servers[].id", fields.get("id"));
         }
-        EndpointStatus state = switch (String.valueOf(fields.get("state"))) {
-            case "in_service" -> EndpointStatus.READY;
-            case "terminating" -> EndpointStatus.DRAINING;
-            case "terminated" -> EndpointStatus.GONE;
-            default -> throw Fields.bad("servers[].state", fields.get("state"));
-        };
+        EndpointStatus state =
+                switch (String.valueOf(fields.get("state"))) {
+                    case "in_service" -> EndpointStatus.READY;
+                    case "terminating" -> EndpointStatus.DRAINING;
+                    case "terminated" -> EndpointStatus.GONE;
+                    default -> throw Fields.bad("servers[].state", fields.get("state"));
+                };
         // Of an endpoint that is gone nothing but its id need be told.
-        InetSocketAddress address = state == EndpointStatus.GONE ? null
-            : Fields.address("servers[].addr", fields.get("addr"));
-        return new ServerList.Entry(new Endpoint(id, names.zones().indexOf(fields.get("zone")),
-            names.kinds().indexOf(fields.get("kind")), (int) number(fields, "cell", 0),
-            number(fields, "started_ms", 0), state, number(fields, "weight", 1)), address);
+        InetSocketAddress address =
+                state == EndpointStatus.GONE ? null : Fields.address("servers[].addr", fields.get("addr"));
+        return new ServerList.Entry(
+                new Endpoint(
+                        id,
+                        names.zones().indexOf(fields.get("zone")),
+                        names.kinds().indexOf(fields.get("kind")),
+                        (int) number(fields, "cell", 0),
+                        number(fields, "started_ms", 0),
+                        state,
+                        number(fields, "weight", 1)),
+                address);
     }
 
     private static double number(Map<?, ?> fields, String name, double absent) {
--- a/sidecar/src/main/java/martenlatch/net/Buffers.java
+++ b/sidecar/src/main/java/martenlatch/net/Buffers.java
@@ -10,8 +10,7 @@
 public final class Buffers {
 
     /** One small arena: messages are of a few hundred bytes, and memory is tight. */
-    public static final ByteBufAllocator ALLOCATOR =
-        new PooledByteBufAllocator(true, 1, 1, 8192, 4, 0, 0, false);
+    public static final ByteBufAllocator ALLOCATOR = new PooledByteBufAllocator(true, 1, 1, 8192, 4, 0, 0, false);
 
     /** What waits to be written on one connection: hundreds of them must fit into the direct memory. */
     public static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(8 * 1024, 16 * 1024);
@@ -20,12 +19,12 @@
      * for each. A link with 50 ms of way there and back still carries 2.5 MB a second.
      */
     public static final int SYSTEM = 128 * 1024;
+
     private static final int LEAST_READ = 64;
     private static final int FIRST_READ = 2048;
     private static final int MOST_READ = 16 * 1024;
 
-    private Buffers() {
-    }
+    private Buffers() {}
 
     /** How much is read of a connection at once: it remembers what came, so each bootstrap has its own. */
     public static RecvByteBufAllocator reads() {
--- a/sidecar/src/main/java/martenlatch/peers/Counts.java
+++ b/sidecar/src/main/java/martenlatch/peers/Counts.java
@@ -23,6 +23,7 @@
     long refuted;
     /** Of our own probes. */
     long probes;
+
     long failedProbes;
     long accused;
     long calledFaulty;
@@ -31,10 +32,10 @@
     @Override
     public String toString() {
         return "sent " + sent + " (" + sentBytes + " bytes), heard " + heard + ", malformed " + malformed
-            + ", foreign " + foreign + ", of another tier " + otherTier + ", of an earlier life "
-            + earlierLife + ", insane " + insane + ", unsent " + unsent + ", away " + away + ", refuted "
-            + refuted
-            + ", probes " + probes + " (" + failedProbes + " failed), accused " + accused + ", called faulty "
-            + calledFaulty;
+                + ", foreign " + foreign + ", of another tier " + otherTier + ", of an earlier life "
+                + earlierLife + ", insane " + insane + ", unsent " + unsent + ", away " + away + ", refuted "
+                + refuted
+                + ", probes " + probes + " (" + failedProbes + " failed), accused " + accused + ", called faulty "
+                + calledFaulty;
     }
 }
--- a/sidecar/src/main/java/martenlatch/peers/CutWatch.java
+++ b/sidecar/src/main/java/martenlatch/peers/CutWatch.java
@@ -13,16 +13,17 @@
 
     /** So many silent at once, and this part of all of them: a zone, or a half. */
     private static final int LEAST = 3;
+
     private static final double PART = 0.25;
     /** Those called faulty within this time count too; and so long a cut is believed after its last sign. */
     private static final double WINDOW_MS = 10_000;
     /** How long an own probe tells how things are, and how many are kept. */
     private static final double SAMPLE_MS = 3000;
+
     private static final int MOST_SAMPLES = 64;
 
     /** How one of our own probes ended. */
-    private record Sample(double atMs, int subject, boolean answered) {
-    }
+    private record Sample(double atMs, int subject, boolean answered) {}
 
     private final int told;
     private final Deque<Double> faultyAt = new ArrayDeque<>();
--- a/sidecar/src/main/java/martenlatch/peers/Incarnations.java
+++ b/sidecar/src/main/java/martenlatch/peers/Incarnations.java
@@ -13,10 +13,10 @@
      * broken or lies, and would leave its subject no number to contradict with.
      */
     static final long MOST_AHEAD_S = 86_400;
+
     private static final long MOST = 0xffffffffL;
 
-    private Incarnations() {
-    }
+    private Incarnations() {}
 
     /** Of a life that begins now, in milliseconds since 1970; a clock before 2020 gives 1. */
     static long at(double nowMs) {
--- a/sidecar/src/main/java/martenlatch/peers/Member.java
+++ b/sidecar/src/main/java/martenlatch/peers/Member.java
@@ -15,6 +15,7 @@
         private final Set<Integer> accusers = new TreeSet<>();
         /** We are one of them. */
         boolean own;
+
         double sinceMs;
 
         Suspicion(double sinceMs) {
@@ -36,11 +37,13 @@
     PeerState state = PeerState.ABSENT;
     /** Of the life that is known; 0 before any is. */
     long incarnation;
+
     int zone = -1;
     /** When we last had a message of this life from it. */
     double heardMs = Double.NEGATIVE_INFINITY;
     /** When a suspicion last came to nothing, and when we last said that we had heard it. */
     double clearedMs = Double.NEGATIVE_INFINITY;
+
     double saidMs = Double.NEGATIVE_INFINITY;
     Suspicion suspicion;
 
@@ -59,10 +62,14 @@
 
     /** As an update tells it; none where nothing is known. */
     Message.Update asUpdate() {
-        return new Message.Update(number, switch (state) {
-            case FAULTY -> Message.Word.FAULTY;
-            case LEFT -> Message.Word.LEFT;
-            default -> Message.Word.ALIVE;
-        }, Math.max(0, zone), incarnation);
+        return new Message.Update(
+                number,
+                switch (state) {
+                    case FAULTY -> Message.Word.FAULTY;
+                    case LEFT -> Message.Word.LEFT;
+                    default -> Message.Word.ALIVE;
+                },
+                Math.max(0, zone),
+                incarnation);
     }
 }
--- a/sidecar/src/main/java/martenlatch/peers/Message.java
+++ b/sidecar/src/main/java/martenlatch/peers/Message.java
@@ -14,8 +14,18 @@
  * @param flags what the sender says of itself, see {@link #LEAVING}, {@link #WAS_AWAY} and {@link #DEAF}
  * @param digests of parts of what the sender knows: who knows otherwise answers with that part
  */
-record Message(Kind kind, int tier, int zone, int from, long incarnation, int sequence, int target, int flags,
-        List<Update> updates, List<Accusation> accusations, List<Digest> digests) {
+record Message(
+        Kind kind,
+        int tier,
+        int zone,
+        int from,
+        long incarnation,
+        int sequence,
+        int target,
+        int flags,
+        List<Update> updates,
+        List<Accusation> accusations,
+        List<Digest> digests) {
 
     /** The sender goes, and will not be back as the one it is. */
     static final int LEAVING = 1;
@@ -37,19 +47,21 @@
     }
 
     /** What an update says of a peer. */
-    enum Word { ALIVE, FAULTY, LEFT, HEARD }
+    enum Word {
+        ALIVE,
+        FAULTY,
+        LEFT,
+        HEARD
+    }
 
     /** News of a peer. */
-    record Update(int number, Word word, int zone, long incarnation) {
-    }
+    record Update(int number, Word word, int zone, long incarnation) {}
 
     /** A peer did not answer another. */
-    record Accusation(int number, long incarnation, int accuser) {
-    }
+    record Accusation(int number, long incarnation, int accuser) {}
 
     /** What is known of one part of the fleet, in short. */
-    record Digest(int bucket, int hash) {
-    }
+    record Digest(int bucket, int hash) {}
 
     Message {
         updates = List.copyOf(updates);
--- a/sidecar/src/main/java/martenlatch/peers/MessageCodec.java
+++ b/sidecar/src/main/java/martenlatch/peers/MessageCodec.java
@@ -38,12 +38,14 @@
 
     /** The platform's bound: a longer one voids its run. */
     static final int MOST = 256;
+
     static final int HEADER = 21;
     static final int UPDATE = 7;
     static final int ACCUSATION = 8;
     static final int DIGEST = 6;
     /** Of a section. */
     static final int SECTION = 2;
+
     static final int MOST_ZONE = 31;
     private static final int MAGIC = 0x4D4C;
     private static final int VERSION = 1;
@@ -53,36 +55,45 @@
     private static final int DIGESTS = 3;
     private static final int ZONE_BITS = 5;
 
-    private MessageCodec() {
-    }
+    private MessageCodec() {}
 
     /** What a message's parts take on the wire. */
     static int size(int updates, int accusations, int digests) {
-        return HEADER + (updates == 0 ? 0 : SECTION + updates * UPDATE)
-            + (accusations == 0 ? 0 : SECTION + accusations * ACCUSATION)
-            + (digests == 0 ? 0 : SECTION + digests * DIGEST);
+        return HEADER
+                + (updates == 0 ? 0 : SECTION + updates * UPDATE)
+                + (accusations == 0 ? 0 : SECTION + accusations * ACCUSATION)
+                + (digests == 0 ? 0 : SECTION + digests * DIGEST);
     }
 
     static byte[] encode(Message message) {
-        int size = size(message.updates().size(), message.accusations().size(), message.digests().size());
+        int size = size(
+                message.updates().size(),
+                message.accusations().size(),
+                message.digests().size());
         if (size > MOST) {
-            throw new IllegalArgumentException("a message must have at most " + MOST + " bytes but has "
-                + size);
+            throw new IllegalArgumentException("a message must have at most " + MOST + " bytes but has " + size);
         }
         ByteBuffer out = ByteBuffer.allocate(size);
-        out.putShort((short) MAGIC).put((byte) VERSION).put((byte) (message.kind().ordinal() + 1))
-            .put((byte) message.tier()).put((byte) message.zone()).putShort((short) message.from())
-            .putInt((int) message.incarnation()).putShort((short) message.sequence())
-            .putShort((short) message.target()).put((byte) message.flags()).putInt(0);
+        out.putShort((short) MAGIC)
+                .put((byte) VERSION)
+                .put((byte) (message.kind().ordinal() + 1))
+                .put((byte) message.tier())
+                .put((byte) message.zone())
+                .putShort((short) message.from())
+                .putInt((int) message.incarnation())
+                .putShort((short) message.sequence())
+                .putShort((short) message.target())
+                .put((byte) message.flags())
+                .putInt(0);
         section(out, UPDATES, message.updates().size(), UPDATE);
         for (Update one : message.updates()) {
-            out.putShort((short) one.number()).put((byte) ((one.word().ordinal() + 1) << ZONE_BITS
-                | Math.min(MOST_ZONE, one.zone()))).putInt((int) one.incarnation());
+            out.putShort((short) one.number())
+                    .put((byte) ((one.word().ordinal() + 1) << ZONE_BITS | Math.min(MOST_ZONE, one.zone())))
+                    .putInt((int) one.incarnation());
         }
         section(out, ACCUSATIONS, message.accusations().size(), ACCUSATION);
         for (Accusation one : message.accusations()) {
-            out.putShort((short) one.number()).putInt((int) one.incarnation())
-                .putShort((short) one.accuser());
+            out.putShort((short) one.number()).putInt((int) one.incarnation()).putShort((short) one.accuser());
         }
         section(out, DIGESTS, message.digests().size(), DIGEST);
         for (Digest one : message.digests()) {
@@ -149,8 +160,8 @@
                     }
                 }
                 while (type == ACCUSATIONS && in.position() + ACCUSATION <= end) {
-                    accusations.add(new Accusation(in.getShort() & 0xffff, in.getInt() & 0xffffffffL,
-                        in.getShort() & 0xffff));
+                    accusations.add(
+                            new Accusation(in.getShort() & 0xffff, in.getInt() & 0xffffffffL, in.getShort() & 0xffff));
                 }
                 while (type == DIGESTS && in.position() + DIGEST <= end) {
                     digests.add(new Digest(in.getShort() & 0xffff, in.getInt()));
@@ -160,7 +171,17 @@
         } catch (BufferUnderflowException e) {
             return null;
         }
-        return new Message(Kind.values()[kind - 1], tier, zone, from, incarnation, sequence, target, flags,
-            updates, accusations, digests);
+        return new Message(
+                Kind.values()[kind - 1],
+                tier,
+                zone,
+                from,
+                incarnation,
+                sequence,
+                target,
+                flags,
+                updates,
+                accusations,
+                digests);
     }
 }
--- a/sidecar/src/main/java/martenlatch/peers/PeerSettings.java
+++ b/sidecar/src/main/java/martenlatch/peers/PeerSettings.java
@@ -34,8 +34,8 @@
 
     private static void within(String field, double value, double least, double most) {
         if (!(value >= least && value <= most)) {
-            throw new IllegalArgumentException("peers." + field + " must be " + (long) least + " to "
-                + (long) most + " but is " + value);
+            throw new IllegalArgumentException(
+                    "peers." + field + " must be " + (long) least + " to " + (long) most + " but is " + value);
         }
     }
 
--- a/sidecar/src/main/java/martenlatch/peers/PeerView.java
+++ b/sidecar/src/main/java/martenlatch/peers/PeerView.java
@@ -13,12 +13,10 @@
  * @param cutOff we hear nobody: it is more likely ourselves than all the others
  * @param massed so many are silent at once that it looks like a cut: none of them is called faulty
  */
-public record PeerView(int told, int atLeast, int atMost, List<Bounds> zones, boolean cutOff,
-        boolean massed) {
+public record PeerView(int told, int atLeast, int atMost, List<Bounds> zones, boolean cutOff, boolean massed) {
 
     /** How many live in a zone. */
-    public record Bounds(int atLeast, int atMost) {
-    }
+    public record Bounds(int atLeast, int atMost) {}
 
     public PeerView {
         zones = List.copyOf(zones);
