--- a/sidecar/src/main/java/martenlatch/peers/Peers.java
+++ b/sidecar/src/main/java/martenlatch/peers/Peers.java
@@ -40,6 +40,7 @@
     private static final double LATE_MS = 300;
     /** Standing still for so long may have had us suspected. */
     private static final double SUSPECTED_MS = 700;
+
     private static final double GOSSIP_MS = 200;
     private static final int FANOUT = 3;
     private static final int HELPERS = 3;
@@ -57,28 +58,31 @@
     private static final double CUT_OFF_PERIODS = 1.5;
     /** So often somebody who hears nobody says anew that it lives: others may hear it. */
     private static final double CRY_MS = 5000;
+
     private static final double REFUTE_MS = 200;
     private static final int GREETED = 5;
     /** Suspects of our own that are tried again a period. */
     private static final int RETRIED = 4;
     /** Of a cut that parts half off, six find two more with 0.89, and each of those looks on. */
     private static final int WIDENED = 6;
+
     private static final int GOODBYES = 8;
     /** Parts compared at once: their answers are another's whole message. */
     private static final int DIGESTS = 4;
+
     private static final double CATCH_UP_MS = 200;
     /** So many new lives in one message: there are more than news bring, and all parts are compared. */
     private static final int BEHIND = 4;
     /** Two messages full. */
     private static final int MANY_NEWS = 64;
+
     private static final double MOST_CATCH_UP_MS = 30_000;
     private static final int MOST_PROBES = 64;
     private static final int MOST_RELAYS = 64;
     private static final double RELAY_MS = 3000;
 
     /** A try on behalf of another. */
-    private record Relay(int origin, int sequence, int subject, double untilMs) {
-    }
+    private record Relay(int origin, int sequence, int subject, double untilMs) {}
 
     private final PeerSettings settings;
     private final Line line;
@@ -92,6 +96,7 @@
     private final Counts counts = new Counts();
     /** By sequence; what has ended stays for a while, as a late answer tells how long answers take. */
     private final Map<Integer, Probe> probes = new LinkedHashMap<>();
+
     private final Map<Integer, Probe> ended = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<Integer, Probe> eldest) {
@@ -110,6 +115,7 @@
     private int nextPart;
     /** When the next tick is due; NaN before the start. */
     private double dueMs = Double.NaN;
+
     private double awayUntil = Double.NEGATIVE_INFINITY;
     private double heardAnyMs;
     private double nextCry;
@@ -209,8 +215,16 @@
             if (message.incarnation() < peer.incarnation) {
                 counts.earlierLife++;
                 // A start whose clock was set back needs to know what it has to exceed.
-                send(now, peer.number, Kind.GOSSIP, 0, peer.number, List.of(peer.asUpdate()), List.of(),
-                    List.of(), false);
+                send(
+                        now,
+                        peer.number,
+                        Kind.GOSSIP,
+                        0,
+                        peer.number,
+                        List.of(peer.asUpdate()),
+                        List.of(),
+                        List.of(),
+                        false);
                 return;
             }
             counts.heard++;
@@ -427,7 +441,8 @@
         for (Update update : message.updates()) {
             if (learn(now, update)) {
                 lives++;
-            } else if (update.number() < roster.told() && update.number() != settings.self()
+            } else if (update.number() < roster.told()
+                    && update.number() != settings.self()
                     && update.incarnation() < roster.get(update.number()).incarnation) {
                 newer.add(roster.get(update.number()).asUpdate());
             }
@@ -509,7 +524,7 @@
                     tell(peer);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -577,7 +592,7 @@
             }
             case ACK -> acked(now, peer, message);
             case TRY -> help(now, peer, message);
-            default -> { }
+            default -> {}
         }
     }
 
@@ -588,33 +603,58 @@
             updates.add(peer.asUpdate());
         }
         for (Digest digest : message.digests()) {
-            if (digest.bucket() < roster.parts() && voice.mayTell(now)
-                    && digest.hash() != roster.digest(digest.bucket(), settings.self(), incarnation).hash()) {
+            if (digest.bucket() < roster.parts()
+                    && voice.mayTell(now)
+                    && digest.hash()
+                            != roster.digest(digest.bucket(), settings.self(), incarnation)
+                                    .hash()) {
                 updates.addAll(roster.part(digest.bucket(), ourselves()));
             }
         }
         int most = (MessageCodec.MOST - MessageCodec.HEADER - MessageCodec.SECTION) / MessageCodec.UPDATE;
-        send(now, peer.number, Kind.ACK, of, target,
-            updates.size() > most ? updates.subList(0, most) : updates, List.of(), List.of(),
-            updates.isEmpty());
+        send(
+                now,
+                peer.number,
+                Kind.ACK,
+                of,
+                target,
+                updates.size() > most ? updates.subList(0, most) : updates,
+                List.of(),
+                List.of(),
+                updates.isEmpty());
     }
 
     private void help(double now, Member peer, Message message) {
-        if (message.target() >= roster.told() || message.target() == settings.self()
-                || relays.size() >= MOST_RELAYS) {
+        if (message.target() >= roster.told() || message.target() == settings.self() || relays.size() >= MOST_RELAYS) {
             return;
         }
         int mine = nextSequence();
         relays.put(mine, new Relay(peer.number, message.sequence(), message.target(), now + RELAY_MS));
-        send(now, message.target(), Kind.PING, mine, message.target(), against(message.target()), List.of(),
-            List.of(), false);
+        send(
+                now,
+                message.target(),
+                Kind.PING,
+                mine,
+                message.target(),
+                against(message.target()),
+                List.of(),
+                List.of(),
+                false);
     }
 
     private void acked(double now, Member peer, Message message) {
         Relay relay = relays.remove(message.sequence());
         if (relay != null && relay.subject() == peer.number) {
-            send(now, relay.origin(), Kind.ACK, relay.sequence(), relay.subject(), List.of(), List.of(),
-                List.of(), false);
+            send(
+                    now,
+                    relay.origin(),
+                    Kind.ACK,
+                    relay.sequence(),
+                    relay.subject(),
+                    List.of(),
+                    List.of(),
+                    List.of(),
+                    false);
             return;
         }
         Probe late = ended.remove(message.sequence());
@@ -708,17 +748,25 @@
     /** What its subject must know to contradict. */
     private List<Update> against(int number) {
         Member subject = roster.get(number);
-        return subject.isIn(PeerState.FAULTY) || subject.isIn(PeerState.LEFT) ? List.of(subject.asUpdate())
-            : List.of();
+        return subject.isIn(PeerState.FAULTY) || subject.isIn(PeerState.LEFT) ? List.of(subject.asUpdate()) : List.of();
     }
 
     private boolean ping(double now, Probe probe) {
         Member subject = roster.get(probe.subject);
         List<Accusation> accusations = subject.isIn(PeerState.SUSPECT)
-            ? List.of(new Accusation(subject.number, subject.incarnation, settings.self())) : List.of();
+                ? List.of(new Accusation(subject.number, subject.incarnation, settings.self()))
+                : List.of();
         List<Digest> digests = List.of(digest());
-        return send(now, probe.subject, Kind.PING, probe.sequence, probe.subject, against(probe.subject),
-            accusations, digests, true);
+        return send(
+                now,
+                probe.subject,
+                Kind.PING,
+                probe.sequence,
+                probe.subject,
+                against(probe.subject),
+                accusations,
+                digests,
+                true);
     }
 
     private Digest digest() {
@@ -736,7 +784,9 @@
             } else if (probe.pings < Patience.PINGS && waited >= probe.pings * patience.gapMs()) {
                 probe.pings++;
                 ping(now, probe);
-            } else if (!probe.helped && probe.accuses && !isMassed(now)
+            } else if (!probe.helped
+                    && probe.accuses
+                    && !isMassed(now)
                     && waited >= (Patience.PINGS - 1) * patience.gapMs()) {
                 probe.helped = true;
                 askForHelp(now, probe);
@@ -750,8 +800,8 @@
             helpers.add(some(number -> number != probe.subject && isAlive(number)));
         }
         helpers.remove(-1);
-        helpers.forEach(to -> send(now, to, Kind.TRY, probe.sequence, probe.subject, List.of(), List.of(),
-            List.of(), false));
+        helpers.forEach(
+                to -> send(now, to, Kind.TRY, probe.sequence, probe.subject, List.of(), List.of(), List.of(), false));
     }
 
     private void fail(double now, Probe probe) {
@@ -870,20 +920,43 @@
         Probe probe = new Probe(to, nextSequence(), now, false, counts.heard);
         probe.pings = Patience.PINGS;
         probe.parts = digests.size();
-        if (probes.size() < MOST_PROBES && send(now, to, Kind.PING, probe.sequence, to, List.of(), List.of(),
-                digests, false)) {
+        if (probes.size() < MOST_PROBES
+                && send(now, to, Kind.PING, probe.sequence, to, List.of(), List.of(), digests, false)) {
             probes.put(probe.sequence, probe);
         }
     }
 
-    private boolean send(double now, int to, Kind kind, int of, int target, List<Update> said,
-            List<Accusation> against, List<Digest> digests, boolean withNews) {
-        return voice.say(now, to, new Message(kind, settings.tier(), settings.zone(), settings.self(),
-            incarnation, of, target, flags(now), said, against, digests), withNews);
+    private boolean send(
+            double now,
+            int to,
+            Kind kind,
+            int of,
+            int target,
+            List<Update> said,
+            List<Accusation> against,
+            List<Digest> digests,
+            boolean withNews) {
+        return voice.say(
+                now,
+                to,
+                new Message(
+                        kind,
+                        settings.tier(),
+                        settings.zone(),
+                        settings.self(),
+                        incarnation,
+                        of,
+                        target,
+                        flags(now),
+                        said,
+                        against,
+                        digests),
+                withNews);
     }
 
     private int flags(double now) {
-        return (leaving ? Message.LEAVING : 0) | (now < awayUntil ? Message.WAS_AWAY : 0)
-            | (isCutOff(now) ? Message.DEAF : 0);
+        return (leaving ? Message.LEAVING : 0)
+                | (now < awayUntil ? Message.WAS_AWAY : 0)
+                | (isCutOff(now) ? Message.DEAF : 0);
     }
 }
--- a/sidecar/src/main/java/martenlatch/peers/Probe.java
+++ b/sidecar/src/main/java/martenlatch/peers/Probe.java
@@ -9,9 +9,11 @@
     final boolean accuses;
     /** Messages that we had heard of anybody when it began. */
     final long heardBefore;
+
     int pings = 1;
     /** Parts of the fleet that it compares. */
     int parts = 1;
+
     boolean helped;
 
     Probe(int subject, int sequence, double sentMs, boolean accuses, long heardBefore) {
--- a/sidecar/src/main/java/martenlatch/peers/Rings.java
+++ b/sidecar/src/main/java/martenlatch/peers/Rings.java
@@ -28,7 +28,8 @@
 
     Rings(int told) {
         for (int ring = 0; ring < COUNT; ring++) {
-            List<Integer> numbers = new ArrayList<>(IntStream.range(0, told).boxed().toList());
+            List<Integer> numbers =
+                    new ArrayList<>(IntStream.range(0, told).boxed().toList());
             Collections.shuffle(numbers, new Random(ORDER + ring));
             order[ring] = numbers.stream().mapToInt(Integer::intValue).toArray();
             place[ring] = new int[told];
--- a/sidecar/src/main/java/martenlatch/peers/Roster.java
+++ b/sidecar/src/main/java/martenlatch/peers/Roster.java
@@ -17,6 +17,7 @@
 
     /** Two parts as they are fit into one message. */
     static final int PART = 16;
+
     private static final int ENTRY = 9;
 
     private final Member[] members;
@@ -71,8 +72,9 @@
             boolean own = i == self;
             if (own || one.incarnation > 0) {
                 entry.clear();
-                entry.putInt(i).put((byte) (own || one.mayLive() ? 0 : one.state.ordinal()))
-                    .putInt((int) (own ? incarnation : one.incarnation));
+                entry.putInt(i)
+                        .put((byte) (own || one.mayLive() ? 0 : one.state.ordinal()))
+                        .putInt((int) (own ? incarnation : one.incarnation));
                 check.update(entry.array(), 0, ENTRY);
             }
         }
--- a/sidecar/src/main/java/martenlatch/peers/Voice.java
+++ b/sidecar/src/main/java/martenlatch/peers/Voice.java
@@ -22,6 +22,7 @@
     private final Counts counts;
     /** Bytes that may be sent now; a second's at most. */
     private double allowance;
+
     private double toppedUp = Double.NaN;
 
     Voice(double bytesPerSecond, Peers.Line line, News news, Counts counts) {
@@ -50,8 +51,11 @@
 
     /** Sends, if it may; {@code withNews} fills up what is left of the datagram. */
     boolean say(double now, int to, Message message, boolean withNews) {
-        if (allowance(now) < MessageCodec.size(message.updates().size(), message.accusations().size(),
-                message.digests().size())) {
+        if (allowance(now)
+                < MessageCodec.size(
+                        message.updates().size(),
+                        message.accusations().size(),
+                        message.digests().size())) {
             counts.unsent++;
             return false;
         }
@@ -67,10 +71,25 @@
     private Message filled(Message message) {
         List<Update> updates = new ArrayList<>(message.updates());
         List<Accusation> accusations = new ArrayList<>(message.accusations());
-        news.fill(MessageCodec.MOST - MessageCodec.size(updates.size(), accusations.size(),
-            message.digests().size()), updates, accusations);
-        return new Message(message.kind(), message.tier(), message.zone(), message.from(),
-            message.incarnation(), message.sequence(), message.target(), message.flags(), updates,
-            accusations, message.digests());
+        news.fill(
+                MessageCodec.MOST
+                        - MessageCodec.size(
+                                updates.size(),
+                                accusations.size(),
+                                message.digests().size()),
+                updates,
+                accusations);
+        return new Message(
+                message.kind(),
+                message.tier(),
+                message.zone(),
+                message.from(),
+                message.incarnation(),
+                message.sequence(),
+                message.target(),
+                message.flags(),
+                updates,
+                accusations,
+                message.digests());
     }
 }
--- a/sidecar/src/main/java/martenlatch/sidecar/PeerHost.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/PeerHost.java
@@ -31,6 +31,7 @@
 
     /** Above what any message of ours has: what is longer is cut, and then no message. */
     private static final int MOST_DATAGRAM = 512;
+
     private static final int MOST_ZONE = 31;
 
     private final EventLoop loop;
@@ -42,21 +43,32 @@
     private DatagramChannel channel;
     private boolean closed;
 
-    PeerHost(EventLoop loop, Time time, Complaints complaints, BalancerSettings settings, PeerAddresses told,
+    PeerHost(
+            EventLoop loop,
+            Time time,
+            Complaints complaints,
+            BalancerSettings settings,
+            PeerAddresses told,
             long seed) {
         this.loop = loop;
         this.time = time;
         this.complaints = complaints;
-        peers = new Peers(PeerSettings.usual(settings.ownIndex(), told.each().size(), settings.tier(),
-            Math.min(MOST_ZONE, settings.ownZone())), seed, this);
+        peers = new Peers(
+                PeerSettings.usual(
+                        settings.ownIndex(),
+                        told.each().size(),
+                        settings.tier(),
+                        Math.min(MOST_ZONE, settings.ownZone())),
+                seed,
+                this);
         readdress(told.each());
     }
 
     /** Others are elsewhere from now on; how many there are must stay. */
     void readdress(List<InetSocketAddress> next) {
         if (addresses != null && next.size() != addresses.size()) {
-            throw new IllegalArgumentException("field peers must keep its " + addresses.size()
-                + " addresses in service but has " + next.size());
+            throw new IllegalArgumentException(
+                    "field peers must keep its " + addresses.size() + " addresses in service but has " + next.size());
         }
         addresses = List.copyOf(next);
         numbers.clear();
@@ -67,24 +79,29 @@
 
     /** Listens; the future tells whether that can be. */
     ChannelFuture listen(InetSocketAddress at) {
-        ChannelFuture bound = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
-            .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
-            // While one process of this sidecar takes over from another, the newer one hears the others.
-            .option(ChannelOption.SO_REUSEADDR, true)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MOST_DATAGRAM))
-            .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
-                @Override
-                protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-                    peers.receive(time.now(), numbers.getOrDefault(packet.sender(), -1),
-                        ByteBufUtil.getBytes(packet.content()));
-                }
-
-                @Override
-                public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                    // The system tells of a datagram sent before that nobody was there to take it.
-                    return;
-                }
-            }).bind(at);
+        ChannelFuture bound = new Bootstrap()
+                .group(loop)
+                .channel(NioDatagramChannel.class)
+                .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
+                // While one process of this sidecar takes over from another, the newer one hears the others.
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MOST_DATAGRAM))
+                .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
+                    @Override
+                    protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
+                        peers.receive(
+                                time.now(),
+                                numbers.getOrDefault(packet.sender(), -1),
+                                ByteBufUtil.getBytes(packet.content()));
+                    }
+
+                    @Override
+                    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+                        // The system tells of a datagram sent before that nobody was there to take it.
+                        return;
+                    }
+                })
+                .bind(at);
         channel = (DatagramChannel) bound.channel();
         return bound;
     }
@@ -122,8 +139,10 @@
 
     @Override
     public void changed(int peer, PeerState before, PeerState now) {
-        boolean told = now == PeerState.FAULTY || now == PeerState.LEFT || before == PeerState.FAULTY
-            || before == PeerState.LEFT;
+        boolean told = now == PeerState.FAULTY
+                || now == PeerState.LEFT
+                || before == PeerState.FAULTY
+                || before == PeerState.LEFT;
         if (told) {
             complaints.log("peer " + peer, before + " -> " + now);
         }
@@ -133,9 +152,9 @@
     String json() {
         PeerView view = peers.view(time.now());
         StringBuilder json = new StringBuilder("{\"told\":" + view.told() + ",\"at_least\":" + view.atLeast()
-            + ",\"at_most\":" + view.atMost() + ",\"cut_off\":" + view.cutOff() + ",\"massed\":"
-            + view.massed() + ",\"incarnation\":" + peers.incarnation() + ",\"counts\":\"" + peers.counts()
-            + "\",\"states\":[");
+                + ",\"at_most\":" + view.atMost() + ",\"cut_off\":" + view.cutOff() + ",\"massed\":"
+                + view.massed() + ",\"incarnation\":" + peers.incarnation() + ",\"counts\":\"" + peers.counts()
+                + "\",\"states\":[");
         for (int i = 0; i < view.told(); i++) {
             json.append(i == 0 ? "\"" : ",\"").append(peers.state(i)).append('"');
         }
--- a/sidecar/src/main/java/martenlatch/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/Sidecar.java
@@ -48,15 +48,19 @@
     private static final int LAST_COMERS_MS = 1000;
     /** What the JVM holds open where the system does not tell. */
     private static final int USUAL_FILES = 32;
+
     private static final int LEAST_CONNECTIONS = 8;
     /** New connections still come for a while after SIGTERM: until then the listener stays open. */
     private static final int LINGER_MS = 600;
+
     private static final int EMPTY_POLL_MS = 10;
     /** SIGKILL comes no sooner after SIGTERM than the longest deadline, or this, and the slack more. */
     private static final int MOST_WAIT_MS = 3000;
+
     private static final int KILL_SLACK_MS = 700;
     /** The last of that time belongs to what is in hand, and the very last to a busy machine. */
     private static final int FINISH_MS = 700;
+
     private static final int DRAIN_SLACK_MS = 300;
 
     private final Path file;
@@ -71,6 +75,7 @@
     private final EventLoop loop;
     /** The first answer of discovery has come. */
     private final CountDownLatch firstWord = new CountDownLatch(1);
+
     private Frontend frontend;
     private DiscoveryClient discovery;
     private EndpointPool endpoints;
@@ -85,8 +90,7 @@
     private Sidecar(Path file, PrintStream log) {
         this.file = file;
         this.log = log;
-        group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("sidecar"),
-            NioIoHandler.newFactory());
+        group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("sidecar"), NioIoHandler.newFactory());
         loop = (EventLoop) group.next();
     }
 
@@ -105,8 +109,7 @@
      *
      * @param withPeers whether it and the other sidecars keep each other informed
      */
-    public static Sidecar start(Path file, Path shared, boolean withPeers, PrintStream log)
-            throws IOException {
+    public static Sidecar start(Path file, Path shared, boolean withPeers, PrintStream log) throws IOException {
         SiteConfig config = SiteConfig.read(file);
         // The library's log writes local times, whose rules are read from a file at the first line: in the
         // middle of trouble there may be no descriptor for it, and the error would end the event loop.
@@ -115,8 +118,7 @@
         try {
             sidecar.loop.submit(() -> sidecar.build(config, shared)).syncUninterruptibly();
             if (config.admin() != null) {
-                sidecar.adminAddress = sidecar.bind(() -> sidecar.admin.listen(config.admin()),
-                    config.admin());
+                sidecar.adminAddress = sidecar.bind(() -> sidecar.admin.listen(config.admin()), config.admin());
             }
             if (withPeers) {
                 sidecar.joinPeers(config);
@@ -147,10 +149,12 @@
 
     private void joinPeers(SiteConfig told) throws IOException, InterruptedException {
         PeerAddresses addresses = told.peerAddresses();
-        bind(() -> {
-            peers = new PeerHost(loop, time, complaints, told.settings(), addresses, told.seed());
-            return peers.listen(addresses.listen());
-        }, addresses.listen());
+        bind(
+                () -> {
+                    peers = new PeerHost(loop, time, complaints, told.settings(), addresses, told.seed());
+                    return peers.listen(addresses.listen());
+                },
+                addresses.listen());
         loop.execute(peers::start);
     }
 
@@ -166,7 +170,8 @@
         ChannelFuture bound = listen.get().await();
         if (!bound.isSuccess()) {
             stop();
-            throw new IOException("cannot listen on " + at + ": " + bound.cause().getMessage());
+            throw new IOException(
+                    "cannot listen on " + at + ": " + bound.cause().getMessage());
         }
         return (InetSocketAddress) bound.channel().localAddress();
     }
@@ -179,17 +184,30 @@
         complaints = new Complaints(time, log);
         int spare = SPARE_SOCKETS + (config.admin() == null ? 0 : ADMIN_SOCKETS);
         int half = Math.max(LEAST_CONNECTIONS, (config.sockets() - openFiles() - spare) / 2);
-        endpoints = new EndpointPool(loop, time, complaints,
-            config.settings().limits().connectTimeoutMs(), config.idleCloseMs(), half);
-        discovery = new DiscoveryClient(loop, time, config.discovery(), config.names(), complaints,
-            () -> Pace.next(config.settings(), random));
-        exchange = new Exchange(time, complaints, endpoints, discovery::watch, config.settings(),
-            config.seed(), config.known(), Witness.NONE);
+        endpoints = new EndpointPool(
+                loop, time, complaints, config.settings().limits().connectTimeoutMs(), config.idleCloseMs(), half);
+        discovery = new DiscoveryClient(
+                loop, time, config.discovery(), config.names(), complaints, () -> Pace.next(config.settings(), random));
+        exchange = new Exchange(
+                time,
+                complaints,
+                endpoints,
+                discovery::watch,
+                config.settings(),
+                config.seed(),
+                config.known(),
+                Witness.NONE);
         operations = new Operations(time, complaints, new Service());
         admin = new AdminServer(loop, operations);
         discovery.listen(new Lists(), config.known().version());
-        frontend = new Frontend(loop, time, complaints, exchange, endpoints, config.settings(),
-            Math.max(LEAST_CONNECTIONS, half - Frontend.OVERFLOW));
+        frontend = new Frontend(
+                loop,
+                time,
+                complaints,
+                exchange,
+                endpoints,
+                config.settings(),
+                Math.max(LEAST_CONNECTIONS, half - Frontend.OVERFLOW));
         operations.listed(config.known());
         if (config.admin() != null) {
             operations.share(shared, config.name(), loop);
@@ -256,10 +274,11 @@
     private void warm(SiteConfig told, Runnable done) {
         long began = System.nanoTime();
         loop.execute(() -> new Warmup(loop, told, () -> {
-            log.println("martenlatch: warm after " + (System.nanoTime() - began) / 1_000_000 + " ms");
-            frontend.warm();
-            done.run();
-        }).start());
+                    log.println("martenlatch: warm after " + (System.nanoTime() - began) / 1_000_000 + " ms");
+                    frontend.warm();
+                    done.run();
+                })
+                .start());
     }
 
     /**
@@ -275,7 +294,7 @@
                     peers.readdress(next.peerAddresses().each());
                 }
                 log.println("martenlatch: configuration read again: discovery is at " + next.discovery()
-                    + (next.settings().equals(config.settings()) ? "" : ", with new settings"));
+                        + (next.settings().equals(config.settings()) ? "" : ", with new settings"));
                 config = next;
                 mindDeadlines();
                 endpoints.retune(next.settings().limits().connectTimeoutMs(), next.idleCloseMs());
@@ -316,11 +335,15 @@
                 loop.schedule(frontend::closeListener, LINGER_MS - lateMs, TimeUnit.MILLISECONDS);
             }
             loop.schedule(frontend::finish, lastCallMs - lateMs, TimeUnit.MILLISECONDS);
-            loop.scheduleWithFixedDelay(() -> {
-                if (frontend.isEmpty()) {
-                    empty.countDown();
-                }
-            }, Math.max(0, LINGER_MS - lateMs), EMPTY_POLL_MS, TimeUnit.MILLISECONDS);
+            loop.scheduleWithFixedDelay(
+                    () -> {
+                        if (frontend.isEmpty()) {
+                            empty.countDown();
+                        }
+                    },
+                    Math.max(0, LINGER_MS - lateMs),
+                    EMPTY_POLL_MS,
+                    TimeUnit.MILLISECONDS);
         });
         try {
             // Every request has had its answer by then; who does not take it is not waited for.
@@ -328,8 +351,8 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        log.println(empty.getCount() == 0 ? "martenlatch: drained"
-            : "martenlatch: not all connections were empty in time");
+        log.println(
+                empty.getCount() == 0 ? "martenlatch: drained" : "martenlatch: not all connections were empty in time");
         stop();
     }
 
--- a/sidecar/src/main/java/martenlatch/sidecar/Warmup.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/Warmup.java
@@ -75,16 +75,21 @@
 
     void start() {
         loop.schedule(this::end, MOST_MS, TimeUnit.MILLISECONDS);
-        ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .childOption(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel accepted) {
-                    accepted.pipeline().addLast(new HttpServerCodec(),
-                        new HttpObjectAggregator(AnswerReader.MOST_BODY), new EndpointHandler());
-                }
-            })
-            .bind(ephemeral());
+        ChannelFuture bound = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .childOption(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel accepted) {
+                        accepted.pipeline()
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(AnswerReader.MOST_BODY),
+                                        new EndpointHandler());
+                    }
+                })
+                .bind(ephemeral());
         endpoint = bound.channel();
         bound.addListener(up -> {
             if (up.isSuccess() && !over) {
@@ -102,11 +107,14 @@
     private void startSidecar(InetSocketAddress at) {
         Time time = new LoopTime(loop);
         Complaints silent = new Complaints(time, new PrintStream(OutputStream.nullOutputStream()));
-        ServerList list = new ServerList(0, true, List.of(new ServerList.Entry(
-            new Endpoint("warm-up", config.settings().ownZone(), 0, 0, 0, EndpointStatus.READY, 1), at)));
+        ServerList list = new ServerList(
+                0,
+                true,
+                List.of(new ServerList.Entry(
+                        new Endpoint("warm-up", config.settings().ownZone(), 0, 0, 0, EndpointStatus.READY, 1), at)));
         pool = new EndpointPool(loop, time, silent, MOST_MS, config.idleCloseMs(), config.sockets());
-        Exchange exchange = new Exchange(time, silent, pool, () -> { }, config.settings(),
-            config.seed(), list, Witness.NONE);
+        Exchange exchange =
+                new Exchange(time, silent, pool, () -> {}, config.settings(), config.seed(), list, Witness.NONE);
         frontend = new Frontend(loop, time, silent, exchange, pool, config.settings(), config.sockets());
         ChannelFuture bound = frontend.listen(ephemeral());
         bound.addListener(up -> {
@@ -119,17 +127,22 @@
     }
 
     private void startClient(InetSocketAddress at) {
-        ChannelFuture connecting = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-            .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
-            .option(ChannelOption.TCP_NODELAY, true)
-            .handler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel fresh) {
-                    fresh.pipeline().addLast(new HttpClientCodec(),
-                        new HttpObjectAggregator(AnswerReader.MOST_BODY), new Client());
-                }
-            })
-            .connect(at);
+        ChannelFuture connecting = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .handler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel fresh) {
+                        fresh.pipeline()
+                                .addLast(
+                                        new HttpClientCodec(),
+                                        new HttpObjectAggregator(AnswerReader.MOST_BODY),
+                                        new Client());
+                    }
+                })
+                .connect(at);
         client = connecting.channel();
         connecting.addListener(up -> {
             if (up.isSuccess()) {
@@ -144,12 +157,18 @@
         List<RequestClass> classes = config.settings().classes();
         RequestClass kind = classes.get(rounds % classes.size());
         boolean safe = kind.idempotency() == Idempotency.IDEMPOTENT;
-        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-            safe ? HttpMethod.GET : HttpMethod.POST, "/api",
-            safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[128]));
-        request.headers().set("X-Request-Id", "warm-up-" + rounds).set("X-Class", kind.name())
-            .set(CallReader.DEADLINE, MOST_MS).set("Host", "warm-up").set("Cookie", "key=0")
-            .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
+        FullHttpRequest request = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1,
+                safe ? HttpMethod.GET : HttpMethod.POST,
+                "/api",
+                safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[128]));
+        request.headers()
+                .set("X-Request-Id", "warm-up-" + rounds)
+                .set("X-Class", kind.name())
+                .set(CallReader.DEADLINE, MOST_MS)
+                .set("Host", "warm-up")
+                .set("Cookie", "key=0")
+                .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
         if (!config.settings().tenants().isEmpty()) {
             request.headers().set("X-Tenant", config.settings().tenants().get(0).name());
         }
@@ -176,9 +195,10 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                HttpResponseStatus.OK, Unpooled.wrappedBuffer(new byte[128]));
-            answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
+            FullHttpResponse answer = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(new byte[128]));
+            answer.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
             ctx.writeAndFlush(answer);
         }
     }
--- a/sidecar/src/main/java/martenlatch/site/PeerAddresses.java
+++ b/sidecar/src/main/java/martenlatch/site/PeerAddresses.java
@@ -31,7 +31,7 @@
         }
         if (settings.ownIndex() >= all.size()) {
             throw new IllegalArgumentException("field peers must have an address for each sidecar, this "
-                + "one's number " + settings.ownIndex() + " among them, but has " + all.size());
+                    + "one's number " + settings.ownIndex() + " among them, but has " + all.size());
         }
         return new PeerAddresses(at, all);
     }
--- a/sidecar/src/main/java/martenlatch/site/SiteConfig.java
+++ b/sidecar/src/main/java/martenlatch/site/SiteConfig.java
@@ -32,9 +32,20 @@
  * @param peerListen as the file has it, and so {@code peers}: most installations have no use for them
  * @param idleCloseMs after how long at most an endpoint closes an idle connection
  */
-public record SiteConfig(String name, InetSocketAddress listen, InetSocketAddress admin,
-        InetSocketAddress discovery, long seed, int sockets, double idleCloseMs, RegistryList.Names names,
-        ServerList known, BalancerSettings settings, Set<String> fields, Object peerListen, Object peers) {
+public record SiteConfig(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress admin,
+        InetSocketAddress discovery,
+        long seed,
+        int sockets,
+        double idleCloseMs,
+        RegistryList.Names names,
+        ServerList known,
+        BalancerSettings settings,
+        Set<String> fields,
+        Object peerListen,
+        Object peers) {
 
     /** How to reach the other sidecars; what is missing or bad is an exception, here and not at the start. */
     public PeerAddresses peerAddresses() {
@@ -65,8 +76,7 @@
         SiteConfig next = read(file);
         Shape.check(fields, next.fields);
         if (!next.names.equals(names)) {
-            throw new IllegalArgumentException(
-                "fields settings.azs and settings.models cannot change in service");
+            throw new IllegalArgumentException("fields settings.azs and settings.models cannot change in service");
         }
         return next;
     }
@@ -77,22 +87,28 @@
         object("settings.rules", settings.get("rules"));
         positive("settings.limits.dial-timeout-ms", limits.get("dial-timeout-ms"));
         positive("settings.limits.try-limit", limits.get("try-limit"));
-        RegistryList.Names names = new RegistryList.Names(words("settings.azs", settings.get("azs")),
-            words("settings.models", settings.get("models")));
+        RegistryList.Names names = new RegistryList.Names(
+                words("settings.azs", settings.get("azs")), words("settings.models", settings.get("models")));
         Map<String, Object> shown = new HashMap<>();
         config.forEach((field, value) -> shown.put(String.valueOf(field), value));
         // What it holds differs from list to list.
         shown.put("known", null);
         Object admin = config.containsKey("admin") ? config.get("admin") : System.getenv("GW_ADMIN");
-        return new SiteConfig(String.valueOf(config.get("name")),
-            Fields.address("listen", config.get("listen")),
-            admin == null ? null : Fields.address("admin", admin),
-            Fields.address("discovery", config.get("discovery")), seed(config.get("seed")),
-            (int) positive("limits.sockets", object("limits", config.get("limits")).get("sockets")),
-            positive("settings.limits.idle-close-ms", limits.get("idle-close-ms")), names,
-            RegistryList.of(object("known", config.get("known")), names),
-            checked(SettingsReader.settings(settings)),
-            Shape.of(shown), config.get("peer_listen"), config.get("peers"));
+        return new SiteConfig(
+                String.valueOf(config.get("name")),
+                Fields.address("listen", config.get("listen")),
+                admin == null ? null : Fields.address("admin", admin),
+                Fields.address("discovery", config.get("discovery")),
+                seed(config.get("seed")),
+                (int) positive(
+                        "limits.sockets", object("limits", config.get("limits")).get("sockets")),
+                positive("settings.limits.idle-close-ms", limits.get("idle-close-ms")),
+                names,
+                RegistryList.of(object("known", config.get("known")), names),
+                checked(SettingsReader.settings(settings)),
+                Shape.of(shown),
+                config.get("peer_listen"),
+                config.get("peers"));
     }
 
     /** Requests name their class: each must have a name of its own. */
@@ -100,8 +116,7 @@
         Set<String> seen = new HashSet<>();
         for (RequestClass kind : settings.classes()) {
             if (kind.name().isEmpty() || !seen.add(kind.name())) {
-                throw Fields.bad("settings.classes[].name",
-                    kind.name().isEmpty() ? null : kind.name() + ", twice");
+                throw Fields.bad("settings.classes[].name", kind.name().isEmpty() ? null : kind.name() + ", twice");
             }
         }
         return settings;
--- a/sidecar/src/main/java/martenlatch/upstream/AnswerReader.java
+++ b/sidecar/src/main/java/martenlatch/upstream/AnswerReader.java
@@ -116,6 +116,7 @@
     private boolean more;
     /** The long answer that is passed on, how much of it has come, and whether that was all. */
     private PassedOn passing;
+
     private long passed;
     private boolean passedAll;
     /** The connection has broken: its end is not the end of an answer. */
@@ -196,17 +197,20 @@
 
     /** From now on what comes of the answer is passed on. */
     private void passOn() {
-        passing = new PassedOn(HttpUtil.getContentLength(head, -1L), new PassedOn.Connection() {
-            @Override
-            public void read(boolean on) {
-                listener.read(on);
-            }
-
-            @Override
-            public void close() {
-                spoil();
-            }
-        }, time);
+        passing = new PassedOn(
+                HttpUtil.getContentLength(head, -1L),
+                new PassedOn.Connection() {
+                    @Override
+                    public void read(boolean on) {
+                        listener.read(on);
+                    }
+
+                    @Override
+                    public void close() {
+                        spoil();
+                    }
+                },
+                time);
         passed = body.readableBytes();
         byte[] first = ByteBufUtil.getBytes(body);
         Answer answer = answer(new byte[0], passing);
@@ -218,16 +222,22 @@
     }
 
     private Answer answer(byte[] bytes, Rest rest) {
-        return new Answer(head.status().code(), "1".equals(head.headers().get("X-Not-Run")),
-            HttpUtil.isKeepAlive(head), head.headers().get(HttpHeaderNames.CONTENT_TYPE), bytes, rest);
+        return new Answer(
+                head.status().code(),
+                "1".equals(head.headers().get("X-Not-Run")),
+                HttpUtil.isKeepAlive(head),
+                head.headers().get(HttpHeaderNames.CONTENT_TYPE),
+                bytes,
+                rest);
     }
 
     /** Whether a head can be that of an answer, and says where the answer ends. */
     private boolean fits(HttpResponse response) {
         int status = response.status().code();
         if (status < 200) {
-            return status >= 100 && status != HttpResponseStatus.SWITCHING_PROTOCOLS.code()
-                && ++interim <= MOST_INTERIM;
+            return status >= 100
+                    && status != HttpResponseStatus.SWITCHING_PROTOCOLS.code()
+                    && ++interim <= MOST_INTERIM;
         }
         String coding = response.headers().get(HttpHeaderNames.TRANSFER_ENCODING);
         if (status >= 600) {
@@ -238,8 +248,8 @@
         }
         // Where the connection's end ends a body, its head must say that it will.
         return HttpUtil.isContentLengthSet(response)
-            ? HttpUtil.getContentLength(response) <= (status == 200 ? MOST_PASSED_ON : MOST_BODY)
-            : !HttpUtil.isKeepAlive(response);
+                ? HttpUtil.getContentLength(response) <= (status == 200 ? MOST_PASSED_ON : MOST_BODY)
+                : !HttpUtil.isKeepAlive(response);
     }
 
     private void take(HttpContent content) {
--- a/sidecar/src/main/java/martenlatch/upstream/EndpointPool.java
+++ b/sidecar/src/main/java/martenlatch/upstream/EndpointPool.java
@@ -46,6 +46,7 @@
 
     /** An idle connection is closed at this part of the time after which the endpoint may close it. */
     private static final double IDLE_SHARE = 0.5;
+
     private static final int SWEEPS = 10;
     /** An endpoint that is well takes some of a body within this time. */
     private static final int STUCK_MS = 2000;
@@ -64,8 +65,7 @@
      * @param body the whole body where {@code upload} is null
      * @param upload what passes the body on as it comes, or null
      */
-    public record Message(HttpMethod method, String uri, HttpHeaders headers, byte[] body, Upload upload) {
-    }
+    public record Message(HttpMethod method, String uri, HttpHeaders headers, byte[] body, Upload upload) {}
 
     /** One request on its way to an endpoint. */
     private final class Attempt implements Carrier.Attempt {
@@ -79,7 +79,11 @@
         /** The system has taken the last byte: from here on the request may have run. */
         private boolean written;
 
-        private Attempt(HttpRequest request, Upload upload, Carrier.Conditions conditions, double notAfter,
+        private Attempt(
+                HttpRequest request,
+                Upload upload,
+                Carrier.Conditions conditions,
+                double notAfter,
                 Carrier.Ending ending) {
             this.request = request;
             this.upload = upload;
@@ -150,6 +154,7 @@
     private static final class Endpoint {
         /** Null once another endpoint has taken its place. */
         InetSocketAddress address;
+
         double startedMs;
         /** The most recently used last. */
         final Deque<Connection> idle = new ArrayDeque<>();
@@ -171,20 +176,22 @@
     private final Set<Connection> idle = new LinkedHashSet<>();
     /** Attempts that wait for connections nobody wants any more. */
     private final List<Attempt> needless = new ArrayList<>();
+
     private Time.Timer sweeping;
     private int open;
 
-    public EndpointPool(EventLoop loop, Time time, Complaints complaints, double dialMs, double idleCloseMs,
-            int most) {
+    public EndpointPool(EventLoop loop, Time time, Complaints complaints, double dialMs, double idleCloseMs, int most) {
         this.time = time;
         this.complaints = complaints;
         this.most = most;
-        bootstrap = new Bootstrap().group(loop).channelFactory(EndpointSocket::new)
-            .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
-            .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Buffers.WATER_MARK)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, Buffers.reads())
-            .option(ChannelOption.SO_RCVBUF, Buffers.SYSTEM);
+        bootstrap = new Bootstrap()
+                .group(loop)
+                .channelFactory(EndpointSocket::new)
+                .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Buffers.WATER_MARK)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, Buffers.reads())
+                .option(ChannelOption.SO_RCVBUF, Buffers.SYSTEM);
         retune(dialMs, idleCloseMs);
         sweep();
     }
@@ -221,8 +228,7 @@
                 continue;
             }
             Endpoint endpoint = endpoints.computeIfAbsent(id, k -> new Endpoint());
-            if (!entry.address().equals(endpoint.address)
-                    || entry.server().startedMs() != endpoint.startedMs) {
+            if (!entry.address().equals(endpoint.address) || entry.server().startedMs() != endpoint.startedMs) {
                 retire(endpoint);
                 leaveAddress(endpoint);
             }
@@ -344,8 +350,7 @@
         }
 
         @Override
-        public Carrier.Attempt send(String server, Conditions conditions, double notAfter,
-                Ending ending) {
+        public Carrier.Attempt send(String server, Conditions conditions, double notAfter, Ending ending) {
             if (message.upload() != null && !message.upload().isFresh()) {
                 // A part of the body is gone: nothing is sent, and the endpoint is not to blame.
                 ending.ended(AttemptOutcome.NOT_EXECUTED, null);
@@ -354,15 +359,16 @@
             // Hardly any request needs a second attempt: only those copy the headers.
             HttpHeaders headers = sent ? message.headers().copy() : message.headers();
             sent = true;
-            return EndpointPool.this.send(server, new EndpointPool.Attempt(request(message, headers),
-                message.upload(), conditions, notAfter, ending));
+            return EndpointPool.this.send(
+                    server,
+                    new EndpointPool.Attempt(
+                            request(message, headers), message.upload(), conditions, notAfter, ending));
         }
     }
 
     private static HttpRequest request(Message from, HttpHeaders headers) {
         if (from.upload() != null) {
-            DefaultHttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, from.method(), from.uri(),
-                headers);
+            DefaultHttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, from.method(), from.uri(), headers);
             if (from.upload().length() >= 0) {
                 HttpUtil.setContentLength(head, from.upload().length());
             } else {
@@ -370,8 +376,13 @@
             }
             return head;
         }
-        return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, from.method(), from.uri(),
-            Unpooled.wrappedBuffer(from.body()), headers, EmptyHttpHeaders.INSTANCE);
+        return new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1,
+                from.method(),
+                from.uri(),
+                Unpooled.wrappedBuffer(from.body()),
+                headers,
+                EmptyHttpHeaders.INSTANCE);
     }
 
     /** Sends a request once, on an idle connection or a new one. It may end before this returns. */
@@ -397,7 +408,7 @@
         double settled = time.now() - SETTLE_MS;
         List<Connection> stale = new ArrayList<>();
         Connection found = null;
-        for (var newest = endpoint.idle.descendingIterator(); newest.hasNext() && found == null;) {
+        for (var newest = endpoint.idle.descendingIterator(); newest.hasNext() && found == null; ) {
             Connection connection = newest.next();
             if (connection.idleSince <= settled) {
                 if (connection.channel.isSilent()) {
@@ -444,6 +455,7 @@
         private final AnswerReader reader = new AnswerReader(this, time);
         /** Whose body is being written, with its attempt. */
         private Attempt uploading;
+
         private Time.Timer stuck;
         private EndpointSocket channel;
         private Attempt attempt;
@@ -459,14 +471,17 @@
         void open(Attempt first) {
             attempt = first;
             first.connection = this;
-            ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<EndpointSocket>() {
-                @Override
-                protected void initChannel(EndpointSocket fresh) {
-                    fresh.pipeline().addLast(new HttpRequestEncoder());
-                    reader.addTo(fresh.pipeline());
-                    fresh.pipeline().addLast(new Troubles());
-                }
-            }).connect(endpoint.address);
+            ChannelFuture connecting = bootstrap
+                    .clone()
+                    .handler(new ChannelInitializer<EndpointSocket>() {
+                        @Override
+                        protected void initChannel(EndpointSocket fresh) {
+                            fresh.pipeline().addLast(new HttpRequestEncoder());
+                            reader.addTo(fresh.pipeline());
+                            fresh.pipeline().addLast(new Troubles());
+                        }
+                    })
+                    .connect(endpoint.address);
             if (!(connecting.channel() instanceof EndpointSocket socket)) {
                 // There is no descriptor for it: nothing was opened, and nothing sent.
                 attempt = null;
@@ -508,8 +523,7 @@
         private void send(Attempt sent) {
             sent.setDeadlineHeader();
             if (sent.upload == null) {
-                channel.writeAndFlush(sent.request).addListener(written ->
-                    written(sent, written.isSuccess()));
+                channel.writeAndFlush(sent.request).addListener(written -> written(sent, written.isSuccess()));
                 return;
             }
             if (!sent.upload.isFresh()) {
@@ -566,8 +580,8 @@
             Attempt sent = uploading;
             stopWatching();
             uploading = null;
-            channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(written ->
-                written(sent, written.isSuccess()));
+            channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
+                    .addListener(written -> written(sent, written.isSuccess()));
         }
 
         private void stopWatching() {
--- a/sidecar/src/test/java/martenlatch/admin/DisabledEndpointsTest.java
+++ b/sidecar/src/test/java/martenlatch/admin/DisabledEndpointsTest.java
@@ -25,7 +25,11 @@
 
     private static DisabledEndpoints knowing(String... ids) {
         DisabledEndpoints made = new DisabledEndpoints();
-        made.listed(true, List.of(ids).stream().map(id -> server(id, EndpointStatus.READY)).toList());
+        made.listed(
+                true,
+                List.of(ids).stream()
+                        .map(id -> server(id, EndpointStatus.READY))
+                        .toList());
         return made;
     }
 
@@ -128,8 +132,7 @@
         }
     }
 
-    private record Write(String id, boolean out, long number) {
-    }
+    private record Write(String id, boolean out, long number) {}
 
     private static void write(Set<String> folder, Write next, int which, long[] written) {
         if (next == null) {
--- a/sidecar/src/test/java/martenlatch/cli/MainTest.java
+++ b/sidecar/src/test/java/martenlatch/cli/MainTest.java
@@ -43,9 +43,13 @@
 
     private Process serve(String config) throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), config);
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java")
-            .toString(), "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"),
-            "martenlatch.cli.Main", "serve");
+        ProcessBuilder builder = new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "martenlatch.cli.Main",
+                "serve");
         builder.environment().put("GW_CONFIG", file.toString());
         builder.environment().put("TMPDIR", folder.toString());
         return builder.redirectErrorStream(true).start();
@@ -80,8 +84,7 @@
             awaitLine(log, "warm after");
             awaitLine(log, "serves at");
             // The system gave the port: one that the test had found free could be taken before the start.
-            Process heir = serve(config.replace("\"listen\":\"127.0.0.1:0",
-                "\"listen\":\"127.0.0.1:" + port(told)));
+            Process heir = serve(config.replace("\"listen\":\"127.0.0.1:0", "\"listen\":\"127.0.0.1:" + port(told)));
             try (BufferedReader heirLog = heir.inputReader()) {
                 awaitLine(heirLog, "warm after");
                 awaitLine(heirLog, "listens at");
@@ -92,8 +95,7 @@
                 heir.toHandle().destroy();
                 // The one that has left is no heir to it.
                 List<String> lines = heirLog.lines().toList();
-                assertTrue(lines.stream().noneMatch(line -> line.contains("another process")),
-                    lines.toString());
+                assertTrue(lines.stream().noneMatch(line -> line.contains("another process")), lines.toString());
                 assertEquals(0, heir.waitFor());
             } finally {
                 heir.destroyForcibly();
@@ -110,9 +112,13 @@
         try (BufferedReader log = process.inputReader()) {
             awaitLine(log, "serves at");
             for (String port : List.of("2", "3")) {
-                Files.writeString(folder.resolve("config.json"),
-                    CONFIG.replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\""));
-                assertEquals(0, new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor());
+                Files.writeString(
+                        folder.resolve("config.json"), CONFIG.replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\""));
+                assertEquals(
+                        0,
+                        new ProcessBuilder("kill", "-HUP", "" + process.pid())
+                                .start()
+                                .waitFor());
                 awaitLine(log, "discovery is at /127.0.0.1:" + port);
             }
             process.toHandle().destroy();
@@ -123,7 +129,11 @@
     }
 
     private static void signal(Process process, String name) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, "" + process.pid()).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, "" + process.pid())
+                        .start()
+                        .waitFor());
     }
 
     /** Guards against signals that come while the program is still starting: each is heard, in its turn. */
@@ -153,7 +163,8 @@
             signal(process, "TERM");
             List<String> lines = log.lines().toList();
             assertEquals(0, process.waitFor());
-            assertEquals(1, lines.stream().filter(line -> line.contains("draining")).count(), "" + lines);
+            assertEquals(
+                    1, lines.stream().filter(line -> line.contains("draining")).count(), "" + lines);
             assertTrue(lines.get(lines.size() - 1).contains("drained"), "" + lines);
         } finally {
             process.destroyForcibly();
@@ -168,9 +179,10 @@
     void aStopBeforeTheFirstListIsACleanExit() throws Exception {
         try (ServerSocket agent = new ServerSocket(0)) {
             Process process = serve(CONFIG.replace("on_request", "pushed")
-                .replace("127.0.0.1:1\"", "127.0.0.1:" + agent.getLocalPort() + "\""));
+                    .replace("127.0.0.1:1\"", "127.0.0.1:" + agent.getLocalPort() + "\""));
             // It never answers. Who calls it has built its parts, and does not listen yet.
-            try (BufferedReader log = process.inputReader(); Socket calls = agent.accept()) {
+            try (BufferedReader log = process.inputReader();
+                    Socket calls = agent.accept()) {
                 signal(process, "HUP");
                 signal(process, "TERM");
                 signal(process, "TERM");
@@ -180,7 +192,9 @@
                 int draining = place(lines, "draining");
                 assertTrue(0 <= listens && listens < draining, "" + lines);
                 assertTrue(draining < place(lines, "martenlatch: drained"), "" + lines);
-                assertEquals(1, lines.stream().filter(line -> line.contains("draining")).count());
+                assertEquals(
+                        1,
+                        lines.stream().filter(line -> line.contains("draining")).count());
             } finally {
                 process.destroyForcibly();
             }
@@ -211,10 +225,14 @@
     @Test
     void aStartThatIgnoresSighupSaysSo() throws Exception {
         Path file = Files.writeString(folder.resolve("config.json"), CONFIG);
-        ProcessBuilder builder = new ProcessBuilder("nohup", Path.of(System.getProperty("java.home"), "bin",
-            "java")
-            .toString(), "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"),
-            "martenlatch.cli.Main", "serve");
+        ProcessBuilder builder = new ProcessBuilder(
+                "nohup",
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "martenlatch.cli.Main",
+                "serve");
         builder.environment().put("GW_CONFIG", file.toString());
         Process process = builder.redirectErrorStream(true).start();
         try (BufferedReader log = process.inputReader()) {
@@ -229,11 +247,9 @@
     void helpIsNoError() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream errors = new ByteArrayOutputStream();
-        assertEquals(0, Main.run(new String[] {"--help"}, InputStream.nullInputStream(), out,
-            new PrintStream(errors)));
+        assertEquals(0, Main.run(new String[] {"--help"}, InputStream.nullInputStream(), out, new PrintStream(errors)));
         assertTrue(out.toString().startsWith("usage:"), out.toString());
-        assertEquals(2, Main.run(new String[] {"--halp"}, InputStream.nullInputStream(), out,
-            new PrintStream(errors)));
+        assertEquals(2, Main.run(new String[] {"--halp"}, InputStream.nullInputStream(), out, new PrintStream(errors)));
     }
 
     @Test
@@ -255,11 +271,12 @@
     @Test
     void whatFindsNoDescriptorNeverRan() throws Exception {
         try (ServerSocket endpoint = new ServerSocket(0)) {
-            String list = "{\"version\":1,\"full\":true,\"servers\":[{\"id\":\"s0\",\"addr\":"
-                + "\"127.0.0.1:" + endpoint.getLocalPort() + "\",\"zone\":\"a\",\"state\":\"in_service\"}]}";
-            Path file = Files.writeString(folder.resolve("config.json"), CONFIG
-                .replace("{\"version\":0,\"full\":true,\"servers\":[]}", list)
-                .replace("repeatable", "once"));
+            String list = "{\"version\":1,\"full\":true,\"servers\":[{\"id\":\"s0\",\"addr\":" + "\"127.0.0.1:"
+                    + endpoint.getLocalPort() + "\",\"zone\":\"a\",\"state\":\"in_service\"}]}";
+            Path file = Files.writeString(
+                    folder.resolve("config.json"),
+                    CONFIG.replace("{\"version\":0,\"full\":true,\"servers\":[]}", list)
+                            .replace("repeatable", "once"));
             Process process = serveWithFewDescriptors(file);
             List<Socket> clients = new ArrayList<>();
             try (BufferedReader log = process.inputReader()) {
@@ -267,14 +284,17 @@
                 awaitLine(log, "serves at");
                 Socket asks = new Socket("127.0.0.1", port);
                 clients.add(asks);
-                assertTrue(ask(asks, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").contains(" 200 "));
+                assertTrue(ask(asks, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+                        .contains(" 200 "));
                 // More connections than the process may hold: those beyond wait with the system.
                 for (int i = 0; i < FEW; i++) {
                     clients.add(new Socket("127.0.0.1", port));
                 }
                 awaitLine(log, "no connection is taken in");
-                String answer = ask(asks, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: r0\r\n"
-                    + "X-Class: read\r\nX-Deadline-Ms: 900\r\nContent-Length: 0\r\n\r\n");
+                String answer = ask(
+                        asks,
+                        "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: r0\r\n"
+                                + "X-Class: read\r\nX-Deadline-Ms: 900\r\nContent-Length: 0\r\n\r\n");
                 assertTrue(answer.contains(" 503 "), answer);
                 awaitLine(log, "no connection: ");
                 process.toHandle().destroy();
@@ -288,8 +308,8 @@
     /** Guards against the same for discovery, which it asks on a connection of its own each time here. */
     @Test
     void discoveryThatFindsNoDescriptorIsAskedAgain() throws Exception {
-        Process process = serveWithFewDescriptors(Files.writeString(folder.resolve("config.json"),
-            CONFIG.replace("\"rules\":{}", "\"rules\":{\"ask-within-ms\":50}")));
+        Process process = serveWithFewDescriptors(Files.writeString(
+                folder.resolve("config.json"), CONFIG.replace("\"rules\":{}", "\"rules\":{\"ask-within-ms\":50}")));
         List<Socket> clients = new ArrayList<>();
         try (BufferedReader log = process.inputReader()) {
             int port = port(awaitLine(log, "listens at"));
@@ -298,13 +318,13 @@
             for (int i = 0; i < FEW; i++) {
                 clients.add(new Socket("127.0.0.1", port));
             }
-            for (String failed = "refused"; failed.contains("refused");) {
+            for (String failed = "refused"; failed.contains("refused"); ) {
                 failed = awaitLine(log, "discovery failed: ");
             }
             for (Socket client : clients) {
                 client.close();
             }
-            for (String failed = ""; !failed.contains("refused");) {
+            for (String failed = ""; !failed.contains("refused"); ) {
                 failed = awaitLine(log, "discovery failed: ");
             }
             process.toHandle().destroy();
@@ -322,11 +342,17 @@
     }
 
     private Process serveWithFewDescriptors(Path file) throws Exception {
-        ProcessBuilder builder = new ProcessBuilder("sh", "-c",
-            "ulimit -n " + FEW + " && exec \"$@\"", "sh",
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-XX:TieredStopAtLevel=1", "-cp", jar() + ":" + System.getProperty("java.class.path"),
-            "martenlatch.cli.Main", "serve");
+        ProcessBuilder builder = new ProcessBuilder(
+                "sh",
+                "-c",
+                "ulimit -n " + FEW + " && exec \"$@\"",
+                "sh",
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                jar() + ":" + System.getProperty("java.class.path"),
+                "martenlatch.cli.Main",
+                "serve");
         builder.environment().put("GW_CONFIG", file.toString());
         return builder.redirectErrorStream(true).start();
     }
@@ -337,7 +363,8 @@
 
     /** The program in one file, as it is delivered: it is open, so that classes need no descriptor. */
     private Path jar() throws Exception {
-        Path classes = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+        Path classes = Path.of(
+                Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         if (Files.isRegularFile(classes)) {
             return classes;
         }
--- a/sidecar/src/test/java/martenlatch/front/CallReaderTest.java
+++ b/sidecar/src/test/java/martenlatch/front/CallReaderTest.java
@@ -37,9 +37,28 @@
     }
 
     private static double deadline(String told, double latest) {
-        BalancerSettings settings = new BalancerSettings(1, 0, 0, 0, false, false, 0.1, 0,
-            List.of(new RequestClass("read", 300, CLASS_DEADLINE_MS, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false)),
-            List.of(), new AttemptLimits(3, true, true, 2000, 250), new EndpointRules(0.3, 9000, 3, 1000, 1000, 10_000));
+        BalancerSettings settings = new BalancerSettings(
+                1,
+                0,
+                0,
+                0,
+                false,
+                false,
+                0.1,
+                0,
+                List.of(new RequestClass(
+                        "read",
+                        300,
+                        CLASS_DEADLINE_MS,
+                        1,
+                        0,
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0,
+                        false)),
+                List.of(),
+                new AttemptLimits(3, true, true, 2000, 250),
+                new EndpointRules(0.3, 9000, 3, 1000, 1000, 10_000));
         Headers head = new Headers(Map.of("X-Request-Id", "r", "X-Class", "read", "X-Deadline-Ms", told));
         return new CallReader(settings).read(head, NOW, latest).request().deadlineMs() - NOW;
     }
--- a/sidecar/src/test/java/martenlatch/front/http/ClientListenerTest.java
+++ b/sidecar/src/test/java/martenlatch/front/http/ClientListenerTest.java
@@ -25,8 +25,7 @@
 @Timeout(60)
 class ClientListenerTest {
 
-    private final EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
-        .next();
+    private final EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final List<Socket> clients = new ArrayList<>();
 
     @AfterEach
@@ -53,20 +52,24 @@
      */
     @Test
     void nobodyIsAcceptedWhoIsNotServed() throws Exception {
-        ClientListener listener = (ClientListener) new ServerBootstrap().group(loop)
-            .channelFactory(ClientListener::new)
-            .childHandler(new Greeting())
-            .bind(new InetSocketAddress("127.0.0.1", 0)).sync().channel();
+        ClientListener listener = (ClientListener) new ServerBootstrap()
+                .group(loop)
+                .channelFactory(ClientListener::new)
+                .childHandler(new Greeting())
+                .bind(new InetSocketAddress("127.0.0.1", 0))
+                .sync()
+                .channel();
         InetSocketAddress address = listener.localAddress();
         List<Boolean> before = new ArrayList<>();
         CompletableFuture<Boolean> after = new CompletableFuture<>();
         loop.submit(() -> {
-            before.add(connects(address));
-            listener.closeEmpty();
-            listener.closeEmpty();
-            before.add(connects(address));
-            listener.closeFuture().addListener(closed -> after.complete(connects(address)));
-        }).get();
+                    before.add(connects(address));
+                    listener.closeEmpty();
+                    listener.closeEmpty();
+                    before.add(connects(address));
+                    listener.closeFuture().addListener(closed -> after.complete(connects(address)));
+                })
+                .get();
         assertEquals(false, after.get(20, TimeUnit.SECONDS), "the system has closed it too");
         assertEquals(List.of(true, true), before);
         for (Socket client : clients) {
--- a/sidecar/src/test/java/martenlatch/membership/ListWatchTest.java
+++ b/sidecar/src/test/java/martenlatch/membership/ListWatchTest.java
@@ -41,7 +41,7 @@
 
             @Override
             public void cancel() {
-                work = () -> { };
+                work = () -> {};
             }
 
             @Override
@@ -112,8 +112,11 @@
 
     private final Clock clock = new Clock();
     private final Recorder line = new Recorder();
-    private final ListWatch watch = new ListWatch(clock, line, new Complaints(clock,
-        new PrintStream(OutputStream.nullOutputStream())), () -> new Pace(20_000, 1000, 2000));
+    private final ListWatch watch = new ListWatch(
+            clock,
+            line,
+            new Complaints(clock, new PrintStream(OutputStream.nullOutputStream())),
+            () -> new Pace(20_000, 1000, 2000));
 
     ListWatchTest() {
         watch.listen(line, 7);
@@ -138,7 +141,9 @@
             Random random = new Random(seed);
             for (int i = 0; i < STEPS; i++) {
                 int calls = one.line.calls.size();
-                long some = calls == 0 ? 0 : one.line.calls.get(random.nextInt(calls)).number();
+                long some = calls == 0
+                        ? 0
+                        : one.line.calls.get(random.nextInt(calls)).number();
                 long latest = one.line.out == null || random.nextBoolean() ? some : one.line.out.number();
                 boolean out = one.line.out != null && one.line.out.number() == latest;
                 int lists = one.line.lists;
@@ -173,8 +178,7 @@
             clock.pass(20_000 + 999);
             assertEquals(silences, line.calls.size());
             clock.pass(1);
-            assertEquals(List.of(silences + 1, silences, 0),
-                List.of(line.calls.size(), line.drops, line.failures));
+            assertEquals(List.of(silences + 1, silences, 0), List.of(line.calls.size(), line.drops, line.failures));
         }
         answer(1, 9);
         watch.failed(1, "late");
@@ -229,16 +233,28 @@
             most = Math.max(most, wait);
         }
         assertTrue(least >= 6000 && least < 6100 && most > 11_900 && most <= 12_000, least + " " + most);
-        assertEquals(Pace.MOST_WAIT_MS, Pace.next(settings(true, 60_000), random).waitMs());
+        assertEquals(
+                Pace.MOST_WAIT_MS, Pace.next(settings(true, 60_000), random).waitMs());
         assertEquals(Pace.LEAST_WAIT_MS, Pace.next(settings(true, 100), random).waitMs());
         Pace agent = Pace.next(settings(false, 60_000), random);
         assertTrue(agent.waitMs() + agent.owedMs() <= 500, "within any drain's grace: " + agent);
     }
 
     private static BalancerSettings settings(boolean asks, double askWithinMs) {
-        return new BalancerSettings(1, 0, 0, 0, asks, false, 1, 0, List.of(new RequestClass("read", 100, 1000, 1, 0,
-            Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false)), List.of(), new AttemptLimits(3, false, true, 0, 100),
-            new EndpointRules(1, 0, 1, 1000, 500, askWithinMs));
+        return new BalancerSettings(
+                1,
+                0,
+                0,
+                0,
+                asks,
+                false,
+                1,
+                0,
+                List.of(new RequestClass(
+                        "read", 100, 1000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false)),
+                List.of(),
+                new AttemptLimits(3, false, true, 0, 100),
+                new EndpointRules(1, 0, 1, 1000, 500, askWithinMs));
     }
 
     /** Guards against a first move's turn that would have the second place asked too early. */
--- a/sidecar/src/test/java/martenlatch/peers/PeersTest.java
+++ b/sidecar/src/test/java/martenlatch/peers/PeersTest.java
@@ -26,8 +26,7 @@
     private static final double START = 1.8e12;
     private static final long LIFE = Incarnations.at(START);
 
-    private record Sent(int to, Message message) {
-    }
+    private record Sent(int to, Message message) {}
 
     private final List<Sent> sent = new ArrayList<>();
     private long bytes;
@@ -51,14 +50,14 @@
     }
 
     private void pass(double ms) {
-        for (double until = now + ms; now < until;) {
+        for (double until = now + ms; now < until; ) {
             now += Peers.TICK_MS;
             peers.tick(now);
         }
     }
 
-    private static Message message(int tier, int from, long life, Kind kind, List<Update> updates,
-            List<Accusation> accusations) {
+    private static Message message(
+            int tier, int from, long life, Kind kind, List<Update> updates, List<Accusation> accusations) {
         return new Message(kind, tier, 1, from, life, 7, 0, 0, updates, accusations, List.of());
     }
 
@@ -71,14 +70,26 @@
         for (int i = 1; i < TOLD && believed(PeerState.ABSENT) > 0; i++) {
             hear(i, message(2, i, LIFE, Kind.GOSSIP, List.of(), List.of()));
         }
-        for (double until = now + ms; now < until;) {
+        for (double until = now + ms; now < until; ) {
             pass(Peers.TICK_MS);
             List<Sent> asked = List.copyOf(sent);
             sent.clear();
             for (Sent one : asked) {
                 if (one.message().kind() == Kind.PING) {
-                    hear(one.to(), new Message(Kind.ACK, 2, 1, one.to(), LIFE, one.message().sequence(),
-                        one.to(), 0, List.of(), List.of(), List.of()));
+                    hear(
+                            one.to(),
+                            new Message(
+                                    Kind.ACK,
+                                    2,
+                                    1,
+                                    one.to(),
+                                    LIFE,
+                                    one.message().sequence(),
+                                    one.to(),
+                                    0,
+                                    List.of(),
+                                    List.of(),
+                                    List.of()));
                 }
             }
         }
@@ -94,9 +105,18 @@
 
     @Test
     void whatIsWrittenIsRead() {
-        Message message = new Message(Kind.TRY, 3, 4, 700, 0xfedcba98L, 65_535, 12, Message.DEAF,
-            List.of(new Update(1, Word.HEARD, 31, 5), new Update(999, Word.LEFT, 0, 0xffffffffL)),
-            List.of(new Accusation(8, 9, 10)), List.of(new Digest(62, -7)));
+        Message message = new Message(
+                Kind.TRY,
+                3,
+                4,
+                700,
+                0xfedcba98L,
+                65_535,
+                12,
+                Message.DEAF,
+                List.of(new Update(1, Word.HEARD, 31, 5), new Update(999, Word.LEFT, 0, 0xffffffffL)),
+                List.of(new Accusation(8, 9, 10)),
+                List.of(new Digest(62, -7)));
         byte[] bytes = MessageCodec.encode(message);
         assertEquals(MessageCodec.size(2, 1, 1), bytes.length);
         assertEquals(message, MessageCodec.decode(bytes));
@@ -104,16 +124,19 @@
         for (int i = 0; i < 34; i++) {
             many.add(new Update(i, Word.ALIVE, 0, 1));
         }
-        assertEquals("a message must have at most 256 bytes but has 261",
-            assertThrows(IllegalArgumentException.class, () -> MessageCodec.encode(message(0, 1, 1, Kind.PING,
-                many, List.of()))).getMessage());
+        assertEquals(
+                "a message must have at most 256 bytes but has 261",
+                assertThrows(
+                                IllegalArgumentException.class,
+                                () -> MessageCodec.encode(message(0, 1, 1, Kind.PING, many, List.of())))
+                        .getMessage());
     }
 
     /** A later version has another number and a section that this one does not know. */
     @Test
     void aLaterVersionIsUnderstood() {
-        byte[] bytes = MessageCodec.encode(message(2, 1, LIFE, Kind.PING, List.of(new Update(9, Word.ALIVE, 1,
-            LIFE)), List.of()));
+        byte[] bytes = MessageCodec.encode(
+                message(2, 1, LIFE, Kind.PING, List.of(new Update(9, Word.ALIVE, 1, LIFE)), List.of()));
         byte[] later = Arrays.copyOf(bytes, bytes.length + 5);
         later[2] = 9;
         later[bytes.length] = 77;
@@ -139,15 +162,18 @@
         hear(TOLD, message(2, TOLD, LIFE, Kind.PING, List.of(), List.of()));
         peers.receive(now, 1, new byte[0]);
         Counts counts = peers.counts();
-        assertArrayEquals(new long[] {3, 1, 1, 2, 0}, new long[] {counts.foreign, counts.otherTier,
-            counts.insane, counts.malformed, counts.heard});
+        assertArrayEquals(
+                new long[] {3, 1, 1, 2, 0},
+                new long[] {counts.foreign, counts.otherTier, counts.insane, counts.malformed, counts.heard});
         assertEquals(TOLD - 1, believed(PeerState.ABSENT));
         hear(1, good);
         sent.clear();
         hear(1, message(2, 1, LIFE - 5, Kind.PING, List.of(), List.of()));
         assertEquals(1, counts.earlierLife);
         // It is told what it has to exceed.
-        assertEquals(List.of(new Update(1, Word.ALIVE, 1, LIFE)), sent.get(0).message().updates());
+        assertEquals(
+                List.of(new Update(1, Word.ALIVE, 1, LIFE)),
+                sent.get(0).message().updates());
     }
 
     /** Guards against tables and traffic that a broken peer can make grow, and a view that it can empty. */
@@ -165,8 +191,7 @@
             List<Accusation> against = new ArrayList<>();
             List<Update> lies = new ArrayList<>();
             for (int j = 0; j < 10; j++) {
-                against.add(new Accusation(random.nextInt(TOLD), LIFE + random.nextInt(3),
-                    random.nextInt(TOLD)));
+                against.add(new Accusation(random.nextInt(TOLD), LIFE + random.nextInt(3), random.nextInt(TOLD)));
                 lies.add(new Update(random.nextInt(TOLD), Word.FAULTY, 1, LIFE + random.nextInt(3)));
             }
             hear(1, message(2, 1, LIFE, Kind.PING, lies, against));
@@ -174,10 +199,12 @@
                 live(Peers.TICK_MS);
             }
         }
-        assertTrue((bytes - before) / (now - from) * 1000 <= 3000 + 3000 / ((now - from) / 1000), "sent "
-            + (bytes - before) + " in " + (now - from));
-        assertTrue(peers.tableSizes().stream().allMatch(size -> size <= 128 + TOLD),
-            peers.tableSizes().toString());
+        assertTrue(
+                (bytes - before) / (now - from) * 1000 <= 3000 + 3000 / ((now - from) / 1000),
+                "sent " + (bytes - before) + " in " + (now - from));
+        assertTrue(
+                peers.tableSizes().stream().allMatch(size -> size <= 128 + TOLD),
+                peers.tableSizes().toString());
         assertTrue(believed(PeerState.FAULTY) <= TOLD / 4, "called faulty: " + believed(PeerState.FAULTY));
     }
 
@@ -185,23 +212,31 @@
     @Test
     void theLargestIncarnationIsNotBelieved() {
         live(5000);
-        hear(2, message(2, 2, LIFE, Kind.GOSSIP, List.of(new Update(0, Word.FAULTY, 1, 0xffffffffL),
-            new Update(5, Word.FAULTY, 1, 0xffffffffL)), List.of()));
+        hear(
+                2,
+                message(
+                        2,
+                        2,
+                        LIFE,
+                        Kind.GOSSIP,
+                        List.of(new Update(0, Word.FAULTY, 1, 0xffffffffL), new Update(5, Word.FAULTY, 1, 0xffffffffL)),
+                        List.of()));
         assertEquals(2, peers.counts().insane);
         assertEquals(PeerState.ALIVE, peers.state(5));
         long life = peers.incarnation();
-        hear(2, message(2, 2, LIFE, Kind.GOSSIP, List.of(new Update(0, Word.FAULTY, 1, life + 1000)),
-            List.of()));
+        hear(2, message(2, 2, LIFE, Kind.GOSSIP, List.of(new Update(0, Word.FAULTY, 1, life + 1000)), List.of()));
         assertEquals(life + 1001, peers.incarnation());
     }
 
     @Test
     void settingsThatCannotBeAreNamed() {
-        assertEquals("peers.self must be 0 to 9 but is 10.0",
-            assertThrows(IllegalArgumentException.class, () -> PeerSettings.usual(10, 10, 0, 0))
-                .getMessage());
-        assertEquals("peers.period-ms must be 100 to 60000 but is 5.0",
-            assertThrows(IllegalArgumentException.class, () -> new PeerSettings(0, 2, 0, 0, 5, 3000))
-                .getMessage());
+        assertEquals(
+                "peers.self must be 0 to 9 but is 10.0",
+                assertThrows(IllegalArgumentException.class, () -> PeerSettings.usual(10, 10, 0, 0))
+                        .getMessage());
+        assertEquals(
+                "peers.period-ms must be 100 to 60000 but is 5.0",
+                assertThrows(IllegalArgumentException.class, () -> new PeerSettings(0, 2, 0, 0, 5, 3000))
+                        .getMessage());
     }
 }
--- a/sidecar/src/test/java/martenlatch/sidecar/ChurnTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ChurnTest.java
@@ -56,7 +56,9 @@
             }
         }
         assertEquals(200, rig.ask("order", DEADLINE_MS).status());
-        assertEquals(List.of(0, 1), rig.sidecar.loop().submit(() -> rig.sidecar.tableSizes()).get());
+        assertEquals(
+                List.of(0, 1),
+                rig.sidecar.loop().submit(() -> rig.sidecar.tableSizes()).get());
     }
 
     /** Guards against calls meant for a process that is gone and made to the cold one at its address. */
--- a/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
@@ -26,8 +26,10 @@
     }
 
     private long attemptsOf(String requestId) {
-        return rig.endpoints.stream().flatMap(endpoint -> endpoint.requests.stream())
-            .filter(request -> requestId.equals(request.headers().get("x-request-id"))).count();
+        return rig.endpoints.stream()
+                .flatMap(endpoint -> endpoint.requests.stream())
+                .filter(request -> requestId.equals(request.headers().get("x-request-id")))
+                .count();
     }
 
     private void assertNothingIsPending() throws InterruptedException {
@@ -48,19 +50,19 @@
             connect.run();
         }
         rig.whileHeld(
-            () -> {
-                if (!accepted) {
-                    connect.run();
-                }
-                client[0].send(rig.request("order", DEADLINE_MS));
-            },
-            () -> {
-                if (reset) {
-                    client[0].reset();
-                } else {
-                    client[0].close();
-                }
-            });
+                () -> {
+                    if (!accepted) {
+                        connect.run();
+                    }
+                    client[0].send(rig.request("order", DEADLINE_MS));
+                },
+                () -> {
+                    if (reset) {
+                        client[0].reset();
+                    } else {
+                        client[0].close();
+                    }
+                });
         assertEquals("served", rig.ask("order", DEADLINE_MS).body());
         assertNothingIsPending();
         assertEquals(0, attemptsOf("r1"));
@@ -89,7 +91,8 @@
         rig = new Rig(new Fake(script), new Fake(script));
         rig.cancel = cancellation;
         rig.start();
-        try (Wire one = rig.client(); Wire other = rig.client()) {
+        try (Wire one = rig.client();
+                Wire other = rig.client()) {
             one.send(rig.request("read", DEADLINE_MS));
             other.send(rig.request("read", DEADLINE_MS));
             assertEquals("served", one.read().body());
--- a/sidecar/src/test/java/martenlatch/sidecar/ClientLimitsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientLimitsTest.java
@@ -24,8 +24,9 @@
     private static final int DEADLINE_MS = 8000;
     /** What such a client is owed an end within, and what a busy machine may take beyond it. */
     private static final double OWED_MS = 3000 + 5000;
-    private static final String HIDDEN = "GET /api HTTP/1.1\r\nX-Request-Id: hidden\r\nX-Class: read\r\n"
-        + "X-Deadline-Ms: 8000\r\nHost: a\r\n\r\n";
+
+    private static final String HIDDEN =
+            "GET /api HTTP/1.1\r\nX-Request-Id: hidden\r\nX-Class: read\r\n" + "X-Deadline-Ms: 8000\r\nHost: a\r\n\r\n";
 
     private Rig rig;
 
@@ -66,9 +67,13 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"POST /api HT", "POST /api HTTP/1.1\r\nX-Request-Id: r0\r\n",
-        "POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nhel",
-        "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel"})
+    @ValueSource(
+            strings = {
+                "POST /api HT",
+                "POST /api HTTP/1.1\r\nX-Request-Id: r0\r\n",
+                "POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nhel",
+                "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel"
+            })
     void aRequestThatStallsIsAnErrorInTime(String part) throws Exception {
         start(good());
         long began = System.nanoTime();
@@ -85,7 +90,8 @@
         start(good());
         long began = System.nanoTime();
         try (Wire client = rig.client()) {
-            assertEquals(200, client.send(rig.request("read", DEADLINE_MS)).read().status());
+            assertEquals(
+                    200, client.send(rig.request("read", DEADLINE_MS)).read().status());
             client.send("POST /api HTTP/1.1\r\n");
             Thread trickle = new Thread(() -> {
                 try {
@@ -107,18 +113,26 @@
     // ---- what can't be read ----
 
     @ParameterizedTest
-    @ValueSource(strings = {"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-        "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n",
-        "Transfer-Encoding: gzip\r\n\r\n", "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
-        "Transfer-Encoding: identity\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-        "Content-Length: 0\r\nContent-Length: 5\r\n\r\n", "Content-Length: 0, 0\r\n\r\n",
-        "Content-Length: +0\r\n\r\n", "Content-Length: -4\r\n\r\n", "Content-Length: ten\r\n\r\n",
-        "Content-Length : 5\r\n\r\n", "a line with no colon\r\n\r\n",
-        "Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\nzz\r\n\r\n"})
+    @ValueSource(
+            strings = {
+                "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n",
+                "Transfer-Encoding: gzip\r\n\r\n",
+                "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
+                "Transfer-Encoding: identity\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                "Content-Length: 0\r\nContent-Length: 5\r\n\r\n",
+                "Content-Length: 0, 0\r\n\r\n",
+                "Content-Length: +0\r\n\r\n",
+                "Content-Length: -4\r\n\r\n",
+                "Content-Length: ten\r\n\r\n",
+                "Content-Length : 5\r\n\r\n",
+                "a line with no colon\r\n\r\n",
+                "Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\nzz\r\n\r\n"
+            })
     void noRequestHidesInAnother(String framing) throws Exception {
         start(good());
-        String head = "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: open\r\nX-Class: read\r\n"
-            + "X-Deadline-Ms: 8000\r\n";
+        String head =
+                "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: open\r\nX-Class: read\r\n" + "X-Deadline-Ms: 8000\r\n";
         try (Wire client = rig.client()) {
             assertEquals(400, client.send(head + framing + HIDDEN).read().status());
             assertEnded(client);
@@ -206,12 +220,14 @@
         rig.start();
         List<Wire> silent = new ArrayList<>();
         try (Wire usual = rig.client()) {
-            assertEquals(200, usual.send(rig.request("read", DEADLINE_MS)).read().status());
+            assertEquals(
+                    200, usual.send(rig.request("read", DEADLINE_MS)).read().status());
             for (int i = 0; i < 40; i++) {
                 silent.add(rig.client());
             }
             silent.get(0).awaitEnd();
-            assertEquals(200, usual.send(rig.request("read", DEADLINE_MS)).read().status());
+            assertEquals(
+                    200, usual.send(rig.request("read", DEADLINE_MS)).read().status());
             assertEquals(200, rig.ask("order", DEADLINE_MS).status());
         }
         for (Wire client : silent) {
@@ -223,7 +239,8 @@
     @Test
     void aDrainLetsGoOfHalfARequest() throws Exception {
         start(good());
-        try (Wire half = rig.client().send("POST /api HTTP/1.1\r\n"); Wire behind = rig.client()) {
+        try (Wire half = rig.client().send("POST /api HTTP/1.1\r\n");
+                Wire behind = rig.client()) {
             behind.send(rig.request("read", DEADLINE_MS) + "POST /api HTTP/1.1\r\n");
             assertNotEquals(0, behind.read().status());
             Thread drain = new Thread(rig.sidecar::drain);
@@ -239,7 +256,8 @@
     void aDeadlineFarAwayIsBoundedByTheClass() throws Exception {
         start(good());
         assertEquals(200, rig.ask("order", 999_999_999).status());
-        int told = Integer.parseInt(rig.endpoints.get(0).requests.get(0).headers().get("x-deadline-ms"));
+        int told =
+                Integer.parseInt(rig.endpoints.get(0).requests.get(0).headers().get("x-deadline-ms"));
         assertTrue(told <= 9000, "what the endpoint is told: " + told);
     }
 
@@ -251,17 +269,21 @@
     void aConnectionInUseOutlivesTheClocksOfItsEarlierRequests() throws Exception {
         AtomicInteger holdMs = new AtomicInteger();
         rig = new Rig(new Fake((wire, request) -> {
-            Thread.sleep(holdMs.get());
-            Fake.answer(wire, 200, "", "mine");
-        })).start();
+                    Thread.sleep(holdMs.get());
+                    Fake.answer(wire, 200, "", "mine");
+                }))
+                .start();
         try (Wire client = rig.client()) {
-            assertEquals(200, client.send(rig.request("read", DEADLINE_MS)).read().status());
+            assertEquals(
+                    200, client.send(rig.request("read", DEADLINE_MS)).read().status());
             Thread.sleep(1500);
             holdMs.set(2000);
-            assertEquals(200, client.send(rig.request("read", DEADLINE_MS)).read().status());
+            assertEquals(
+                    200, client.send(rig.request("read", DEADLINE_MS)).read().status());
             Thread.sleep(1800);
             holdMs.set(0);
-            assertEquals(200, client.send(rig.request("read", DEADLINE_MS)).read().status());
+            assertEquals(
+                    200, client.send(rig.request("read", DEADLINE_MS)).read().status());
         }
     }
 }
--- a/sidecar/src/test/java/martenlatch/sidecar/ClosingTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClosingTest.java
@@ -23,6 +23,7 @@
     private static final int DEADLINE_MS = 8000;
     /** When the listener closes, when the last call comes, and when idle connections are closed. */
     private static final int LINGER_MS = 600;
+
     private static final int LAST_CALL_MS = 2700;
     private static final int IDLE_MS = 5000;
     /** Longer than an end may be late. */
@@ -52,10 +53,13 @@
         CountDownLatch done = new CountDownLatch(1);
         long until = System.nanoTime() + (long) (dueMs * 1e6);
         loop.execute(() -> {
-            loop.schedule(() -> {
-                again.countDown();
-                Rig.await(done);
-            }, 1, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        again.countDown();
+                        Rig.await(done);
+                    },
+                    1,
+                    TimeUnit.MILLISECONDS);
             held.countDown();
             while (System.nanoTime() < until) {
                 Thread.onSpinWait();
@@ -75,7 +79,10 @@
         drain.start();
         Rig.await("it drains", () -> {
             try (Wire wire = rig.client()) {
-                return wire.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").read().status() == 503;
+                return wire.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+                                .read()
+                                .status()
+                        == 503;
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
@@ -101,7 +108,8 @@
     void aRequestThatIsThereAtTheLastCallIsAnswered() throws Exception {
         before(good()).start();
         try (Wire client = rig.client()) {
-            assertEquals(200, client.send(rig.request("order", DEADLINE_MS)).read().status());
+            assertEquals(
+                    200, client.send(rig.request("order", DEADLINE_MS)).read().status());
             Thread drain = drain();
             justBefore(LAST_CALL_MS + 50, () -> client.send(rig.request("order", DEADLINE_MS)));
             Wire.Message answer = client.read();
@@ -118,7 +126,9 @@
         before(good()).start();
         try (Wire client = rig.client()) {
             for (int i = 0; i < 2; i++) {
-                assertEquals(200, client.send(rig.request("order", DEADLINE_MS)).read().status());
+                assertEquals(
+                        200,
+                        client.send(rig.request("order", DEADLINE_MS)).read().status());
             }
             justBefore(IDLE_MS + 50, () -> client.send(rig.request("order", DEADLINE_MS)));
             assertEquals(200, client.read().status());
@@ -129,13 +139,14 @@
     @Test
     void halfARequestThatIsThereWhenItsConnectionHasStoodIdleIsWaitedFor() throws Exception {
         before(good()).start();
-        try (Wire client = rig.client(); Wire silent = rig.client()) {
+        try (Wire client = rig.client();
+                Wire silent = rig.client()) {
             String request = rig.request("order", DEADLINE_MS);
             justBefore(IDLE_MS + 50, () -> {
                 client.send(request.substring(0, 30));
                 silent.send("POST /api");
             });
-            rig.sidecar.loop().submit(() -> { }).get();
+            rig.sidecar.loop().submit(() -> {}).get();
             assertEquals(200, client.send(request.substring(30)).read().status());
             assertEquals(408, silent.read().status(), "who goes on saying nothing is told");
         }
@@ -149,13 +160,15 @@
             client.send(rig.request("order", DEADLINE_MS));
             Rig.await("it is in hand", () -> rig.attempts() == 1);
             Thread drain = new Thread(rig.sidecar::drain);
-            rig.whileHeld(drain::start, () -> Rig.await("it has been told", () ->
-                rig.logged().contains("draining")), () -> {
-                    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HELD_UP_MS);
-                    while (System.nanoTime() < until) {
-                        Thread.onSpinWait();
-                    }
-                });
+            rig.whileHeld(
+                    drain::start,
+                    () -> Rig.await("it has been told", () -> rig.logged().contains("draining")),
+                    () -> {
+                        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HELD_UP_MS);
+                        while (System.nanoTime() < until) {
+                            Thread.onSpinWait();
+                        }
+                    });
             assertEquals(502, client.read().status(), "answered before it ends");
             client.close();
             drain.join();
@@ -173,8 +186,11 @@
         try (Wire client = rig.client()) {
             client.send(rig.request("order", DEADLINE_MS));
             Rig.await("it is in hand", () -> rig.attempts() == 1);
-            Files.writeString(rig.configFile, rig.config().replace("\"hard-limit-ms\":9000",
-                "\"hard-limit-ms\":500").replace("\"slo-ms\":9000", "\"slo-ms\":400"));
+            Files.writeString(
+                    rig.configFile,
+                    rig.config()
+                            .replace("\"hard-limit-ms\":9000", "\"hard-limit-ms\":500")
+                            .replace("\"slo-ms\":9000", "\"slo-ms\":400"));
             rig.sidecar.reload();
             Rig.await("the settings hold", () -> rig.logged().contains("with new settings"));
             long began = System.nanoTime();
--- a/sidecar/src/test/java/martenlatch/sidecar/Fake.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/Fake.java
@@ -44,8 +44,7 @@
     }
 
     static void answer(Wire wire, int status, String headers, String body) throws IOException {
-        wire.send("HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n"
-            + body);
+        wire.send("HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
     String address() {
--- a/sidecar/src/test/java/martenlatch/sidecar/LateEndpoint.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LateEndpoint.java
@@ -43,8 +43,7 @@
     private boolean knock() throws IOException {
         Socket socket = new Socket();
         try {
-            socket.connect(new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort()),
-                KNOCK_MS);
+            socket.connect(new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort()), KNOCK_MS);
             inQueue.add(socket);
             return true;
         } catch (SocketTimeoutException e) {
@@ -85,14 +84,16 @@
     }
 
     private static void start(Work work) {
-        Thread thread = new Thread(() -> {
-            try {
-                work.run();
-            } catch (IOException e) {
-                // The other side has left, or the test is over.
-                return;
-            }
-        }, "late endpoint");
+        Thread thread = new Thread(
+                () -> {
+                    try {
+                        work.run();
+                    } catch (IOException e) {
+                        // The other side has left, or the test is over.
+                        return;
+                    }
+                },
+                "late endpoint");
         thread.setDaemon(true);
         thread.start();
     }
--- a/sidecar/src/test/java/martenlatch/sidecar/LongBodiesTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LongBodiesTest.java
@@ -61,7 +61,7 @@
     /** A body in chunks of odd sizes. */
     private static byte[] chunked(byte[] body) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        for (int at = 0; at < body.length;) {
+        for (int at = 0; at < body.length; ) {
             int size = Math.min(body.length - at, 1 + at % 30_011);
             out.write((Integer.toHexString(size) + ";x=y\r\n").getBytes(StandardCharsets.ISO_8859_1));
             out.write(body, at, size);
@@ -80,7 +80,7 @@
 
     private String post(String framing) {
         return "POST /api?q=1 HTTP/1.1\r\nX-Request-Id: p" + System.nanoTime() + "\r\nX-Class: order\r\n"
-            + "X-Deadline-Ms: " + DEADLINE_MS + "\r\nHost: app.svc\r\n" + framing;
+                + "X-Deadline-Ms: " + DEADLINE_MS + "\r\nHost: app.svc\r\n" + framing;
     }
 
     /** Reads one answer whole: by its length, its chunks, or its connection's end. */
@@ -97,8 +97,18 @@
     // ---- answers ----
 
     @ParameterizedTest
-    @CsvSource({"length,70000", "chunked,70000", "close,70000", "length,8000000", "chunked,8000000",
-        "close,8000000", "close,100", "length,65536", "chunked,65536", "length,33554432"})
+    @CsvSource({
+        "length,70000",
+        "chunked,70000",
+        "close,70000",
+        "length,8000000",
+        "chunked,8000000",
+        "close,8000000",
+        "close,100",
+        "length,65536",
+        "chunked,65536",
+        "length,33554432"
+    })
     void anAnswerOfAnyFormAndSizeComesAsItWasMade(String form, int size) throws Exception {
         byte[] made = bytes(size, size);
         start((wire, request) -> {
@@ -118,7 +128,8 @@
                 Rig.settle();
             }
         }
-        assertEquals(form.equals("close") ? 3 : 1, rig.endpoints.get(0).connections.get());
+        assertEquals(
+                form.equals("close") ? 3 : 1, rig.endpoints.get(0).connections.get());
     }
 
     /** Guards against an answer held back until all of it has come. */
@@ -148,9 +159,15 @@
         byte[] made = bytes(2, 400_000);
         start((wire, request) -> {
             byte[] all = form.equals("chunked") ? chunked(made) : made;
-            write(wire, OK + (form.equals("length") ? "Content-Length: 400000\r\n"
-                : form.equals("chunked") ? "Transfer-Encoding: chunked\r\n" : "Connection: close\r\n"),
-                Arrays.copyOf(all, 200_000));
+            write(
+                    wire,
+                    OK
+                            + (form.equals("length")
+                                    ? "Content-Length: 400000\r\n"
+                                    : form.equals("chunked")
+                                            ? "Transfer-Encoding: chunked\r\n"
+                                            : "Connection: close\r\n"),
+                    Arrays.copyOf(all, 200_000));
             Thread.sleep(100);
             if (reset) {
                 wire.reset();
@@ -226,10 +243,13 @@
             }
         });
         Wire client = rig.client();
-        assertEquals(200, client.send(rig.request("order", DEADLINE_MS)).readHead().status());
+        assertEquals(
+                200, client.send(rig.request("order", DEADLINE_MS)).readHead().status());
         client.reset();
         Rig.await("the endpoint is let go", () -> open() == 0);
-        assertEquals(List.of(0, 1), rig.sidecar.loop().submit(() -> rig.sidecar.tableSizes()).get());
+        assertEquals(
+                List.of(0, 1),
+                rig.sidecar.loop().submit(() -> rig.sidecar.tableSizes()).get());
     }
 
     /** Requests behind one whose answer is long get theirs behind it, in order. */
@@ -244,8 +264,9 @@
             }
         });
         try (Wire client = rig.client()) {
-            client.send(rig.request("read", DEADLINE_MS) + rig.request("read", DEADLINE_MS)
-                + rig.request("read", DEADLINE_MS));
+            client.send(rig.request("read", DEADLINE_MS)
+                    + rig.request("read", DEADLINE_MS)
+                    + rig.request("read", DEADLINE_MS));
             assertEquals("r0", client.read().body());
             assertArrayEquals(made, body(client));
             assertEquals("r2", client.read().body());
@@ -255,8 +276,15 @@
     // ---- bodies of requests ----
 
     @ParameterizedTest
-    @CsvSource({"length,70000", "chunked,70000", "length,1000000", "chunked,1000000", "length,8000000",
-        "chunked,8000000", "length,33554432"})
+    @CsvSource({
+        "length,70000",
+        "chunked,70000",
+        "length,1000000",
+        "chunked,1000000",
+        "length,8000000",
+        "chunked,8000000",
+        "length,33554432"
+    })
     void aBodyOfAnySizeReachesTheEndpointAsItWas(String form, int size) throws Exception {
         byte[] sent = bytes(size, size);
         LinkedBlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
@@ -265,8 +293,13 @@
             rig.start();
             try (Wire client = rig.client()) {
                 for (int i = 0; i < 2; i++) {
-                    write(client, post(form.equals("length") ? "Content-Length: " + size + "\r\n"
-                        : "Transfer-Encoding: chunked\r\n"), form.equals("length") ? sent : chunked(sent));
+                    write(
+                            client,
+                            post(
+                                    form.equals("length")
+                                            ? "Content-Length: " + size + "\r\n"
+                                            : "Transfer-Encoding: chunked\r\n"),
+                            form.equals("length") ? sent : chunked(sent));
                     assertEquals("eaten", client.read().body());
                     assertArrayEquals(sent, received.take());
                     Rig.settle();
@@ -351,7 +384,7 @@
             rig.start();
             try (Wire client = rig.client()) {
                 client.send(post("Content-Length: " + sent.length + "\r\n\r\n")
-                    .replace("X-Deadline-Ms: " + DEADLINE_MS, "X-Deadline-Ms: 700"));
+                        .replace("X-Deadline-Ms: " + DEADLINE_MS, "X-Deadline-Ms: 700"));
                 for (int at = 0; at < sent.length; at += 100_000) {
                     client.socket.getOutputStream().write(sent, at, 100_000);
                     Thread.sleep(100);
@@ -376,7 +409,9 @@
             }
             Rig.await("the endpoint is let go", () -> eater.open.get() == 0);
             assertEquals(0, received.size());
-            assertEquals(List.of(0, 1), rig.sidecar.loop().submit(() -> rig.sidecar.tableSizes()).get());
+            assertEquals(
+                    List.of(0, 1),
+                    rig.sidecar.loop().submit(() -> rig.sidecar.tableSizes()).get());
         }
     }
 
@@ -474,8 +509,8 @@
                 Thread writer = new Thread(() -> {
                     try {
                         OutputStream out = client.socket.getOutputStream();
-                        byte[] chunk = ("40000\r\n" + "x".repeat(0x40000) + "\r\n")
-                            .getBytes(StandardCharsets.ISO_8859_1);
+                        byte[] chunk =
+                                ("40000\r\n" + "x".repeat(0x40000) + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
                         for (int i = 0; i < 140; i++) {
                             out.write(chunk);
                         }
@@ -511,8 +546,14 @@
                 client.read();
             }
         }
-        Rig.await("all room is free", () -> rig.sidecar.loop().submit(() -> rig.sidecar.bodyRoomTaken())
-            .syncUninterruptibly().getNow() == 0);
+        Rig.await(
+                "all room is free",
+                () -> rig.sidecar
+                                .loop()
+                                .submit(() -> rig.sidecar.bodyRoomTaken())
+                                .syncUninterruptibly()
+                                .getNow()
+                        == 0);
     }
 
     /**
--- a/sidecar/src/test/java/martenlatch/sidecar/LostCallsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LostCallsTest.java
@@ -22,6 +22,7 @@
     private static final int LOST_AT_ONCE = 3;
     /** What an answer takes: short against the aim, long enough that not too many of them hide the lost. */
     private static final int WORK_MS = 150;
+
     private static final int HELD = 6;
 
     private final AtomicInteger givenUp = new AtomicInteger();
--- a/sidecar/src/test/java/martenlatch/sidecar/OnePassTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/OnePassTest.java
@@ -21,6 +21,7 @@
     private static final int DEADLINE_MS = 8000;
     /** What a sidecar takes in at least, however few descriptors it may hold. */
     private static final int LEAST_CONNECTIONS = 8;
+
     private static final int SHORT_MS = 3000;
 
     private Rig rig;
@@ -49,8 +50,7 @@
     /** Guards against a repeat for a client that left in the moment in which its first attempt failed. */
     @ParameterizedTest
     @CsvSource({"true, true", "true, false", "false, true", "false, false"})
-    void aRepeatIsNotSentForAClientWhoseEndComesWithItsCause(boolean causeFirst, boolean cancel)
-            throws Exception {
+    void aRepeatIsNotSentForAClientWhoseEndComesWithItsCause(boolean causeFirst, boolean cancel) throws Exception {
         try (ServerSocket place = before(LateEndpoint.queue(), cancel)) {
             Wire client = rig.client().send(rig.request("read", DEADLINE_MS));
             Wire first = new Wire(place.accept());
@@ -64,8 +64,11 @@
                 awaitOpen(0);
                 late.open();
                 assertEquals("late", rig.ask("order", DEADLINE_MS).body());
-                assertEquals(List.of("r1"), late.requests.stream()
-                    .map(request -> request.headers().get("x-request-id")).toList());
+                assertEquals(
+                        List.of("r1"),
+                        late.requests.stream()
+                                .map(request -> request.headers().get("x-request-id"))
+                                .toList());
             }
         }
     }
@@ -73,7 +76,8 @@
     /** An answer that is there when its time is over, but was not read yet, has come in time. */
     @Test
     void anAnswerAndItsTimeOutAreOneAnswer() throws Exception {
-        try (ServerSocket place = before(LateEndpoint.queue(), true); Wire client = rig.client()) {
+        try (ServerSocket place = before(LateEndpoint.queue(), true);
+                Wire client = rig.client()) {
             client.send(rig.request("order", SHORT_MS));
             Wire endpoint = new Wire(place.accept());
             endpoint.read();
@@ -98,12 +102,15 @@
     @ParameterizedTest
     @ValueSource(strings = {"whole", "half"})
     void anAnswerAndTheResetBehindIt(String what) throws Exception {
-        try (ServerSocket place = before(LateEndpoint.queue(), true); Wire client = rig.client()) {
+        try (ServerSocket place = before(LateEndpoint.queue(), true);
+                Wire client = rig.client()) {
             client.send(rig.request("order", DEADLINE_MS));
             Wire endpoint = new Wire(place.accept());
             endpoint.read();
-            rig.whileHeld(() -> endpoint.send("HTTP/1.1 200 x\r\nContent-Length: 5\r\n\r\n"
-                + (what.equals("whole") ? "first" : "fir")), endpoint::reset);
+            rig.whileHeld(
+                    () -> endpoint.send(
+                            "HTTP/1.1 200 x\r\nContent-Length: 5\r\n\r\n" + (what.equals("whole") ? "first" : "fir")),
+                    endpoint::reset);
             Wire.Message answer = client.read();
             assertEquals(what.equals("whole") ? 200 : 502, answer.status());
             client.send(rig.request("order", DEADLINE_MS));
@@ -148,15 +155,23 @@
         List<Wire> clients = new ArrayList<>();
         for (int i = 0; i < LEAST_CONNECTIONS; i++) {
             clients.add(rig.client());
-            assertEquals(200, clients.get(i).send(rig.request("order", DEADLINE_MS)).read().status());
+            assertEquals(
+                    200,
+                    clients.get(i)
+                            .send(rig.request("order", DEADLINE_MS))
+                            .read()
+                            .status());
         }
         // The system tells of them in this order, and the first client has been idle the longest.
-        rig.whileHeld(() -> clients.add(rig.client()),
-            () -> clients.get(0).send(rig.request("order", DEADLINE_MS)));
+        rig.whileHeld(() -> clients.add(rig.client()), () -> clients.get(0).send(rig.request("order", DEADLINE_MS)));
         assertEquals(200, clients.get(0).read().status());
         clients.get(1).awaitEnd();
-        assertEquals(200, clients.get(LEAST_CONNECTIONS).send(rig.request("order", DEADLINE_MS)).read()
-            .status());
+        assertEquals(
+                200,
+                clients.get(LEAST_CONNECTIONS)
+                        .send(rig.request("order", DEADLINE_MS))
+                        .read()
+                        .status());
         for (Wire client : clients) {
             client.close();
         }
--- a/sidecar/src/test/java/martenlatch/sidecar/OperationsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/OperationsTest.java
@@ -31,6 +31,7 @@
 
     @TempDir
     Path shared;
+
     private final List<Rig> rigs = new ArrayList<>();
 
     @AfterEach
@@ -72,13 +73,15 @@
             assertEquals(400, answer.status(), body);
             assertTrue(answer.body().contains("{\\\"name\\\":\\\"ID\\\"}"), answer.body());
         }
-        assertEquals(413, rig.operate("POST /endpoints/disable", "x".repeat(5000)).status());
+        assertEquals(
+                413, rig.operate("POST /endpoints/disable", "x".repeat(5000)).status());
         Wire.Message out = rig.operate("POST /endpoints/disable", name("s1"));
         assertEquals(200, out.status());
         assertEquals("{\"ready\":true,\"disabled\":[\"s1\"]}", out.body().strip());
         assertEquals("close", out.headers().get("connection"));
-        assertEquals("{\"ready\":true,\"disabled\":[]}",
-            rig.operate("POST /endpoints/enable", name("s1")).body().strip());
+        assertEquals(
+                "{\"ready\":true,\"disabled\":[]}",
+                rig.operate("POST /endpoints/enable", name("s1")).body().strip());
     }
 
     /** Guards against callers that say nothing, or half of a call, and keep everyone else out. */
@@ -87,12 +90,10 @@
         Rig rig = rig(good()).start();
         List<Wire> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            silent.add(Wire.to(rig.sidecar.adminAddress())
-                .send(i % 2 == 0 ? "" : "POST /drain HTTP/1.1\r\nHo"));
+            silent.add(Wire.to(rig.sidecar.adminAddress()).send(i % 2 == 0 ? "" : "POST /drain HTTP/1.1\r\nHo"));
         }
         assertEquals(200, rig.operate("GET /ready", "").status());
-        assertThrows(EOFException.class, silent.get(0)::read,
-            "the oldest make room for the newest, without a word");
+        assertThrows(EOFException.class, silent.get(0)::read, "the oldest make room for the newest, without a word");
         Wire.Message late = silent.get(59).read();
         assertEquals(408, late.status());
         for (Wire wire : silent) {
@@ -123,13 +124,17 @@
             assertTrue(peers(rig).startsWith("{\"told\":2,\"at_least\":1,\"at_most\":2,"), peers(rig));
             Files.writeString(rig.configFile, rig.config().replace("\"127.0.0.1:1\",", ""));
             rig.sidecar.reload();
-            Rig.await("the file is refused", () -> rig.logged().contains("the configuration stays as it was: "
-                + "field peers must keep its 2 addresses in service but has 1"));
+            Rig.await(
+                    "the file is refused",
+                    () -> rig.logged()
+                            .contains("the configuration stays as it was: "
+                                    + "field peers must keep its 2 addresses in service but has 1"));
         }
         Rig bad = rig(good());
         bad.peers = List.of("here");
-        assertEquals("field peers[] is not usable: here",
-            assertThrows(IllegalArgumentException.class, bad::start).getMessage());
+        assertEquals(
+                "field peers[] is not usable: here",
+                assertThrows(IllegalArgumentException.class, bad::start).getMessage());
     }
 
     private static String peers(Rig rig) {
@@ -161,17 +166,22 @@
             for (int i = 0; i < 5; i++) {
                 assertEquals(200, rig.ask("order", DEADLINE_MS).status());
             }
-            answers.add(round == 0
-                ? Rig.list(2, true, Rig.line(0, first.address(), "in_service", 0),
-                    Rig.line(1, second.address(), "in_service", 0))
-                : Rig.list(3, false, Rig.line(0, first.address(), "in_service", 1000)));
+            answers.add(
+                    round == 0
+                            ? Rig.list(
+                                    2,
+                                    true,
+                                    Rig.line(0, first.address(), "in_service", 0),
+                                    Rig.line(1, second.address(), "in_service", 0))
+                            : Rig.list(3, false, Rig.line(0, first.address(), "in_service", 1000)));
             int asked = round + 2;
             Rig.await("the list is there", () -> rig.discovery.requests.size() >= asked);
         }
         assertEquals(before, first.requests.size());
         assertEquals(200, rig.operate("POST /endpoints/enable", name("s0")).status());
         Rig.await("it is used again", () -> {
-            try (Wire one = rig.client(); Wire other = rig.client()) {
+            try (Wire one = rig.client();
+                    Wire other = rig.client()) {
                 one.send(rig.request("order", DEADLINE_MS));
                 other.send(rig.request("order", DEADLINE_MS));
                 one.read();
@@ -235,16 +245,19 @@
     void clientsAreSentAwayAndTakenBack() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         Rig rig = rig(new Fake((wire, request) -> {
-            if (request.headers().get("x-request-id").equals("r0")) {
-                release.await();
-            }
-            Fake.answer(wire, 200, "", "served");
-        })).start();
+                    if (request.headers().get("x-request-id").equals("r0")) {
+                        release.await();
+                    }
+                    Fake.answer(wire, 200, "", "served");
+                }))
+                .start();
         Wire inHand = rig.client().send(rig.request("order", DEADLINE_MS));
         Rig.await("it is in hand", () -> rig.attempts() == 1);
         Wire used = rig.client();
         Wire idle = rig.client();
-        assertEquals(null, used.send(rig.request("order", DEADLINE_MS)).read().headers().get("connection"));
+        assertEquals(
+                null,
+                used.send(rig.request("order", DEADLINE_MS)).read().headers().get("connection"));
         assertEquals(200, idle.send(rig.request("order", DEADLINE_MS)).read().status());
 
         assertEquals(200, rig.operate("POST /drain", "").status());
@@ -288,7 +301,8 @@
             assertEquals(200, rig.operate("POST /drain", "").status());
             // Longer than it takes until idle ones are let go, shorter than a body may pause.
             Thread.sleep(1300);
-            Wire.Message answer = slow.send(request.substring(request.length() - 3)).read();
+            Wire.Message answer =
+                    slow.send(request.substring(request.length() - 3)).read();
             assertEquals(200, answer.status());
             assertEquals("close", answer.headers().get("connection"));
         }
@@ -334,7 +348,7 @@
         for (int i = 0; i < 20; i++) {
             try (Wire wire = next.client()) {
                 wire.send("GET /api?q=1 HTTP/1.1\r\nX-Request-Id: n" + i + "\r\nX-Class: read\r\n"
-                    + "X-Deadline-Ms: 8000\r\nHost: x\r\n\r\n");
+                        + "X-Deadline-Ms: 8000\r\nHost: x\r\n\r\n");
                 assertEquals(200, wire.read().status());
             }
         }
--- a/sidecar/src/test/java/martenlatch/sidecar/RareOrdersTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/RareOrdersTest.java
@@ -78,8 +78,11 @@
             late.open();
             assertEquals("late", stays.read().body());
             stays.close();
-            assertEquals(List.of("r1"), late.requests.stream()
-                .map(request -> request.headers().get("x-request-id")).toList());
+            assertEquals(
+                    List.of("r1"),
+                    late.requests.stream()
+                            .map(request -> request.headers().get("x-request-id"))
+                            .toList());
             // Nothing is held against the endpoint: it is asked at once.
             assertEquals("late", rig.ask("order", DEADLINE_MS).body());
         }
@@ -138,7 +141,7 @@
             Rig.await("eight are at the endpoints", () -> rig.attempts() == 8);
             String next = rig.request("read", DEADLINE_MS);
             client.send(next.substring(0, 20));
-            rig.sidecar.loop().submit(() -> { }).get();
+            rig.sidecar.loop().submit(() -> {}).get();
             client.send(next.substring(20));
             release.countDown();
             for (int i = 0; i < 9; i++) {
@@ -160,10 +163,10 @@
             client.send(all.toString());
             Rig.await("some are at the endpoint", () -> rig.attempts() > 0);
             long began = System.nanoTime();
-            client.send(rig.request("order", DEADLINE_MS).replace("Content-Length: 5\r\n\r\nhello",
-                "Content-Length: 1000000\r\n\r\n" + "x".repeat(900_000)));
-            Rig.await("it is taken for the body that it is, which has a bound", () ->
-                bodyRoomTaken() > 800_000);
+            client.send(rig.request("order", DEADLINE_MS)
+                    .replace(
+                            "Content-Length: 5\r\n\r\nhello", "Content-Length: 1000000\r\n\r\n" + "x".repeat(900_000)));
+            Rig.await("it is taken for the body that it is, which has a bound", () -> bodyRoomTaken() > 800_000);
             assertTrue(sinceMs(began) < NOTICED_MS, "and not when the eight have timed out");
         }
         awaitOpen(0);
@@ -178,9 +181,11 @@
         for (int i = 0; i < 30; i++) {
             // Some bodies are collected, some passed on as they come.
             int length = i % 2 == 0 ? 200_000 : 2_000_000;
-            clients.add(rig.client().send(rig.request("order", DEADLINE_MS)
-                .replace("Content-Length: 5\r\n\r\nhello", "Content-Length: " + length + "\r\n\r\n"
-                    + "x".repeat(100_000))));
+            clients.add(rig.client()
+                    .send(rig.request("order", DEADLINE_MS)
+                            .replace(
+                                    "Content-Length: 5\r\n\r\nhello",
+                                    "Content-Length: " + length + "\r\n\r\n" + "x".repeat(100_000))));
         }
         Rig.await("bodies are coming", () -> bodyRoomTaken() > 0);
         for (int i = 0; i < clients.size(); i++) {
@@ -194,8 +199,9 @@
         Rig.await("the room of all bodies is free", () -> bodyRoomTaken() == 0);
         for (Fake endpoint : rig.endpoints) {
             Rig.await("its connections are gone", () -> endpoint.open.get() == 0);
-            endpoint.requests.forEach(request -> assertTrue(request.body().length() < Integer.parseInt(
-                request.headers().get("content-length")), "none came whole"));
+            endpoint.requests.forEach(request -> assertTrue(
+                    request.body().length() < Integer.parseInt(request.headers().get("content-length")),
+                    "none came whole"));
         }
         assertEquals(200, rig.ask("order", DEADLINE_MS).status());
     }
@@ -220,19 +226,24 @@
         for (int i = 0; i < 10; i++) {
             rig = new Rig(good()).start();
             Wire idle = rig.client();
-            assertEquals(200, idle.send(rig.request("order", DEADLINE_MS)).read().status());
+            assertEquals(
+                    200, idle.send(rig.request("order", DEADLINE_MS)).read().status());
             Wire half = rig.client();
-            assertEquals(200, half.send(rig.request("order", DEADLINE_MS)).read().status());
+            assertEquals(
+                    200, half.send(rig.request("order", DEADLINE_MS)).read().status());
             Thread drain = new Thread(rig.sidecar::drain);
             drain.start();
             Rig.await("the listener is closed", () -> !accepts(rig.sidecar.address()));
             // The head is broken off, or the body: one that is collected, one that is passed on as it comes.
-            String request = rig.request("order", DEADLINE_MS).replace("Content-Length: 5\r\n\r\nhello",
-                "Content-Length: " + bodySize + "\r\n\r\n" + "x".repeat(bodySize));
+            String request = rig.request("order", DEADLINE_MS)
+                    .replace(
+                            "Content-Length: 5\r\n\r\nhello",
+                            "Content-Length: " + bodySize + "\r\n\r\n" + "x".repeat(bodySize));
             int sent = bodySize == 5 ? 30 : request.length() - 10;
             half.send(request.substring(0, sent));
             // It has been read before the last call.
-            assertEquals(200, idle.send(rig.request("order", DEADLINE_MS)).read().status());
+            assertEquals(
+                    200, idle.send(rig.request("order", DEADLINE_MS)).read().status());
             idle.awaitEnd();
             long lastCall = System.nanoTime();
             try {
@@ -263,9 +274,10 @@
         for (int i = 0; i < 10; i++) {
             CountDownLatch release = new CountDownLatch(1);
             rig = new Rig(new Fake((wire, request) -> {
-                release.await();
-                Fake.answer(wire, 200, "", "served");
-            })).start();
+                        release.await();
+                        Fake.answer(wire, 200, "", "served");
+                    }))
+                    .start();
             Wire idle = rig.client();
             idle.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").read();
             Wire slow = rig.client().send(rig.request("order", DEADLINE_MS));
@@ -317,8 +329,15 @@
                 if (rig.discovery.requests.size() < silent) {
                     Fake.answer(wire, 200, "", Rig.list(1, true, Rig.line(0, good, "in_service", 0)));
                 } else if (rig.discovery.requests.size() == silent + 1) {
-                    Fake.answer(wire, 200, "", Rig.list(2, false, Rig.line(0, good, "terminating", 0),
-                        Rig.line(1, other.address(), "in_service", 0)));
+                    Fake.answer(
+                            wire,
+                            200,
+                            "",
+                            Rig.list(
+                                    2,
+                                    false,
+                                    Rig.line(0, good, "terminating", 0),
+                                    Rig.line(1, other.address(), "in_service", 0)));
                 } else {
                     wire.awaitEnd();
                 }
@@ -346,8 +365,11 @@
             if (version > 5) {
                 wire.awaitEnd();
             }
-            Fake.answer(wire, 200, "", Rig.list(version + 1, true,
-                Rig.line(0, rig.endpoints.get(0).address(), "in_service", 0)));
+            Fake.answer(
+                    wire,
+                    200,
+                    "",
+                    Rig.list(version + 1, true, Rig.line(0, rig.endpoints.get(0).address(), "in_service", 0)));
             if (how.equals("reset")) {
                 // Only when the answer has been taken: a reset may overtake it.
                 Rig.await("the next call is here", () -> available(wire) > 0);
@@ -372,23 +394,35 @@
 
     /** Guards against half an answer that is waited for as long as a whole one. */
     @ParameterizedTest
-    @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Le", "HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n{\"version\":2,", "trickle"})
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 200 OK\r\nContent-Le",
+                "HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n{\"version\":2,",
+                "trickle"
+            })
     void anAnswerThatBreaksOffIsNotWaitedFor(String half) throws Exception {
-        try (Fake other = good(); Fake moved = new Fake((wire, request) -> wire.awaitEnd())) {
+        try (Fake other = good();
+                Fake moved = new Fake((wire, request) -> wire.awaitEnd())) {
             rig = new Rig(good()).start();
             moved.script = (wire, request) -> {
                 switch (moved.requests.size()) {
-                    case 1 -> Fake.answer(wire, 200, "", Rig.list(1, true,
-                        Rig.line(0, rig.endpoints.get(0).address(), "in_service", 0)));
+                    case 1 ->
+                        Fake.answer(
+                                wire,
+                                200,
+                                "",
+                                Rig.list(
+                                        1,
+                                        true,
+                                        Rig.line(0, rig.endpoints.get(0).address(), "in_service", 0)));
                     case 2 -> breakOff(wire, half);
-                    case 3 -> Fake.answer(wire, 200, "", Rig.list(2, true,
-                        Rig.line(1, other.address(), "in_service", 0)));
+                    case 3 ->
+                        Fake.answer(wire, 200, "", Rig.list(2, true, Rig.line(1, other.address(), "in_service", 0)));
                     default -> wire.awaitEnd();
                 }
             };
-            Files.writeString(rig.configFile, rig.config().replace(rig.discovery.address(),
-                moved.address()));
+            Files.writeString(rig.configFile, rig.config().replace(rig.discovery.address(), moved.address()));
             long began = System.nanoTime();
             rig.sidecar.reload();
             Rig.await("it asks anew, and goes on", () -> moved.requests.size() == 4);
@@ -421,8 +455,12 @@
             rig.discovery.script = (wire, request) -> Fake.answer(wire, 200, "", answers.take());
             rig.start();
             String first = rig.endpoints.get(0).address();
-            String indented = Rig.list(7, false, Rig.line(0, first, "terminating", 0),
-                Rig.line(1, other.address(), "in_service", 0)).replaceAll("([,{\\[])", "$1\n    ");
+            String indented = Rig.list(
+                            7,
+                            false,
+                            Rig.line(0, first, "terminating", 0),
+                            Rig.line(1, other.address(), "in_service", 0))
+                    .replaceAll("([,{\\[])", "$1\n    ");
             answers.add(indented);
             answers.add(Rig.list(7, false));
             Rig.await("both are taken", () -> rig.discovery.requests.size() == 3);
@@ -430,9 +468,11 @@
             answers.add(Rig.list(3, true, Rig.line(0, first, "in_service", 0)));
             Rig.await("so is this", () -> rig.discovery.requests.size() == 4);
             assertEquals("served", rig.ask("order", DEADLINE_MS).body());
-            assertEquals(List.of("index=1&", "index=7&", "index=7&", "index=3&"),
-                rig.discovery.requests.stream().map(request -> request.line()
-                    .replaceAll(".*(index=\\d+&).*", "$1")).toList());
+            assertEquals(
+                    List.of("index=1&", "index=7&", "index=7&", "index=3&"),
+                    rig.discovery.requests.stream()
+                            .map(request -> request.line().replaceAll(".*(index=\\d+&).*", "$1"))
+                            .toList());
         }
     }
 
@@ -444,7 +484,9 @@
     @ValueSource(strings = {"terminating", "terminated", "left out", "restarted"})
     void anAttemptThatWaitsForItsConnectionLeavesAnEndpointThatDrains(String how) throws Exception {
         LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
-        try (LateEndpoint late = new LateEndpoint(); Fake other = good(); Fake again = good()) {
+        try (LateEndpoint late = new LateEndpoint();
+                Fake other = good();
+                Fake again = good()) {
             before(late.address());
             rig.dialMs = 30_000;
             rig.askWithinMs = 20;
@@ -454,12 +496,17 @@
             awaitOpen(1);
             Rig.await("a watch is on", () -> rig.discovery.requests.size() == 1);
             String next = Rig.line(1, other.address(), "in_service", 0);
-            answers.add(switch (how) {
-                case "left out" -> Rig.list(2, true, next);
-                case "restarted" -> Rig.list(2, false, next, Rig.line(0, again.address(), "in_service",
-                    System.currentTimeMillis()));
-                default -> Rig.list(2, false, next, Rig.line(0, late.address(), how, 0));
-            });
+            answers.add(
+                    switch (how) {
+                        case "left out" -> Rig.list(2, true, next);
+                        case "restarted" ->
+                            Rig.list(
+                                    2,
+                                    false,
+                                    next,
+                                    Rig.line(0, again.address(), "in_service", System.currentTimeMillis()));
+                        default -> Rig.list(2, false, next, Rig.line(0, late.address(), how, 0));
+                    });
             assertEquals("served", unsafe.read().body(), "it never ran, so another one may have it");
             unsafe.close();
             late.open();
@@ -478,16 +525,24 @@
             CountDownLatch looked = new CountDownLatch(1);
             rig.discovery.script = (wire, request) -> {
                 // A sidecar that does not wait for the agent listens within milliseconds.
-                for (int i = 0; i < 100 && looked.getCount() > 0 && !rig.logged().contains("listens"); i++) {
+                for (int i = 0;
+                        i < 100 && looked.getCount() > 0 && !rig.logged().contains("listens");
+                        i++) {
                     Thread.sleep(10);
                 }
                 if (looked.getCount() > 0) {
                     seen.add(rig.logged().contains("listens") ? "listens" : "waits");
                     looked.countDown();
                 }
-                Fake.answer(wire, 200, "", Rig.list(2, true,
-                    Rig.line(0, rig.endpoints.get(0).address(), "terminating", 0),
-                    Rig.line(1, other.address(), "in_service", 0)));
+                Fake.answer(
+                        wire,
+                        200,
+                        "",
+                        Rig.list(
+                                2,
+                                true,
+                                Rig.line(0, rig.endpoints.get(0).address(), "terminating", 0),
+                                Rig.line(1, other.address(), "in_service", 0)));
             };
             rig.start();
             assertEquals("waits", seen.get(0));
@@ -531,8 +586,11 @@
                 assertTrue(sinceMs(began) < NOTICED_MS, "given up is answered at once");
                 late.open();
                 assertEquals("late", rig.ask("order", DEADLINE_MS).body());
-                assertEquals(List.of("r1"), late.requests.stream()
-                    .map(request -> request.headers().get("x-request-id")).toList());
+                assertEquals(
+                        List.of("r1"),
+                        late.requests.stream()
+                                .map(request -> request.headers().get("x-request-id"))
+                                .toList());
             }
             client.close();
         }
--- a/sidecar/src/test/java/martenlatch/sidecar/ReloadTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ReloadTest.java
@@ -41,8 +41,7 @@
             if (request.line().contains("index=")) {
                 wire.awaitEnd();
             } else {
-                Fake.answer(wire, 200, "", Rig.list(version, true,
-                    Rig.line(9, endpoint.address(), "in_service", 0)));
+                Fake.answer(wire, 200, "", Rig.list(version, true, Rig.line(9, endpoint.address(), "in_service", 0)));
             }
         });
     }
@@ -58,11 +57,15 @@
         rig.askWithinMs = 20;
         rig.start();
         Rig.await("a watch is on", () -> rig.discovery.requests.size() == 1);
-        try (Fake next = discoveryWith(1, after); Fake last = discoveryWith(1, before)) {
+        try (Fake next = discoveryWith(1, after);
+                Fake last = discoveryWith(1, before)) {
             reloadFor(next.address());
             Rig.await("the watch goes on there", () -> next.requests.size() == 2);
-            assertEquals("GET /registry/instances HTTP/1.1", next.requests.get(0).line());
-            assertEquals("GET /registry/instances?index=1&wait=4000 HTTP/1.1", next.requests.get(1).line());
+            assertEquals(
+                    "GET /registry/instances HTTP/1.1", next.requests.get(0).line());
+            assertEquals(
+                    "GET /registry/instances?index=1&wait=4000 HTTP/1.1",
+                    next.requests.get(1).line());
             Rig.await("the old watch is dropped", () -> rig.discovery.open.get() == 0);
             assertEquals("after", rig.ask("order", DEADLINE_MS).body());
             reloadFor(last.address());
@@ -78,14 +81,17 @@
         rig.askWithinMs = 2000;
         rig.start();
         List<Double> waits = new ArrayList<>();
-        try (Fake one = discoveryWith(1, after); Fake other = discoveryWith(1, before)) {
+        try (Fake one = discoveryWith(1, after);
+                Fake other = discoveryWith(1, before)) {
             for (int i = 0; i < 6; i++) {
                 Fake next = i % 2 == 0 ? one : other;
                 int asked = next.requests.size();
                 long began = System.nanoTime();
-                Files.writeString(rig.configFile, rig.config().replace(rig.discovery.address(),
-                    next.address())
-                    .replace("\"replicas-of-me\":1", "\"replicas-of-me\":40"));
+                Files.writeString(
+                        rig.configFile,
+                        rig.config()
+                                .replace(rig.discovery.address(), next.address())
+                                .replace("\"replicas-of-me\":1", "\"replicas-of-me\":40"));
                 rig.sidecar.reload();
                 Rig.await("it asks there", () -> next.requests.size() > asked);
                 waits.add((System.nanoTime() - began) / 1e6);
@@ -102,7 +108,8 @@
             Fake.answer(wire, 200, "", "before");
         };
         rig.start();
-        try (Fake next = discoveryWith(5, after); Wire client = rig.client()) {
+        try (Fake next = discoveryWith(5, after);
+                Wire client = rig.client()) {
             client.send(rig.request("order", DEADLINE_MS));
             Rig.await("it is in hand", () -> before.requests.size() == 1);
             reloadFor(next.address());
@@ -133,8 +140,9 @@
             Rig.await("it is in hand", () -> before.requests.size() == 1);
             Wire second = rig.client().send(rig.request("read", DEADLINE_MS));
             Rig.await("another is in hand", () -> before.requests.size() == 2);
-            Files.writeString(rig.configFile, rig.config().replace("\"order\"", "\"print\"")
-                .replace("\"try-limit\":3", "\"try-limit\":1"));
+            Files.writeString(
+                    rig.configFile,
+                    rig.config().replace("\"order\"", "\"print\"").replace("\"try-limit\":3", "\"try-limit\":1"));
             rig.sidecar.reload();
             Rig.await("it is told", () -> rig.logged().contains("with new settings"));
             assertEquals(200, rig.ask("print", DEADLINE_MS).status());
@@ -155,27 +163,31 @@
      * either.
      */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "\"hard-limit-ms\":9000|\"hard-limit-ms\":-1|deadline must be above 0 but is -1.0",
-        "\"hard-limit-ms\":9000|\"hard-limit-ms\":\"9\"|hard-limit-ms should be a number but is 9",
-        "\"hard-limit-ms\":9000,||field settings.classes[].hard-limit-ms is missing",
-        "\"effect\":\"once\",||field settings.classes[].effect is missing",
-        "\"effect\":\"once\"|\"effect\":\"twice\"|effect is unknown: twice",
-        "\"order\"|\"read\"|field settings.classes[].name is not usable: read, twice",
-        "\"try-limit\":3|\"try-limit\":0|field settings.limits.try-limit is not usable: 0.0",
-        "\"try-limit\":3|\"try-limit\":1e999|field settings.limits.try-limit is not usable: Infinity",
-        "\"cancel\":true,||field settings.limits.cancel is missing",
-        "\"cold-ms\":1000,||field settings.rules.cold-ms is missing",
-        "\"azs\":[\"a\"]|\"azs\":[\"b\"]|settings.azs and settings.models cannot change",
-        "\"name\":\"n0\",||field name is missing"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "\"hard-limit-ms\":9000|\"hard-limit-ms\":-1|deadline must be above 0 but is -1.0",
+                "\"hard-limit-ms\":9000|\"hard-limit-ms\":\"9\"|hard-limit-ms should be a number but is 9",
+                "\"hard-limit-ms\":9000,||field settings.classes[].hard-limit-ms is missing",
+                "\"effect\":\"once\",||field settings.classes[].effect is missing",
+                "\"effect\":\"once\"|\"effect\":\"twice\"|effect is unknown: twice",
+                "\"order\"|\"read\"|field settings.classes[].name is not usable: read, twice",
+                "\"try-limit\":3|\"try-limit\":0|field settings.limits.try-limit is not usable: 0.0",
+                "\"try-limit\":3|\"try-limit\":1e999|field settings.limits.try-limit is not usable: Infinity",
+                "\"cancel\":true,||field settings.limits.cancel is missing",
+                "\"cold-ms\":1000,||field settings.rules.cold-ms is missing",
+                "\"azs\":[\"a\"]|\"azs\":[\"b\"]|settings.azs and settings.models cannot change",
+                "\"name\":\"n0\",||field name is missing"
+            })
     void aPartOfAFileChangesNothing(String part, String spoilt, String told) throws Exception {
         rig.askWithinMs = 20;
         rig.start();
         Rig.await("a watch is on", () -> rig.discovery.requests.size() == 1);
         String good = rig.config().replace(rig.discovery.address(), after.address());
         int last = good.lastIndexOf(part);
-        Files.writeString(rig.configFile, good.substring(0, last) + (spoilt == null ? "" : spoilt)
-            + good.substring(last + part.length()));
+        Files.writeString(
+                rig.configFile,
+                good.substring(0, last) + (spoilt == null ? "" : spoilt) + good.substring(last + part.length()));
         rig.sidecar.reload();
         Rig.await("it is told", () -> rig.logged().contains(told));
         assertEquals(200, rig.ask("order", DEADLINE_MS).status());
--- a/sidecar/src/test/java/martenlatch/sidecar/Rig.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/Rig.java
@@ -32,16 +32,19 @@
     int dialMs = 2000;
     /** For so long endpoints drop repeats of the class "move". */
     int windowMs = 9000;
+
     boolean cancel = true;
     String membership = "on_request";
     /** The folder that outlives the sidecar, and where it takes operators' calls; none at first. */
     Path shared;
+
     String admin;
     String listen = "127.0.0.1:0";
     /** The sidecars' addresses by number, this one's first; none where it is alone. */
     List<String> peers = List.of();
     /** The list in the configuration's file; the endpoints above where the test says none. */
     List<String> known;
+
     private int requests;
 
     Rig(Fake... endpoints) throws IOException {
@@ -52,13 +55,12 @@
 
     static String line(int number, String address, String state, long startedMs) {
         return "{\"id\":\"s" + number + "\",\"addr\":\"" + address
-            + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":0,"
-            + "\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":" + startedMs + "}";
+                + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":0,"
+                + "\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":" + startedMs + "}";
     }
 
     static String list(int version, boolean full, String... lines) {
-        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":["
-            + String.join(",", lines) + "]}";
+        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", lines) + "]}";
     }
 
     String config() {
@@ -78,19 +80,31 @@
             "limits":{"cancel":%b,"dial-timeout-ms":%d,"idle-close-ms":%d,"max-retry-after-ms":2000,
             "parallel-tries":true,"retry-after":false,"try-limit":3},
             "rules":{"cold-share":0.5,"cold-ms":1000,"tip-multiple":3,"fall-ms":1000,"drain-grace-ms":500,
-            "ask-within-ms":%d}}}""".formatted(listen,
-                (admin == null ? "" : "\"admin\":\"" + admin + "\",")
-                + (peers.isEmpty() ? "" : "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\""
-                + String.join("\",\"", peers) + "\"],"), discovery.address(), sockets,
-                list(1, true,
-                lines.toArray(String[]::new)), membership, aimMs, aimMs, windowMs, aimMs, cancel,
-                dialMs, idleCloseMs, askWithinMs);
+            "ask-within-ms":%d}}}""".formatted(
+                        listen,
+                        (admin == null ? "" : "\"admin\":\"" + admin + "\",")
+                                + (peers.isEmpty()
+                                        ? ""
+                                        : "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"" + String.join("\",\"", peers)
+                                                + "\"],"),
+                        discovery.address(),
+                        sockets,
+                        list(1, true, lines.toArray(String[]::new)),
+                        membership,
+                        aimMs,
+                        aimMs,
+                        windowMs,
+                        aimMs,
+                        cancel,
+                        dialMs,
+                        idleCloseMs,
+                        askWithinMs);
     }
 
     Rig start() throws IOException {
         configFile = Files.writeString(Files.createTempFile("config", ".json"), config());
-        sidecar = Sidecar.start(configFile, shared, !peers.isEmpty(),
-            new PrintStream(log, true, StandardCharsets.UTF_8));
+        sidecar =
+                Sidecar.start(configFile, shared, !peers.isEmpty(), new PrintStream(log, true, StandardCharsets.UTF_8));
         return this;
     }
 
@@ -100,10 +114,11 @@
 
     /** A request of a class, GET for one that may be repeated and else POST with a body. */
     String request(String kind, int deadlineMs) {
-        String head = "X-Request-Id: r" + requests++ + "\r\nX-Class: " + kind + "\r\nX-Deadline-Ms: "
-            + deadlineMs + "\r\nHost: app.svc\r\n";
-        return kind.equals("read") ? "GET /api?q=1 HTTP/1.1\r\n" + head + "\r\n"
-            : "POST /api?q=1 HTTP/1.1\r\n" + head + "Idempotency-Key: k1\r\nContent-Length: 5\r\n\r\nhello";
+        String head = "X-Request-Id: r" + requests++ + "\r\nX-Class: " + kind + "\r\nX-Deadline-Ms: " + deadlineMs
+                + "\r\nHost: app.svc\r\n";
+        return kind.equals("read")
+                ? "GET /api?q=1 HTTP/1.1\r\n" + head + "\r\n"
+                : "POST /api?q=1 HTTP/1.1\r\n" + head + "Idempotency-Key: k1\r\nContent-Length: 5\r\n\r\nhello";
     }
 
     Wire.Message ask(String kind, int deadlineMs) throws IOException {
@@ -120,8 +135,8 @@
     /** A call of an operator's; answers are {@code {"..."}} with a status. */
     Wire.Message operate(String call, String body) throws IOException {
         try (Wire wire = Wire.to(sidecar.adminAddress())) {
-            return wire.send(call + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n"
-                + body).read();
+            return wire.send(call + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+                    .read();
         }
     }
 
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
@@ -66,7 +66,9 @@
         start(good());
         try (Wire client = rig.client()) {
             for (int i = 0; i < 5; i++) {
-                assertEquals(200, client.send(rig.request("read", DEADLINE_MS)).read().status());
+                assertEquals(
+                        200,
+                        client.send(rig.request("read", DEADLINE_MS)).read().status());
                 Rig.settle();
             }
         }
@@ -103,8 +105,10 @@
         };
         start(new Fake(turnsAway), new Fake(turnsAway), new Fake(turnsAway));
         try (Wire client = rig.client()) {
-            String request = rig.request("order", DEADLINE_MS).replace("Host: app.svc",
-                "Host: app.svc\r\nCookie: a=1\r\nTE: gzip\r\nX-Twice: one\r\nX-Twice: two");
+            String request = rig.request("order", DEADLINE_MS)
+                    .replace(
+                            "Host: app.svc",
+                            "Host: app.svc\r\nCookie: a=1\r\nTE: gzip\r\nX-Twice: one\r\nX-Twice: two");
             assertEquals(503, client.send(request).read().status());
         }
         assertEquals(3, rig.attempts());
@@ -273,23 +277,33 @@
     // ---- what is no request ----
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "X-Class: read|X-Class: novel|400", "X-Class: read|Y: z|400", "X-Request-Id: r0|Y: z|400",
-        "X-Deadline-Ms: 8000|X-Deadline-Ms: soon|400", "X-Deadline-Ms: 8000|Y: z|400",
-        "/api?q=1|/other|404", "GET /api|PUT /api|405", "HTTP/1.1|HTTP|400",
-        "Host: app.svc|Content-Length: 33554433|413"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "X-Class: read|X-Class: novel|400",
+                "X-Class: read|Y: z|400",
+                "X-Request-Id: r0|Y: z|400",
+                "X-Deadline-Ms: 8000|X-Deadline-Ms: soon|400",
+                "X-Deadline-Ms: 8000|Y: z|400",
+                "/api?q=1|/other|404",
+                "GET /api|PUT /api|405",
+                "HTTP/1.1|HTTP|400",
+                "Host: app.svc|Content-Length: 33554433|413"
+            })
     void whatIsNoRequestGetsAPlainAnswer(String part, String instead, int status) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         start(new Fake((wire, request) -> {
             release.await();
             Fake.answer(wire, 200, "", "served");
         }));
-        try (Wire other = rig.client(); Wire client = rig.client()) {
+        try (Wire other = rig.client();
+                Wire client = rig.client()) {
             String request = rig.request("read", DEADLINE_MS);
             other.send(rig.request("read", DEADLINE_MS));
             Rig.await("another request is in hand", () -> rig.attempts() == 1);
             assertTrue(request.contains(part), part);
-            assertEquals(status, client.send(request.replace(part, instead)).read().status());
+            assertEquals(
+                    status, client.send(request.replace(part, instead)).read().status());
             release.countDown();
             assertEquals(200, other.read().status());
         }
@@ -303,7 +317,8 @@
             release.await();
             Fake.answer(wire, 200, "", "served");
         }));
-        try (Wire one = rig.client(); Wire two = rig.client()) {
+        try (Wire one = rig.client();
+                Wire two = rig.client()) {
             String request = rig.request("read", DEADLINE_MS);
             one.send(request);
             Rig.await("it is in hand", () -> rig.attempts() == 1);
@@ -322,7 +337,8 @@
         rig.idleCloseMs = 400;
         rig.start();
         assertEquals(200, rig.ask("read", DEADLINE_MS).status());
-        Rig.await("the idle connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
+        Rig.await(
+                "the idle connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
     }
 
     // ---- discovery ----
@@ -349,12 +365,17 @@
         rig.askWithinMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
         rig.start();
-        answers.add(Rig.list(7, false, Rig.line(0, before.address(), "terminating", 0),
-            Rig.line(1, after.address(), "in_service", 0)));
+        answers.add(Rig.list(
+                7,
+                false,
+                Rig.line(0, before.address(), "terminating", 0),
+                Rig.line(1, after.address(), "in_service", 0)));
         Rig.await("the next call is made", () -> rig.discovery.requests.size() == 2);
-        assertEquals(List.of("GET /registry/instances?index=1&wait=4000 HTTP/1.1",
-            "GET /registry/instances?index=7&wait=4000 HTTP/1.1"),
-            rig.discovery.requests.stream().map(Wire.Message::line).toList());
+        assertEquals(
+                List.of(
+                        "GET /registry/instances?index=1&wait=4000 HTTP/1.1",
+                        "GET /registry/instances?index=7&wait=4000 HTTP/1.1"),
+                rig.discovery.requests.stream().map(Wire.Message::line).toList());
         assertEquals(200, rig.ask("order", DEADLINE_MS).status());
         assertEquals(0, before.requests.size(), "it drains");
         assertEquals(1, after.requests.size());
@@ -433,7 +454,8 @@
         int served = 0;
         try {
             while (true) {
-                assertEquals(200, kept.send(rig.request("order", DEADLINE_MS)).read().status());
+                assertEquals(
+                        200, kept.send(rig.request("order", DEADLINE_MS)).read().status());
                 served++;
             }
         } catch (IOException e) {
--- a/sidecar/src/test/java/martenlatch/sidecar/SiteConfigTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SiteConfigTest.java
@@ -20,10 +20,11 @@
     Path folder;
 
     private SiteConfig read(String part, String instead) throws IOException {
-        try (Fake endpoint = Fake.answering(200, "", ""); Rig rig = new Rig(endpoint)) {
+        try (Fake endpoint = Fake.answering(200, "", "");
+                Rig rig = new Rig(endpoint)) {
             assertTrue(rig.config().contains(part), part);
-            return SiteConfig.read(Files.writeString(folder.resolve("config.json"),
-                rig.config().replace(part, instead)));
+            return SiteConfig.read(Files.writeString(
+                    folder.resolve("config.json"), rig.config().replace(part, instead)));
         }
     }
 
@@ -39,28 +40,30 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "\"listen\":\"127.0.0.1:0\",||listen is missing",
-        "127.0.0.1:0|localhost:0|listen is not usable: localhost:0",
-        "127.0.0.1:0|127.0.0.1:70000|listen is not usable: 127.0.0.1:70000",
-        "8c1f30d27a5be964|zz|seed is not usable: zz",
-        "\"sockets\":1024|\"sockets\":-1|limits.sockets is not usable: -1",
-        "in_service|asleep|servers[].state is not usable: asleep",
-        "\"idle-close-ms\":15000|\"idle-close-ms\":0|settings.limits.idle-close-ms is not usable: 0",
-        "\"dial-timeout-ms\":2000,||settings.limits.dial-timeout-ms is missing",
-        "\"effect\":\"once\"|\"effect\":\"twice\"|effect is unknown: twice",
-        "\"azs\":[\"a\"]|\"azs\":5|settings.azs is not usable: 5"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "\"listen\":\"127.0.0.1:0\",||listen is missing",
+                "127.0.0.1:0|localhost:0|listen is not usable: localhost:0",
+                "127.0.0.1:0|127.0.0.1:70000|listen is not usable: 127.0.0.1:70000",
+                "8c1f30d27a5be964|zz|seed is not usable: zz",
+                "\"sockets\":1024|\"sockets\":-1|limits.sockets is not usable: -1",
+                "in_service|asleep|servers[].state is not usable: asleep",
+                "\"idle-close-ms\":15000|\"idle-close-ms\":0|settings.limits.idle-close-ms is not usable: 0",
+                "\"dial-timeout-ms\":2000,||settings.limits.dial-timeout-ms is missing",
+                "\"effect\":\"once\"|\"effect\":\"twice\"|effect is unknown: twice",
+                "\"azs\":[\"a\"]|\"azs\":5|settings.azs is not usable: 5"
+            })
     void whatIsMissingOrBadIsNamed(String part, String instead, String complaint) {
-        IllegalArgumentException e = assertThrows(IllegalArgumentException.class,
-            () -> read(part, instead == null ? "" : instead));
+        IllegalArgumentException e =
+                assertThrows(IllegalArgumentException.class, () -> read(part, instead == null ? "" : instead));
         assertTrue(e.getMessage().contains(complaint), e.getMessage());
     }
 
     @Test
     void aFileThatIsNoJsonIsNamed() throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), "{\"name\":");
-        IllegalArgumentException e = assertThrows(IllegalArgumentException.class,
-            () -> SiteConfig.read(file));
+        IllegalArgumentException e = assertThrows(IllegalArgumentException.class, () -> SiteConfig.read(file));
         assertTrue(e.getMessage().contains(file + " is not JSON"), e.getMessage());
     }
 }
--- a/sidecar/src/test/java/martenlatch/sidecar/SpoiltAnswerTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SpoiltAnswerTest.java
@@ -31,19 +31,26 @@
 
     /** The request has run, so one that may not run twice fails, at once, and the connection goes. */
     @ParameterizedTest
-    @ValueSource(strings = {
-        "\u0001\u0002noise\r\n\r\n", "ICY 200 OK\r\nContent-Length: 5\r\n\r\nhello",
-        "HTTP/1.1 2x0 OK\r\nContent-Length: 5\r\n\r\nhello",
-        "HTTP/1.1 OK 200\r\nContent-Length: 5\r\n\r\nhello",
-        OK + "no colon here\r\nContent-Length: 5\r\n\r\nhello",
-        OK + "Content-Length: -1\r\nContent-Length: 5\r\n\r\nhello",
-        OK + "Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello!", OK + "Content-Length: five\r\n\r\nhello",
-        OK + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
-        OK + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\nzz\r\nhello\r\n0\r\n\r\n",
-        OK + "Transfer-Encoding: gzip\r\n\r\nhello", OK + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
-        OK + "Content-Length: 3221225472\r\n\r\nhello", OK + "Content-Length: 33554433\r\n\r\nhello",
-        OK + "\r\nhello", OK + "lonely\r\nContent-Length: 5\r\n\r\nhello",
-        "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"})
+    @ValueSource(
+            strings = {
+                "\u0001\u0002noise\r\n\r\n",
+                "ICY 200 OK\r\nContent-Length: 5\r\n\r\nhello",
+                "HTTP/1.1 2x0 OK\r\nContent-Length: 5\r\n\r\nhello",
+                "HTTP/1.1 OK 200\r\nContent-Length: 5\r\n\r\nhello",
+                OK + "no colon here\r\nContent-Length: 5\r\n\r\nhello",
+                OK + "Content-Length: -1\r\nContent-Length: 5\r\n\r\nhello",
+                OK + "Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello!",
+                OK + "Content-Length: five\r\n\r\nhello",
+                OK + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
+                OK + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\nzz\r\nhello\r\n0\r\n\r\n",
+                OK + "Transfer-Encoding: gzip\r\n\r\nhello",
+                OK + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
+                OK + "Content-Length: 3221225472\r\n\r\nhello",
+                OK + "Content-Length: 33554433\r\n\r\nhello",
+                OK + "\r\nhello",
+                OK + "lonely\r\nContent-Length: 5\r\n\r\nhello",
+                "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"
+            })
     void aSpoiltAnswerIsAFailedAttemptAtOnce(String answer) throws Exception {
         start((wire, request) -> wire.send(answer).awaitEnd());
         long began = System.nanoTime();
@@ -78,14 +85,20 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + OK,
-        "HTTP/1.1 200 \r\n", OK + "X-Load: {\"\r\n",
-        "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + OK})
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + OK,
+                "HTTP/1.1 200 \r\n",
+                OK + "X-Load: {\"\r\n",
+                "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + OK
+            })
     void aGoodAnswerWithMoreInItsHeadServes(String head) throws Exception {
         start((wire, request) -> wire.send(head + "Content-Length: 5\r\n\r\nhello"));
         try (Wire client = rig.client()) {
             for (int i = 0; i < 3; i++) {
-                assertEquals("hello", client.send(rig.request("order", DEADLINE_MS)).read().body());
+                assertEquals(
+                        "hello",
+                        client.send(rig.request("order", DEADLINE_MS)).read().body());
                 Rig.settle();
             }
         }
@@ -94,8 +107,14 @@
 
     /** Guards against a second copy, noise or half a line that becomes the next request's answer. */
     @ParameterizedTest
-    @ValueSource(strings = {"copy", "noise\r\n\r\n", "half a line", "HTTP/1.1 100 Continue\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: 9\r\nX-"})
+    @ValueSource(
+            strings = {
+                "copy",
+                "noise\r\n\r\n",
+                "half a line",
+                "HTTP/1.1 100 Continue\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 9\r\nX-"
+            })
     void whatComesBehindAnAnswerIsNeverTheNextOne(String behind) throws Exception {
         start((wire, request) -> {
             String id = request.headers().get("x-request-id");
@@ -104,7 +123,8 @@
         });
         try (Wire client = rig.client()) {
             for (int i = 0; i < 10; i++) {
-                Wire.Message answer = client.send(rig.request("order", DEADLINE_MS)).read();
+                Wire.Message answer =
+                        client.send(rig.request("order", DEADLINE_MS)).read();
                 assertEquals(200, answer.status());
                 assertEquals("r" + i, answer.body());
                 Rig.settle();
@@ -130,8 +150,8 @@
     /** Guards against endpoints put out of use by what clients sent: the request alone is at fault. */
     @Test
     void aRequestThatAnEndpointTurnsAwaySaysNothingOfIt() throws Exception {
-        start((wire, request) -> Fake.answer(wire, "bad".equals(request.headers().get("x-note")) ? 400 : 200,
-            "", "x"));
+        start((wire, request) ->
+                Fake.answer(wire, "bad".equals(request.headers().get("x-note")) ? 400 : 200, "", "x"));
         for (int i = 0; i < 20; i++) {
             try (Wire client = rig.client()) {
                 String bad = rig.request("order", DEADLINE_MS).replace("Host:", "X-Note: bad\r\nHost:");
--- a/sidecar/src/test/java/martenlatch/sidecar/Wire.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/Wire.java
@@ -67,7 +67,7 @@
 
     byte[] readBody(Message head) throws IOException {
         try {
-            return readBody(head, so -> { });
+            return readBody(head, so -> {});
         } catch (IOException e) {
             throw e;
         } catch (Exception e) {
@@ -99,7 +99,7 @@
     }
 
     private void copy(ByteArrayOutputStream body, int size, Progress progress) throws Exception {
-        for (int left = size; left > 0;) {
+        for (int left = size; left > 0; ) {
             byte[] part = read(Math.min(left, 32 * 1024));
             body.write(part);
             left -= part.length;
@@ -118,7 +118,9 @@
         Map<String, String> headers = new LinkedHashMap<>();
         for (String line = line(); !line.isEmpty(); line = line()) {
             int colon = line.indexOf(':');
-            headers.put(line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).trim());
+            headers.put(
+                    line.substring(0, colon).toLowerCase(Locale.ROOT),
+                    line.substring(colon + 1).trim());
         }
         return new Message(first, headers, "");
     }
--- a/sidecar/src/test/java/martenlatch/upstream/EndpointAddressesTest.java
+++ b/sidecar/src/test/java/martenlatch/upstream/EndpointAddressesTest.java
@@ -28,15 +28,15 @@
 
     /** What the pool must agree with: an endpoint's start and address, none where another has taken it. */
     private static final class Model {
-        private record Place(double startedMs, InetSocketAddress address) {
-        }
+        private record Place(double startedMs, InetSocketAddress address) {}
 
         private final Map<String, Place> places = new LinkedHashMap<>();
 
         void update(ServerList list) {
             if (list.full()) {
-                places.keySet().removeIf(id -> list.entries().stream()
-                    .noneMatch(entry -> entry.server().id().equals(id)));
+                places.keySet()
+                        .removeIf(id -> list.entries().stream()
+                                .noneMatch(entry -> entry.server().id().equals(id)));
             }
             for (ServerList.Entry entry : list.entries()) {
                 String id = entry.server().id();
@@ -52,10 +52,11 @@
         private void settle(String id) {
             Place told = places.get(id);
             for (Map.Entry<String, Place> other : places.entrySet()) {
-                if (!other.getKey().equals(id) && told.address().equals(other.getValue().address())) {
+                if (!other.getKey().equals(id)
+                        && told.address().equals(other.getValue().address())) {
                     boolean older = told.startedMs() < other.getValue().startedMs();
-                    places.computeIfPresent(older ? id : other.getKey(),
-                        (k, place) -> new Place(place.startedMs(), null));
+                    places.computeIfPresent(
+                            older ? id : other.getKey(), (k, place) -> new Place(place.startedMs(), null));
                     return;
                 }
             }
@@ -78,16 +79,17 @@
 
             @Override
             public Timer after(double ms, Runnable task) {
-                return () -> { };
+                return () -> {};
             }
         };
-        return new EndpointPool(loop, still, new Complaints(still,
-            new PrintStream(OutputStream.nullOutputStream())), 100, 1000, 10);
+        return new EndpointPool(
+                loop, still, new Complaints(still, new PrintStream(OutputStream.nullOutputStream())), 100, 1000, 10);
     }
 
     private static ServerList.Entry entry(int id, int port, double startedMs, EndpointStatus state) {
-        return new ServerList.Entry(new Endpoint("s" + id, 0, 0, 0, startedMs, state, 1),
-            state == EndpointStatus.GONE ? null : InetSocketAddress.createUnresolved("e", port));
+        return new ServerList.Entry(
+                new Endpoint("s" + id, 0, 0, 0, startedMs, state, 1),
+                state == EndpointStatus.GONE ? null : InetSocketAddress.createUnresolved("e", port));
     }
 
     @Test
@@ -99,20 +101,29 @@
             for (int i = 0; i < LISTS; i++) {
                 List<ServerList.Entry> entries = new ArrayList<>();
                 for (int left = random.nextInt(4); left >= 0; left--) {
-                    entries.add(entry(random.nextInt(6), 1 + random.nextInt(4), random.nextInt(3),
-                        EndpointStatus.values()[random.nextInt(3)]));
+                    entries.add(entry(
+                            random.nextInt(6),
+                            1 + random.nextInt(4),
+                            random.nextInt(3),
+                            EndpointStatus.values()[random.nextInt(3)]));
                 }
                 ServerList list = new ServerList(i, random.nextInt(8) == 0, entries);
                 pool.update(list);
                 model.update(list);
                 for (int id = 0; id < 6; id++) {
                     Model.Place place = model.places.get("s" + id);
-                    assertEquals(place != null && place.address() != null, pool.hasAddress("s" + id),
-                        "s" + id + " after list " + i + " of seed " + seed);
+                    assertEquals(
+                            place != null && place.address() != null,
+                            pool.hasAddress("s" + id),
+                            "s" + id + " after list " + i + " of seed " + seed);
                 }
                 assertEquals(model.places.size(), pool.size());
-                assertEquals(model.places.values().stream().filter(place -> place.address() != null).count(),
-                    pool.addresses(), "after list " + i + " of seed " + seed);
+                assertEquals(
+                        model.places.values().stream()
+                                .filter(place -> place.address() != null)
+                                .count(),
+                        pool.addresses(),
+                        "after list " + i + " of seed " + seed);
             }
             pool.update(new ServerList(LISTS, true, List.of()));
             assertEquals(0, pool.size() + pool.addresses());
--- a/sidecar/src/test/java/martenlatch/upstream/IdleConnectionsTest.java
+++ b/sidecar/src/test/java/martenlatch/upstream/IdleConnectionsTest.java
@@ -55,11 +55,9 @@
         }
     }
 
-    private record End(AttemptOutcome outcome, Answer answer) {
-    }
+    private record End(AttemptOutcome outcome, Answer answer) {}
 
-    private final EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
-        .next();
+    private final EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private volatile double now = 1_000_000;
     private volatile double waitUntil = now + 5000;
     private volatile boolean clientConnected = true;
@@ -80,16 +78,26 @@
 
             @Override
             public Timer after(double ms, Runnable task) {
-                return () -> { };
+                return () -> {};
             }
         };
         loop.submit(() -> {
-            pool = new EndpointPool(loop, time, new Complaints(time,
-                new PrintStream(OutputStream.nullOutputStream())), 5000, IDLE_CLOSE_MS, 100);
-            Endpoint server = new Endpoint("s0", 0, 0, 0, 0, EndpointStatus.READY, 1);
-            pool.update(new ServerList(1, true, List.of(new ServerList.Entry(server,
-                new InetSocketAddress(endpoint.getInetAddress(), endpoint.getLocalPort())))));
-        }).get();
+                    pool = new EndpointPool(
+                            loop,
+                            time,
+                            new Complaints(time, new PrintStream(OutputStream.nullOutputStream())),
+                            5000,
+                            IDLE_CLOSE_MS,
+                            100);
+                    Endpoint server = new Endpoint("s0", 0, 0, 0, 0, EndpointStatus.READY, 1);
+                    pool.update(new ServerList(
+                            1,
+                            true,
+                            List.of(new ServerList.Entry(
+                                    server,
+                                    new InetSocketAddress(endpoint.getInetAddress(), endpoint.getLocalPort())))));
+                })
+                .get();
     }
 
     @AfterEach
@@ -103,9 +111,13 @@
     }
 
     private Carrier.Attempt attempt(int bodySize, double notAfter) {
-        return pool.carrier(new EndpointPool.Message(bodySize == 0 ? HttpMethod.GET : HttpMethod.POST, "/api",
-            new DefaultHttpHeaders(), new byte[bodySize], null))
-            .send("s0", conditions, notAfter, (outcome, answer) -> ends.add(new End(outcome, answer)));
+        return pool.carrier(new EndpointPool.Message(
+                        bodySize == 0 ? HttpMethod.GET : HttpMethod.POST,
+                        "/api",
+                        new DefaultHttpHeaders(),
+                        new byte[bodySize],
+                        null))
+                .send("s0", conditions, notAfter, (outcome, answer) -> ends.add(new End(outcome, answer)));
     }
 
     private static void read(Socket socket) throws IOException {
@@ -118,8 +130,9 @@
     }
 
     private static void answer(Socket socket, String body) throws IOException {
-        socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n"
-            + body).getBytes(StandardCharsets.US_ASCII));
+        socket.getOutputStream()
+                .write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+                        .getBytes(StandardCharsets.US_ASCII));
     }
 
     private void assertServed(String body) throws InterruptedException {
@@ -172,10 +185,11 @@
         try (Socket first = idle()) {
             now += 500;
             loop.submit(() -> {
-                answer(first, "one again");
-                send();
-                return null;
-            }).get();
+                        answer(first, "one again");
+                        send();
+                        return null;
+                    })
+                    .get();
             try (Socket second = endpoint.accept()) {
                 read(second);
                 answer(second, "two");
@@ -190,10 +204,11 @@
         Socket first = idle();
         now += 500;
         loop.submit(() -> {
-            first.close();
-            send();
-            return null;
-        }).get();
+                    first.close();
+                    send();
+                    return null;
+                })
+                .get();
         try (Socket second = endpoint.accept()) {
             read(second);
             answer(second, "two");
@@ -227,7 +242,8 @@
             }
             first.setSoLinger(true, 0);
         }
-        assertEquals(AttemptOutcome.RESET, ends.poll(PATIENCE_S, TimeUnit.SECONDS).outcome());
+        assertEquals(
+                AttemptOutcome.RESET, ends.poll(PATIENCE_S, TimeUnit.SECONDS).outcome());
         loop.submit(() -> attempt(LARGE, Double.POSITIVE_INFINITY)).get();
         try (Socket second = endpoint.accept()) {
             while (second.getInputStream().available() == 0) {
@@ -235,7 +251,9 @@
             }
             second.setSoLinger(true, 0);
         }
-        assertEquals(AttemptOutcome.CONNECT_ERROR, ends.poll(PATIENCE_S, TimeUnit.SECONDS).outcome());
+        assertEquals(
+                AttemptOutcome.CONNECT_ERROR,
+                ends.poll(PATIENCE_S, TimeUnit.SECONDS).outcome());
     }
 
     /**
@@ -245,17 +263,21 @@
     @Test
     void whatHadItsTimeWhileItsConnectionCameUpIsNotSent() throws Exception {
         loop.submit(() -> {
-            attempt(0, now + 100);
-            now += 101;
-        }).get();
-        assertEquals(AttemptOutcome.NOT_EXECUTED, ends.poll(PATIENCE_S, TimeUnit.SECONDS).outcome());
+                    attempt(0, now + 100);
+                    now += 101;
+                })
+                .get();
+        assertEquals(
+                AttemptOutcome.NOT_EXECUTED,
+                ends.poll(PATIENCE_S, TimeUnit.SECONDS).outcome());
         try (Socket first = endpoint.accept()) {
             assertEquals(-1, first.getInputStream().read(), "nothing was sent on it");
         }
         loop.submit(() -> {
-            attempt(0, now + 100);
-            now += 100;
-        }).get();
+                    attempt(0, now + 100);
+                    now += 100;
+                })
+                .get();
         try (Socket second = endpoint.accept()) {
             read(second);
             answer(second, "in time");
@@ -268,9 +290,10 @@
     @Test
     void theDeadlineToldIsWhatIsLeftOnceTheConnectionIsEstablished() throws Exception {
         loop.submit(() -> {
-            send();
-            now += 400;
-        }).get();
+                    send();
+                    now += 400;
+                })
+                .get();
         try (Socket first = endpoint.accept()) {
             assertEquals("4600", deadlineTold(first));
             answer(first, "one");
@@ -290,17 +313,22 @@
             assertTrue(next >= 0, "a request was to come");
             head.append((char) next);
         }
-        return head.toString().lines().filter(line -> line.toLowerCase(Locale.ROOT).startsWith("x-deadline-ms:"))
-            .map(line -> line.substring(line.indexOf(':') + 1).trim()).findFirst().orElseThrow();
+        return head.toString()
+                .lines()
+                .filter(line -> line.toLowerCase(Locale.ROOT).startsWith("x-deadline-ms:"))
+                .map(line -> line.substring(line.indexOf(':') + 1).trim())
+                .findFirst()
+                .orElseThrow();
     }
 
     /** Guards against a request written to a connection that is established when its client has just left. */
     @Test
     void nothingIsWrittenForAClientThatLeftWhileTheConnectionWasEstablished() throws Exception {
         loop.submit(() -> {
-            send();
-            clientConnected = false;
-        }).get();
+                    send();
+                    clientConnected = false;
+                })
+                .get();
         try (Socket first = endpoint.accept()) {
             assertEquals(-1, first.getInputStream().read(), "nothing was sent on it");
         }
@@ -309,7 +337,8 @@
     /** What an endpoint has half of has not run, and never will where the rest is withdrawn in time. */
     @Test
     void whatIsHalfWrittenCanBeWithdrawn() throws Exception {
-        Carrier.Attempt half = loop.submit(() -> attempt(LARGE, Double.POSITIVE_INFINITY)).get();
+        Carrier.Attempt half =
+                loop.submit(() -> attempt(LARGE, Double.POSITIVE_INFINITY)).get();
         try (Socket first = endpoint.accept()) {
             while (first.getInputStream().available() == 0) {
                 Thread.onSpinWait();
@@ -317,7 +346,8 @@
             assertTrue(loop.submit(half::withdraw).get());
             assertTrue(first.getInputStream().readAllBytes().length < LARGE);
         }
-        Carrier.Attempt whole = loop.submit(() -> attempt(0, Double.POSITIVE_INFINITY)).get();
+        Carrier.Attempt whole =
+                loop.submit(() -> attempt(0, Double.POSITIVE_INFINITY)).get();
         try (Socket second = endpoint.accept()) {
             read(second);
             assertFalse(loop.submit(whole::withdraw).get(), "this one may have run");
--- a/sidecar/src/test/java/martenlatch/upstream/PassedOnTest.java
+++ b/sidecar/src/test/java/martenlatch/upstream/PassedOnTest.java
@@ -14,8 +14,7 @@
 class PassedOnTest {
 
     private static final class Clock implements Time {
-        private record Task(double at, Runnable run) {
-        }
+        private record Task(double at, Runnable run) {}
 
         private double now;
         private final List<Task> tasks = new ArrayList<>();
@@ -53,17 +52,20 @@
     private boolean reading = true;
     private boolean closed;
     private final StringBuilder got = new StringBuilder();
-    private final PassedOn answer = new PassedOn(-1, new PassedOn.Connection() {
-        @Override
-        public void read(boolean on) {
-            reading = on;
-        }
-
-        @Override
-        public void close() {
-            closed = true;
-        }
-    }, clock);
+    private final PassedOn answer = new PassedOn(
+            -1,
+            new PassedOn.Connection() {
+                @Override
+                public void read(boolean on) {
+                    reading = on;
+                }
+
+                @Override
+                public void close() {
+                    closed = true;
+                }
+            },
+            clock);
     private final Rest.Taker taker = new Rest.Taker() {
         @Override
         public void part(byte[] bytes) {
--- a/tools/src/main/java/martenlatch/demo/Demo.java
+++ b/tools/src/main/java/martenlatch/demo/Demo.java
@@ -78,22 +78,35 @@
     }
 
     /** What a demo came to. */
-    public record Result(LoadReport report, Map<Integer, String> events, String summary, boolean holds) {
-    }
+    public record Result(LoadReport report, Map<Integer, String> events, String summary, boolean holds) {}
 
     /** Runs it; {@code begun} gets what stops it early. */
     public Result run(Consumer<Runnable> begun) throws IOException, InterruptedException {
         ByteArrayOutputStream log = new ByteArrayOutputStream();
         Path config = Files.createTempFile("martenlatch-demo", ".json");
-        world = new World(new WorldSettings(ENDPOINTS, List.of("north", "east"), ServiceTime.parse(
-            "lognormal 8 0.5"), 16, 16, 1500, 4, 500, 1, 2_000_000, SEED), 0);
+        world = new World(
+                new WorldSettings(
+                        ENDPOINTS,
+                        List.of("north", "east"),
+                        ServiceTime.parse("lognormal 8 0.5"),
+                        16,
+                        16,
+                        1500,
+                        4,
+                        500,
+                        1,
+                        2_000_000,
+                        SEED),
+                0);
         Sidecar sidecar = null;
         try {
             Files.writeString(config, config());
             sidecar = Sidecar.start(config, null, new PrintStream(log, true, StandardCharsets.UTF_8));
-            out.printf("%d endpoints in 2 zones, discovery at %s, one sidecar at %s; %d requests a second "
-                + "for "
-                + "%d s%n", ENDPOINTS, world.discovery().address(), sidecar.address(), rate, seconds);
+            out.printf(
+                    "%d endpoints in 2 zones, discovery at %s, one sidecar at %s; %d requests a second "
+                            + "for "
+                            + "%d s%n",
+                    ENDPOINTS, world.discovery().address(), sidecar.address(), rate, seconds);
             LoadReport report = load(sidecar.address(), begun);
             Thread.sleep(50);
             return result(report, log);
@@ -108,13 +121,16 @@
 
     private LoadReport load(InetSocketAddress sidecar, Consumer<Runnable> begun)
             throws IOException, InterruptedException {
-        List<Kind> kinds = List.of(new Kind("look-up", 6, Kind.Effect.REPEATABLE, 0, 1000, 1),
-            new Kind("update", 2, Kind.Effect.KEYED, 200, 1500, 1),
-            new Kind("book", 2, Kind.Effect.UNSAFE, 400, 1500, 1));
+        List<Kind> kinds = List.of(
+                new Kind("look-up", 6, Kind.Effect.REPEATABLE, 0, 1000, 1),
+                new Kind("update", 2, Kind.Effect.KEYED, 200, 1500, 1),
+                new Kind("book", 2, Kind.Effect.UNSAFE, 400, 1500, 1));
         List<InetSocketAddress> targets = List.of(sidecar);
-        run = new LoadRun(new LoadPlan(targets, 1, CONNECTIONS, WARM_SECONDS), Arrivals.drawn(new Schedule(
-            List.of(new Shape.Constant(rate, seconds)), true, SEED), kinds, SEED),
-            (loop, most) -> new HttpDriver(loop, targets, most), this::live);
+        run = new LoadRun(
+                new LoadPlan(targets, 1, CONNECTIONS, WARM_SECONDS),
+                Arrivals.drawn(new Schedule(List.of(new Shape.Constant(rate, seconds)), true, SEED), kinds, SEED),
+                (loop, most) -> new HttpDriver(loop, targets, most),
+                this::live);
         begun.accept(run::stop);
         return run.run();
     }
@@ -122,11 +138,19 @@
     private void live(Second second) {
         int done = Math.min(seconds, second.number() + 1);
         String bar = "#".repeat(BAR * done / seconds);
-        StringBuilder line = new StringBuilder(String.format(Locale.ROOT,
-            "%3d s [%-" + BAR + "s] sent %5d served %5d refused %4d failed %4d timed out %4d  p50 %6.1f "
-            + "p99 %7.1f ms", done, bar, second.wishes(), second.count(End.SERVED), second.count(End.REFUSED),
-            second.count(End.FAILED), second.count(End.TIMED_OUT) + second.count(End.NOT_SENT), second.ms(50),
-            second.ms(99)));
+        StringBuilder line = new StringBuilder(String.format(
+                Locale.ROOT,
+                "%3d s [%-" + BAR + "s] sent %5d served %5d refused %4d failed %4d timed out %4d  p50 %6.1f "
+                        + "p99 %7.1f ms",
+                done,
+                bar,
+                second.wishes(),
+                second.count(End.SERVED),
+                second.count(End.REFUSED),
+                second.count(End.FAILED),
+                second.count(End.TIMED_OUT) + second.count(End.NOT_SENT),
+                second.ms(50),
+                second.ms(99)));
         while (!happenings.isEmpty() && happenings.peek().atSeconds() <= done && done < seconds) {
             Happening next = happenings.poll();
             next.to(world);
@@ -150,8 +174,8 @@
             "limits":{"cancel":true,"dial-timeout-ms":250,"idle-close-ms":15000,"max-retry-after-ms":2000,
             "parallel-tries":true,"retry-after":true,"try-limit":3},
             "rules":{"cold-share":0.3,"cold-ms":1500,"tip-multiple":3,"fall-ms":1000,"drain-grace-ms":500,
-            "ask-within-ms":1000}}}""".formatted(world.discovery().address().getPort(), SEED,
-                world.discovery().list());
+            "ask-within-ms":1000}}}""".formatted(
+                world.discovery().address().getPort(), SEED, world.discovery().list());
     }
 
     private Result result(LoadReport report, ByteArrayOutputStream log) {
@@ -160,17 +184,19 @@
         summary.println("What clients saw (the first " + WARM_SECONDS + " s left out):");
         report.print(summary);
         summary.println("What endpoints saw: " + world.ledger());
-        boolean holds = report.differences().isEmpty() && world.ledger().unsafeAgainCount() == 0
-            && world.ledger().afterDrainCount() == 0;
-        summary.println(holds
-            ? "Held: each request one end, nothing unsafe run twice, nothing sent 500 ms after a drain was "
-            + "told."
-            : "BROKEN: see the figures above.");
+        boolean holds = report.differences().isEmpty()
+                && world.ledger().unsafeAgainCount() == 0
+                && world.ledger().afterDrainCount() == 0;
+        summary.println(
+                holds
+                        ? "Held: each request one end, nothing unsafe run twice, nothing sent 500 ms after a drain was "
+                                + "told."
+                        : "BROKEN: see the figures above.");
         if (report.judgement().voidFrom() >= 0) {
             summary.println("The times are rough: this machine was busy, and the load generator late.");
         }
-        summary.println("The sidecar's log had " + log.toString(StandardCharsets.UTF_8).lines().count()
-            + " lines.");
+        summary.println("The sidecar's log had "
+                + log.toString(StandardCharsets.UTF_8).lines().count() + " lines.");
         return new Result(report, events, words.toString(StandardCharsets.UTF_8), holds);
     }
 }
--- a/tools/src/main/java/martenlatch/load/Judgement.java
+++ b/tools/src/main/java/martenlatch/load/Judgement.java
@@ -14,6 +14,7 @@
     public static final long LATE_NANOS = 1_000_000;
     /** The percentile that people look at is the 99th: up to there no figure may be ours. */
     static final double MOST_SHARE = 0.01;
+
     private static final long LONGEST_NANOS = 3_600_000_000_000L;
 
     private final Histogram lateness = new Histogram(LONGEST_NANOS, 3);
@@ -68,8 +69,8 @@
     }
 
     private void judge() {
-        if (voidFrom < 0 && (secondLateSends > MOST_SHARE * secondSends
-                || secondLateAnswers > MOST_SHARE * secondAnswers)) {
+        if (voidFrom < 0
+                && (secondLateSends > MOST_SHARE * secondSends || secondLateAnswers > MOST_SHARE * secondAnswers)) {
             voidFrom = second;
         }
     }
--- a/tools/src/main/java/martenlatch/load/Kind.java
+++ b/tools/src/main/java/martenlatch/load/Kind.java
@@ -26,15 +26,15 @@
             try {
                 return valueOf(text.toUpperCase(Locale.ROOT));
             } catch (IllegalArgumentException e) {
-                throw new IllegalArgumentException("effect must be repeatable, keyed or unsafe but is \""
-                    + text
-                    + "\"", e);
+                throw new IllegalArgumentException(
+                        "effect must be repeatable, keyed or unsafe but is \"" + text + "\"", e);
             }
         }
     }
 
     /** Longer bodies are not taken by the protocol. */
     static final int MOST_BODY = 64 * 1024;
+
     private static final int MOST_DEADLINE_MS = 600_000;
     private static final int MOST_RETRIES = 100;
 
@@ -52,8 +52,7 @@
 
     private static void within(String field, int value, int least, int most) {
         if (value < least || value > most) {
-            throw new IllegalArgumentException(field + " must be " + least + " to " + most + " but is "
-                + value);
+            throw new IllegalArgumentException(field + " must be " + least + " to " + most + " but is " + value);
         }
     }
 }
--- a/tools/src/main/java/martenlatch/load/LoadPlan.java
+++ b/tools/src/main/java/martenlatch/load/LoadPlan.java
@@ -22,8 +22,8 @@
             throw new IllegalArgumentException("workers must be 1 to 64 but is " + workers);
         }
         if (connections < workers || connections > 100_000) {
-            throw new IllegalArgumentException("connections must be workers (" + workers
-                + ") to 100000 but is " + connections);
+            throw new IllegalArgumentException(
+                    "connections must be workers (" + workers + ") to 100000 but is " + connections);
         }
         if (!(warmSeconds >= 0 && warmSeconds <= 3600)) {
             throw new IllegalArgumentException("warm-seconds must be 0 to 3600 but is " + warmSeconds);
--- a/tools/src/main/java/martenlatch/load/LoadRun.java
+++ b/tools/src/main/java/martenlatch/load/LoadRun.java
@@ -21,6 +21,7 @@
     private static final int AHEAD = 8192;
     /** Until all threads stand ready. */
     private static final long LEAD_NANOS = 100_000_000;
+
     private static final int FULL_PAUSE_MICROS = 200;
 
     private final LoadPlan plan;
@@ -41,20 +42,25 @@
      * @param drivers makes a driver for an event loop, with so many connections at the most
      * @param live hears of every second when it is over, on the thread of {@link #run}
      */
-    public LoadRun(LoadPlan plan, Arrivals arrivals, BiFunction<IoEventLoop, Integer, Driver> drivers,
-            Consumer<Second> live) {
+    public LoadRun(
+            LoadPlan plan, Arrivals arrivals, BiFunction<IoEventLoop, Integer, Driver> drivers, Consumer<Second> live) {
         this.plan = plan;
         this.arrivals = arrivals;
         this.live = live;
         start = System.nanoTime() + LEAD_NANOS;
         String run = Long.toHexString(ThreadLocalRandom.current().nextLong());
         for (int i = 0; i < plan.workers(); i++) {
-            int most = plan.connections() / plan.workers() + (i < plan.connections() % plan.workers() ? 1
-                : 0);
+            int most = plan.connections() / plan.workers() + (i < plan.connections() % plan.workers() ? 1 : 0);
             Queue<Wish> feed = new ArrayBlockingQueue<>(AHEAD);
             feeds.add(feed);
-            workers.add(new Worker(feed, LAST, loop -> drivers.apply(loop, most), start,
-                (long) (plan.warmSeconds() * 1e9), told::add, run + "-"));
+            workers.add(new Worker(
+                    feed,
+                    LAST,
+                    loop -> drivers.apply(loop, most),
+                    start,
+                    (long) (plan.warmSeconds() * 1e9),
+                    told::add,
+                    run + "-"));
         }
     }
 
@@ -63,8 +69,8 @@
         return start;
     }
 
-    private static final Wish LAST = new Wish(-1, Long.MAX_VALUE,
-        new Kind("none", 1, Kind.Effect.REPEATABLE, 0, 1, 0), null, 0, 1);
+    private static final Wish LAST =
+            new Wish(-1, Long.MAX_VALUE, new Kind("none", 1, Kind.Effect.REPEATABLE, 0, 1, 0), null, 0, 1);
 
     /** Sends nothing new from now on; {@link #run} returns when what is open has ended. */
     public void stop() {
@@ -154,8 +160,9 @@
             if (worker.failure() != null) {
                 throw new IllegalStateException("a worker failed: " + worker.failure(), worker.failure());
             }
-            worker.figures().forEach((kind, figures) ->
-                kinds.computeIfAbsent(kind.name(), name -> new Figures()).add(figures));
+            worker.figures()
+                    .forEach((kind, figures) -> kinds.computeIfAbsent(kind.name(), name -> new Figures())
+                            .add(figures));
             judgement.add(worker.judgement());
             differences.addAll(worker.differences());
             waits += worker.waits();
