--- a/tools/src/main/java/martenlatch/load/LoadSettings.java
+++ b/tools/src/main/java/martenlatch/load/LoadSettings.java
@@ -21,15 +21,30 @@
  * @param speed how much faster than recorded a trace is played
  * @param mostBadShare of a trace's lines, 0 to 1
  */
-public record LoadSettings(LoadPlan plan, List<Kind> kinds, List<Shape> shapes, boolean poisson, long seed,
-        Path trace, double speed, double mostBadShare) {
+public record LoadSettings(
+        LoadPlan plan,
+        List<Kind> kinds,
+        List<Shape> shapes,
+        boolean poisson,
+        long seed,
+        Path trace,
+        double speed,
+        double mostBadShare) {
 
-    private static final Set<String> NAMES = Set.of("targets", "workers", "connections", "warm-seconds",
-        "class",
-        "shapes", "arrivals", "seed", "trace", "trace-speed", "trace-bad-share");
-    private static final Set<String> KIND_NAMES = Set.of("name", "share", "effect", "body-bytes",
-        "deadline-ms",
-        "retries");
+    private static final Set<String> NAMES = Set.of(
+            "targets",
+            "workers",
+            "connections",
+            "warm-seconds",
+            "class",
+            "shapes",
+            "arrivals",
+            "seed",
+            "trace",
+            "trace-speed",
+            "trace-bad-share");
+    private static final Set<String> KIND_NAMES =
+            Set.of("name", "share", "effect", "body-bytes", "deadline-ms", "retries");
 
     /** Reads a file; what can't be used is an exception whose message names field and value. */
     public static LoadSettings read(Path file) throws IOException {
@@ -45,9 +60,8 @@
         for (JsonNode one : file.path("class")) {
             Kind kind = kind(one);
             if (!names.add(kind.name())) {
-                throw new IllegalArgumentException("class.name must be one of a kind but two are \""
-                    + kind.name()
-                    + "\"");
+                throw new IllegalArgumentException(
+                        "class.name must be one of a kind but two are \"" + kind.name() + "\"");
             }
             kinds.add(kind);
         }
@@ -58,29 +72,37 @@
         file.path("shapes").forEach(one -> shapes.add(Shape.parse(one.asText())));
         if (shapes.isEmpty() == file.path("trace").isMissingNode()) {
             throw new IllegalArgumentException("there must be shapes or a trace, one of them, but there "
-                + (shapes.isEmpty() ? "is neither" : "are both"));
+                    + (shapes.isEmpty() ? "is neither" : "are both"));
         }
         String spacing = file.path("arrivals").asText("poisson");
         if (!spacing.equals("poisson") && !spacing.equals("even")) {
             throw new IllegalArgumentException("arrivals must be poisson or even but is \"" + spacing + "\"");
         }
-        return new LoadSettings(new LoadPlan(targets, TomlFile.whole("workers", file.path("workers"), 1),
-            TomlFile.whole("connections", file.path("connections"), 256),
-            TomlFile.number("warm-seconds", file.path("warm-seconds"), 0)), kinds, shapes,
-            spacing.equals("poisson"), TomlFile.whole("seed", file.path("seed"), 1),
-            shapes.isEmpty() ? folder.resolve(file.path("trace").asText()) : null,
-            TomlFile.number("trace-speed", file.path("trace-speed"), 1),
-            TomlFile.number("trace-bad-share", file.path("trace-bad-share"), 0));
+        return new LoadSettings(
+                new LoadPlan(
+                        targets,
+                        TomlFile.whole("workers", file.path("workers"), 1),
+                        TomlFile.whole("connections", file.path("connections"), 256),
+                        TomlFile.number("warm-seconds", file.path("warm-seconds"), 0)),
+                kinds,
+                shapes,
+                spacing.equals("poisson"),
+                TomlFile.whole("seed", file.path("seed"), 1),
+                shapes.isEmpty() ? folder.resolve(file.path("trace").asText()) : null,
+                TomlFile.number("trace-speed", file.path("trace-speed"), 1),
+                TomlFile.number("trace-bad-share", file.path("trace-bad-share"), 0));
     }
 
     private static Kind kind(JsonNode one) {
         TomlFile.knownOnly("class.", one, KIND_NAMES);
         try {
-            return new Kind(one.path("name").asText(""), TomlFile.number("share", one.path("share"), 1),
-                Kind.Effect.parse(one.path("effect").asText("")),
-                TomlFile.whole("body-bytes", one.path("body-bytes"), 0),
-                TomlFile.whole("deadline-ms", one.path("deadline-ms"), 1000),
-                TomlFile.whole("retries", one.path("retries"), 0));
+            return new Kind(
+                    one.path("name").asText(""),
+                    TomlFile.number("share", one.path("share"), 1),
+                    Kind.Effect.parse(one.path("effect").asText("")),
+                    TomlFile.whole("body-bytes", one.path("body-bytes"), 0),
+                    TomlFile.whole("deadline-ms", one.path("deadline-ms"), 1000),
+                    TomlFile.whole("retries", one.path("retries"), 0));
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("class." + e.getMessage(), e);
         }
--- a/tools/src/main/java/martenlatch/load/Schedule.java
+++ b/tools/src/main/java/martenlatch/load/Schedule.java
@@ -13,6 +13,7 @@
 
     /** Halvings of a stretch of hours that come below a nanosecond. */
     private static final int HALVINGS = 64;
+
     private static final double NANOS = 1e9;
 
     private final List<Shape> shapes;
@@ -22,6 +23,7 @@
     private double begins;
     /** Expected arrivals in the shapes before this one. */
     private double before;
+
     private double reached;
 
     /**
--- a/tools/src/main/java/martenlatch/load/Shape.java
+++ b/tools/src/main/java/martenlatch/load/Shape.java
@@ -79,8 +79,7 @@
             check("length", length, 0);
             check("seconds", seconds, Double.MIN_VALUE);
             if (length > every) {
-                throw new IllegalArgumentException("length must be at most every (" + every + ") but is "
-                    + length);
+                throw new IllegalArgumentException("length must be at most every (" + every + ") but is " + length);
             }
         }
 
@@ -89,7 +88,8 @@
             double periods = Math.floor(at / every);
             double rest = at - periods * every;
             return periods * (burst * length + rate * (every - length))
-                + burst * Math.min(rest, length) + rate * Math.max(0, rest - length);
+                    + burst * Math.min(rest, length)
+                    + rate * Math.max(0, rest - length);
         }
     }
 
@@ -101,8 +101,7 @@
             check("period", period, Double.MIN_VALUE);
             check("seconds", seconds, Double.MIN_VALUE);
             if (swing > rate) {
-                throw new IllegalArgumentException("swing must be at most rate (" + rate + ") but is "
-                    + swing);
+                throw new IllegalArgumentException("swing must be at most rate (" + rate + ") but is " + swing);
             }
         }
 
@@ -115,15 +114,16 @@
 
     private static void check(String name, double value, double least) {
         if (!(value >= least && value <= 1e9)) {
-            throw new IllegalArgumentException(name + " must be " + (least == 0 ? "0 or more"
-                : least == Double.MIN_VALUE ? "above 0" : (int) least + " or more") + ", at most 1e9, but is "
-                + value);
+            throw new IllegalArgumentException(name + " must be "
+                    + (least == 0 ? "0 or more" : least == Double.MIN_VALUE ? "above 0" : (int) least + " or more")
+                    + ", at most 1e9, but is "
+                    + value);
         }
     }
 
     /** The forms in which {@link #parse} takes a shape. */
     String FORMS = "constant RATE SECONDS, ramp FROM TO SECONDS, steps FROM TO STEPS SECONDS, "
-        + "bursts RATE BURST EVERY LENGTH SECONDS or wave RATE SWING PERIOD SECONDS";
+            + "bursts RATE BURST EVERY LENGTH SECONDS or wave RATE SWING PERIOD SECONDS";
 
     /** Reads one shape, like {@code ramp 100 500 10}. */
     static Shape parse(String text) {
--- a/tools/src/main/java/martenlatch/load/Trace.java
+++ b/tools/src/main/java/martenlatch/load/Trace.java
@@ -21,6 +21,7 @@
     private static final int MOST_NAMED = 20;
     /** No line of use is longer; the rest of a longer one is passed over. */
     private static final int MOST_LINE = 64 * 1024;
+
     private static final int BUFFER = 64 * 1024;
     private static final int GZIP_MAGIC = 0x1f8b;
 
@@ -56,12 +57,11 @@
         }
         if (trace.lines == trace.bad) {
             throw new IllegalArgumentException(file + " has no line that can be used"
-                + (trace.complaints.isEmpty() ? ": it is empty" : ": " + String.join("; ",
-                trace.complaints)));
+                    + (trace.complaints.isEmpty() ? ": it is empty" : ": " + String.join("; ", trace.complaints)));
         }
         if (trace.bad > mostBadShare * trace.lines) {
-            throw new IllegalArgumentException(file + ": " + trace.bad + " of " + trace.lines
-                + " lines can't be used: " + String.join("; ", trace.complaints));
+            throw new IllegalArgumentException(file + ": " + trace.bad + " of " + trace.lines + " lines can't be used: "
+                    + String.join("; ", trace.complaints));
         }
         return trace;
     }
@@ -102,16 +102,22 @@
         if (!(speed > 0 && speed <= 1e6)) {
             throw new IllegalArgumentException("speed must be above 0, at most 1e6, but is " + speed);
         }
-        Reader in = new Reader(complaint -> { });
+        Reader in = new Reader(complaint -> {});
         return new Arrivals() {
             private long count;
 
             @Override
             public Wish next() throws IOException {
                 TraceFormat.Line line = in.next();
-                return line == null ? null : new Wish(count++,
-                    (long) ((line.seconds() - firstSecond) / speed * 1e9), line.kind(), line.key(),
-                    line.bodyBytes(), line.deadlineMs());
+                return line == null
+                        ? null
+                        : new Wish(
+                                count++,
+                                (long) ((line.seconds() - firstSecond) / speed * 1e9),
+                                line.kind(),
+                                line.key(),
+                                line.bodyBytes(),
+                                line.deadlineMs());
             }
 
             @Override
@@ -177,8 +183,8 @@
                     records++;
                     TraceFormat.Line made = format.parse(text);
                     if (made.seconds() < latest) {
-                        throw new IllegalArgumentException("time runs backwards, from " + latest + " to "
-                            + made.seconds());
+                        throw new IllegalArgumentException(
+                                "time runs backwards, from " + latest + " to " + made.seconds());
                     }
                     latest = made.seconds();
                     return made;
@@ -186,7 +192,8 @@
                     if (format == null) {
                         throw new IllegalArgumentException(file + ": " + e.getMessage(), e);
                     }
-                    bad.bad("line " + number + ": " + e.getMessage().lines().findFirst().orElse(""));
+                    bad.bad("line " + number + ": "
+                            + e.getMessage().lines().findFirst().orElse(""));
                 }
             }
             return null;
--- a/tools/src/main/java/martenlatch/load/TraceFormat.java
+++ b/tools/src/main/java/martenlatch/load/TraceFormat.java
@@ -21,8 +21,7 @@
 final class TraceFormat {
 
     private static final JsonFactory JSON = new JsonFactory();
-    private static final ObjectReader CSV =
-        new CsvMapper().readerFor(String[].class);
+    private static final ObjectReader CSV = new CsvMapper().readerFor(String[].class);
     private static final double MOST_SECONDS = 1e10;
 
     private final Map<String, Kind> kinds;
@@ -42,11 +41,13 @@
         if (header.stripLeading().startsWith("{")) {
             columns = null;
         } else {
-            columns = Arrays.stream(CSV.<String[]>readValue(header)).map(String::strip).toList();
+            columns = Arrays.stream(CSV.<String[]>readValue(header))
+                    .map(String::strip)
+                    .toList();
             if (!columns.contains("time")) {
                 throw new IllegalArgumentException("the trace's first line must be a CSV header with a "
-                    + "column "
-                    + "time, or a JSON object, but is \"" + shortened(header) + "\"");
+                        + "column "
+                        + "time, or a JSON object, but is \"" + shortened(header) + "\"");
             }
         }
     }
@@ -56,8 +57,7 @@
     }
 
     /** The time of a line in seconds, and all else that it tells. */
-    record Line(double seconds, Kind kind, String key, int bodyBytes, int deadlineMs) {
-    }
+    record Line(double seconds, Kind kind, String key, int bodyBytes, int deadlineMs) {}
 
     Line parse(String text) throws IOException {
         String[] fields = new String[5];
@@ -66,8 +66,8 @@
         } else {
             String[] values = CSV.readValue(text);
             if (values == null || values.length != columns.size()) {
-                throw new IllegalArgumentException("it must have " + columns.size() + " fields but has "
-                    + (values == null ? 0 : values.length));
+                throw new IllegalArgumentException(
+                        "it must have " + columns.size() + " fields but has " + (values == null ? 0 : values.length));
             }
             for (int i = 0; i < values.length; i++) {
                 set(fields, columns.get(i), values[i].strip());
@@ -75,16 +75,19 @@
         }
         Kind kind = fields[1] == null || fields[1].isEmpty() ? usual : kinds.get(fields[1]);
         if (kind == null) {
-            throw new IllegalArgumentException("class must be one of the settings' but is \""
-                + shortened(fields[1]) + "\"");
+            throw new IllegalArgumentException(
+                    "class must be one of the settings' but is \"" + shortened(fields[1]) + "\"");
         }
         String key = fields[2] == null || fields[2].isEmpty() ? null : fields[2];
         if (key != null && !key.chars().allMatch(c -> c > ' ' && c < 127 && c != ';' && c != ',')) {
             throw new IllegalArgumentException("key must be plain ASCII but is \"" + shortened(key) + "\"");
         }
-        return new Line(number("time", fields[0], 0, MOST_SECONDS, Double.NaN), kind, key,
-            (int) number("size", fields[3], 0, Kind.MOST_BODY, kind.bodyBytes()),
-            (int) number("deadline", fields[4], 1, 600_000, kind.deadlineMs()));
+        return new Line(
+                number("time", fields[0], 0, MOST_SECONDS, Double.NaN),
+                kind,
+                key,
+                (int) number("size", fields[3], 0, Kind.MOST_BODY, kind.bodyBytes()),
+                (int) number("deadline", fields[4], 1, 600_000, kind.deadlineMs()));
     }
 
     private static void set(String[] fields, String name, String value) {
@@ -94,7 +97,7 @@
             case "key" -> fields[2] = value;
             case "size" -> fields[3] = value;
             case "deadline" -> fields[4] = value;
-            default -> { }
+            default -> {}
         }
     }
 
@@ -137,8 +140,8 @@
     }
 
     private static String bad(String field, String text, double least, double most) {
-        return field + " must be a number from " + (long) least + " to " + (long) most + " but is \""
-            + shortened(text) + "\"";
+        return field + " must be a number from " + (long) least + " to " + (long) most + " but is \"" + shortened(text)
+                + "\"";
     }
 
     private static String shortened(String text) {
--- a/tools/src/main/java/martenlatch/load/Worker.java
+++ b/tools/src/main/java/martenlatch/load/Worker.java
@@ -26,6 +26,7 @@
     private static final long TICK_NANOS = 1_000_000;
     /** So often at least it looks whether it is to stop. */
     private static final long LONGEST_SLEEP_NANOS = 20_000_000;
+
     private static final long SECOND_NANOS = 1_000_000_000;
     /** Where the service does not say when to come back. */
     private static final double BACK_OFF_MS = 100;
@@ -67,6 +68,7 @@
         private boolean over;
         /** A later try makes earlier wake-ups void. */
         private int serial;
+
         private boolean written;
         private Wake timeout;
 
@@ -86,12 +88,10 @@
             timeout = wakeAt(until, () -> {
                 if (!over && mine == serial) {
                     boolean sent = call.giveUp();
-                    ended(sent ? End.TIMED_OUT : End.NOT_SENT, sent ? "no answer" : "no connection",
-                        Double.NaN);
+                    ended(sent ? End.TIMED_OUT : End.NOT_SENT, sent ? "no answer" : "no connection", Double.NaN);
                 }
             });
-            call = driver.send(wish, prefix + wish.number() + "-" + tries, !first, until - now,
-                new Driver.Ending() {
+            call = driver.send(wish, prefix + wish.number() + "-" + tries, !first, until - now, new Driver.Ending() {
                 @Override
                 public void written() {
                     if (mine == serial && !over && !written) {
@@ -115,11 +115,10 @@
             if (timeout != null) {
                 timeout.letGo();
             }
-            boolean harmless = end == End.REFUSED || end == End.NOT_SENT
-                || wish.kind().effect() != Kind.Effect.UNSAFE;
+            boolean harmless =
+                    end == End.REFUSED || end == End.NOT_SENT || wish.kind().effect() != Kind.Effect.UNSAFE;
             if (end != End.SERVED && harmless && tries <= wish.kind().retries() && !stopped) {
-                double wait = Double.isNaN(retryAfterMs) ? BACK_OFF_MS * (1 << Math.min(10, tries - 1))
-                    : retryAfterMs;
+                double wait = Double.isNaN(retryAfterMs) ? BACK_OFF_MS * (1 << Math.min(10, tries - 1)) : retryAfterMs;
                 int mine = serial;
                 wakeAt(clock() + (long) (wait * 1e6), () -> {
                     if (!over && mine == serial) {
@@ -157,6 +156,7 @@
     private final PriorityQueue<Wake> wakes = new PriorityQueue<>();
     /** The run's and, behind it, the warm-up's, which nobody reads: both are counted by the same code. */
     private final Part[] parts = {new Part(), new Part()};
+
     private final List<String> differences = new ArrayList<>();
     private Driver driver;
     private Second second = new Second(0);
@@ -164,6 +164,7 @@
     private long pause;
     /** Those that have begun and not ended: what the figures must agree with. */
     private final Set<Open> open = new HashSet<>();
+
     private boolean stopped;
     private volatile boolean stop;
     private volatile Throwable failure;
@@ -177,8 +178,14 @@
      * @param seconds takes each second when it is over, on the worker's thread
      * @param prefix of all ids, unique to this run
      */
-    Worker(Queue<Wish> feed, Wish last, Function<IoEventLoop, Driver> drivers, long start, long warmNanos,
-            Consumer<Second> seconds, String prefix) {
+    Worker(
+            Queue<Wish> feed,
+            Wish last,
+            Function<IoEventLoop, Driver> drivers,
+            long start,
+            long warmNanos,
+            Consumer<Second> seconds,
+            String prefix) {
         this.feed = feed;
         this.last = last;
         this.drivers = drivers;
@@ -250,8 +257,9 @@
                     break;
                 }
             }
-            long due = Math.min(next == null ? 0 : next == last || stopped ? Long.MAX_VALUE
-                : next.intendedNanos(), wakes.isEmpty() ? Long.MAX_VALUE : wakes.peek().at);
+            long due = Math.min(
+                    next == null ? 0 : next == last || stopped ? Long.MAX_VALUE : next.intendedNanos(),
+                    wakes.isEmpty() ? Long.MAX_VALUE : wakes.peek().at);
             long sleep = Math.min(due - clock() - TICK_NANOS, LONGEST_SLEEP_NANOS);
             long before = clock();
             // The time since the last look is ours unless it was spent asleep in the selector.
@@ -283,7 +291,7 @@
         parts[0].figures.forEach((kind, of) -> {
             if (of.wishes() != of.ended() + of.open()) {
                 differences.add(kind.name() + " in second " + second.number() + ": " + of.wishes() + " sent, "
-                    + of.ended() + " ended, " + of.open() + " open");
+                        + of.ended() + " ended, " + of.open() + " open");
             }
         });
     }
--- a/tools/src/main/java/martenlatch/load/http/HttpDriver.java
+++ b/tools/src/main/java/martenlatch/load/http/HttpDriver.java
@@ -39,6 +39,7 @@
 
     /** Shorter than servers commonly keep an idle connection, so that none is closed under a request. */
     private static final long IDLE_NANOS = 3_000_000_000L;
+
     private static final int CONNECT_MS = 30_000;
 
     private final EventLoop loop;
@@ -63,8 +64,11 @@
         this.targets = List.copyOf(targets);
         this.most = most;
         host = targets.get(0).getHostString() + ":" + targets.get(0).getPort();
-        bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-            .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS);
+        bootstrap = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS);
     }
 
     private final class HttpCall implements Call {
@@ -124,10 +128,16 @@
             Wish wish = of.wish;
             boolean get = wish.kind().effect() == Kind.Effect.REPEATABLE;
             long left = Math.max(1, (of.until - System.nanoTime()) / 1_000_000);
-            StringBuilder head = new StringBuilder(256).append(get ? "GET" : "POST")
-                .append(" /api HTTP/1.1\r\nHost: ").append(host).append("\r\nX-Request-Id: ").append(of.id)
-                .append("\r\nX-Class: ").append(wish.kind().name()).append("\r\nX-Deadline-Ms: ")
-                .append(left);
+            StringBuilder head = new StringBuilder(256)
+                    .append(get ? "GET" : "POST")
+                    .append(" /api HTTP/1.1\r\nHost: ")
+                    .append(host)
+                    .append("\r\nX-Request-Id: ")
+                    .append(of.id)
+                    .append("\r\nX-Class: ")
+                    .append(wish.kind().name())
+                    .append("\r\nX-Deadline-Ms: ")
+                    .append(left);
             if (of.retry) {
                 head.append("\r\nX-Retry: 1");
             }
@@ -293,13 +303,16 @@
         Connection made = new Connection();
         all.add(made);
         connecting++;
-        ChannelFuture connected = bootstrap.clone().handler(new ChannelInitializer<SocketChannel>() {
-            @Override
-            protected void initChannel(SocketChannel fresh) {
-                made.channel = fresh;
-                fresh.pipeline().addLast(new HttpResponseDecoder(), made);
-            }
-        }).connect(targets.get(turn++ % targets.size()));
+        ChannelFuture connected = bootstrap
+                .clone()
+                .handler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel fresh) {
+                        made.channel = fresh;
+                        fresh.pipeline().addLast(new HttpResponseDecoder(), made);
+                    }
+                })
+                .connect(targets.get(turn++ % targets.size()));
         connected.addListener(up -> {
             if (!up.isSuccess()) {
                 // Where not even a descriptor was to be had, this is told on a thread that is not ours.
--- a/tools/src/main/java/martenlatch/toml/TomlFile.java
+++ b/tools/src/main/java/martenlatch/toml/TomlFile.java
@@ -14,8 +14,7 @@
 /** A settings file (TOML 1.0): each thing that can't be used is an exception that names field and value. */
 public final class TomlFile {
 
-    private TomlFile() {
-    }
+    private TomlFile() {}
 
     /** Reads a file as a tree. */
     public static JsonNode read(Path file) throws IOException {
@@ -32,11 +31,10 @@
      * Refuses a table with a field that is none of these; {@code prefix} is that of their names in messages.
      */
     public static void knownOnly(String prefix, JsonNode table, Set<String> names) {
-        for (Iterator<String> it = table.fieldNames(); it.hasNext();) {
+        for (Iterator<String> it = table.fieldNames(); it.hasNext(); ) {
             String name = it.next();
             if (!names.contains(name)) {
-                throw new IllegalArgumentException(prefix + name + " is no setting; there are "
-                    + new TreeSet<>(names));
+                throw new IllegalArgumentException(prefix + name + " is no setting; there are " + new TreeSet<>(names));
             }
         }
     }
--- a/tools/src/main/java/martenlatch/tools/Main.java
+++ b/tools/src/main/java/martenlatch/tools/Main.java
@@ -19,19 +19,26 @@
 import martenlatch.world.Happening;
 import martenlatch.world.World;
 import martenlatch.world.WorldFile;
+import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import picocli.CommandLine;
 
 /** The command line of the tools. */
-@Command(name = "martenlatch-tools", mixinStandardHelpOptions = true, version = "martenlatch-tools 0.3.0",
-    description = "Tries and measures martenlatch: a load generator, a stand-in world, a demo.",
-    subcommands = {Main.Load.class, Main.WorldCommand.class, Main.DemoCommand.class},
-    exitCodeListHeading = "Exit status:%n", exitCodeList = {"0:done",
-    "1:it could not be done, or a rule broke",
-        "2:the command line can't be used", "3:the generator was too slow for its own figures",
-        "4:the figures do not add up"})
+@Command(
+        name = "martenlatch-tools",
+        mixinStandardHelpOptions = true,
+        version = "martenlatch-tools 0.3.0",
+        description = "Tries and measures martenlatch: a load generator, a stand-in world, a demo.",
+        subcommands = {Main.Load.class, Main.WorldCommand.class, Main.DemoCommand.class},
+        exitCodeListHeading = "Exit status:%n",
+        exitCodeList = {
+            "0:done",
+            "1:it could not be done, or a rule broke",
+            "2:the command line can't be used",
+            "3:the generator was too slow for its own figures",
+            "4:the figures do not add up"
+        })
 public final class Main implements Runnable {
 
     static final int TOO_SLOW = 3;
@@ -41,8 +48,7 @@
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    private Main() {
-    }
+    private Main() {}
 
     /** Runs a command; what can't be used is one plain line and a status above 0. */
     public static void main(String[] args) {
@@ -55,8 +61,10 @@
         line.setErr(new java.io.PrintWriter(errors, true));
         line.getSubcommands().values().forEach(sub -> ((Base) sub.getCommand()).out = out);
         line.setExecutionExceptionHandler((e, command, parsed) -> {
-            errors.println("martenlatch: " + (e.getMessage() == null ? e.toString()
-                : e.getMessage().lines().findFirst().orElse("")));
+            errors.println("martenlatch: "
+                    + (e.getMessage() == null
+                            ? e.toString()
+                            : e.getMessage().lines().findFirst().orElse("")));
             return 1;
         });
         return line.execute(args);
@@ -64,8 +72,7 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(),
-            "a command is missing: load, world or demo");
+        throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing: load, world or demo");
     }
 
     private abstract static class Base implements Callable<Integer> {
@@ -74,14 +81,17 @@
 
         /** At Ctrl-C and SIGTERM: stops what runs, and lets the report be printed before the program ends. */
         protected void stopAtEnd(Runnable stop) {
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-                stop.run();
-                try {
-                    told.await(LONGEST_END_S, TimeUnit.SECONDS);
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-            }, "stop"));
+            Runtime.getRuntime()
+                    .addShutdownHook(new Thread(
+                            () -> {
+                                stop.run();
+                                try {
+                                    told.await(LONGEST_END_S, TimeUnit.SECONDS);
+                                } catch (InterruptedException e) {
+                                    Thread.currentThread().interrupt();
+                                }
+                            },
+                            "stop"));
         }
 
         @Override
@@ -98,17 +108,22 @@
     }
 
     private static int status(LoadReport report) {
-        return !report.differences().isEmpty() ? DOES_NOT_ADD_UP : report.judgement().voidFrom() >= 0
-            ? TOO_SLOW : 0;
+        return !report.differences().isEmpty()
+                ? DOES_NOT_ADD_UP
+                : report.judgement().voidFrom() >= 0 ? TOO_SLOW : 0;
     }
 
-    @Command(name = "load", mixinStandardHelpOptions = true,
-        description = "Sends a load that waits for no answer, and tells what came of it and of itself.")
+    @Command(
+            name = "load",
+            mixinStandardHelpOptions = true,
+            description = "Sends a load that waits for no answer, and tells what came of it and of itself.")
     static final class Load extends Base {
         @Parameters(paramLabel = "SETTINGS.toml", description = "see docs/load.md")
         private Path settings;
+
         @Option(names = "--report", paramLabel = "FILE.html", description = "writes a page with plots")
         private Path page;
+
         @Option(names = "--quiet", description = "no line a second")
         private boolean quiet;
 
@@ -119,15 +134,20 @@
             if (read.plan().warmSeconds() > 0) {
                 Rehearsal.play(read.kinds());
             }
-            LoadRun run = new LoadRun(read.plan(), arrivals,
-                (loop, most) -> new HttpDriver(loop, read.plan().targets(), most),
-                quiet ? second -> { } : this::live);
+            LoadRun run = new LoadRun(
+                    read.plan(),
+                    arrivals,
+                    (loop, most) -> new HttpDriver(loop, read.plan().targets(), most),
+                    quiet ? second -> {} : this::live);
             stopAtEnd(run::stop);
             LoadReport report = run.run();
             report.print(out);
             if (report.seconds().size() < report.plannedSeconds()) {
-                out.printf(Locale.ROOT, "stopped after %d of %.0f s%n", report.seconds().size(),
-                    report.plannedSeconds());
+                out.printf(
+                        Locale.ROOT,
+                        "stopped after %d of %.0f s%n",
+                        report.seconds().size(),
+                        report.plannedSeconds());
             }
             if (page != null) {
                 java.io.ByteArrayOutputStream words = new java.io.ByteArrayOutputStream();
@@ -138,17 +158,28 @@
         }
 
         private void live(Second second) {
-            out.printf(Locale.ROOT, "%4d s sent %6d served %6d refused %5d failed %5d timed out %5d unsent "
-                + "%5d  "
-                + "p50 %7.2f p99 %8.2f ms  late sends %d%n", second.number() + 1, second.wishes(),
-                second.count(End.SERVED), second.count(End.REFUSED), second.count(End.FAILED),
-                second.count(End.TIMED_OUT), second.count(End.NOT_SENT), second.ms(50), second.ms(99),
-                second.lateSends());
+            out.printf(
+                    Locale.ROOT,
+                    "%4d s sent %6d served %6d refused %5d failed %5d timed out %5d unsent "
+                            + "%5d  "
+                            + "p50 %7.2f p99 %8.2f ms  late sends %d%n",
+                    second.number() + 1,
+                    second.wishes(),
+                    second.count(End.SERVED),
+                    second.count(End.REFUSED),
+                    second.count(End.FAILED),
+                    second.count(End.TIMED_OUT),
+                    second.count(End.NOT_SENT),
+                    second.ms(50),
+                    second.ms(99),
+                    second.lateSends());
         }
     }
 
-    @Command(name = "world", mixinStandardHelpOptions = true,
-        description = "Stand-in endpoints and discovery on loopback, until Ctrl-C.")
+    @Command(
+            name = "world",
+            mixinStandardHelpOptions = true,
+            description = "Stand-in endpoints and discovery on loopback, until Ctrl-C.")
     static final class WorldCommand extends Base {
         @Parameters(paramLabel = "SETTINGS.toml", description = "see docs/load.md")
         private Path settings;
@@ -158,8 +189,9 @@
             WorldFile file = WorldFile.read(settings);
             CountDownLatch stop = new CountDownLatch(1);
             try (World world = new World(file.settings(), file.discoveryPort())) {
-                world.endpoints().forEach(one -> out.println(one.id() + " " + one.zone() + " 127.0.0.1:"
-                    + one.address().getPort()));
+                world.endpoints()
+                        .forEach(one -> out.println(one.id() + " " + one.zone() + " 127.0.0.1:"
+                                + one.address().getPort()));
                 out.println("discovery 127.0.0.1:" + world.discovery().address().getPort());
                 stopAtEnd(stop::countDown);
                 long began = System.nanoTime();
@@ -178,14 +210,17 @@
         }
     }
 
-    @Command(name = "demo", mixinStandardHelpOptions = true,
-        description = "A world, a sidecar and a load in one process, with trouble half way.")
+    @Command(
+            name = "demo",
+            mixinStandardHelpOptions = true,
+            description = "A world, a sidecar and a load in one process, with trouble half way.")
     static final class DemoCommand extends Base {
-        @Option(names = "--seconds", defaultValue = "20", description = "how long, from 10 on "
-            + "(${DEFAULT-VALUE})")
+        @Option(names = "--seconds", defaultValue = "20", description = "how long, from 10 on " + "(${DEFAULT-VALUE})")
         private int seconds;
+
         @Option(names = "--rate", defaultValue = "400", description = "requests a second (${DEFAULT-VALUE})")
         private int rate;
+
         @Option(names = "--report", paramLabel = "FILE.html", description = "writes a page with plots")
         private Path page;
 
@@ -194,8 +229,7 @@
             Demo.Result result = new Demo(seconds, rate, out).run(this::stopAtEnd);
             out.print(result.summary());
             if (page != null) {
-                HtmlReport.write(page, "martenlatch demo", result.report(), result.events(),
-                    result.summary());
+                HtmlReport.write(page, "martenlatch demo", result.report(), result.events(), result.summary());
                 out.println("plots: " + page.toAbsolutePath());
             }
             return result.holds() ? 0 : 1;
--- a/tools/src/main/java/martenlatch/tools/Rehearsal.java
+++ b/tools/src/main/java/martenlatch/tools/Rehearsal.java
@@ -26,16 +26,18 @@
     /** It must get by with few descriptors. */
     private static final int CONNECTIONS = 4;
 
-    private Rehearsal() {
-    }
+    private Rehearsal() {}
 
     /** Plays it, with the classes of the load to come; its report is for whoever wants to look. */
     static LoadReport play(List<Kind> kinds) throws IOException, InterruptedException {
         try (World world = new World(WorldSettings.plain(1, ServiceTime.parse("constant 0")), 0)) {
             List<InetSocketAddress> targets = List.of(world.endpoints().get(0).address());
-            return new LoadRun(new LoadPlan(targets, 1, CONNECTIONS, 0),
-                Arrivals.drawn(new Schedule(List.of(Shape.parse(SHAPE)), true, 1), kinds, 1),
-                (loop, most) -> new HttpDriver(loop, targets, most), second -> { }).run();
+            return new LoadRun(
+                            new LoadPlan(targets, 1, CONNECTIONS, 0),
+                            Arrivals.drawn(new Schedule(List.of(Shape.parse(SHAPE)), true, 1), kinds, 1),
+                            (loop, most) -> new HttpDriver(loop, targets, most),
+                            second -> {})
+                    .run();
         }
     }
 }
--- a/tools/src/main/java/martenlatch/world/CallQueue.java
+++ b/tools/src/main/java/martenlatch/world/CallQueue.java
@@ -8,8 +8,7 @@
 public final class CallQueue {
 
     /** What becomes of a call: when, and whether it is turned away then. */
-    public record Turn(double atMs, boolean refused) {
-    }
+    public record Turn(double atMs, boolean refused) {}
 
     private final double callMs;
     private final double mostWaitMs;
--- a/tools/src/main/java/martenlatch/world/Discovery.java
+++ b/tools/src/main/java/martenlatch/world/Discovery.java
@@ -48,8 +48,7 @@
     private static final int MOST_REQUEST = 4096;
 
     /** Who asks, and where they find each endpoint: links between may give each its own addresses. */
-    private record View(String name, Function<Endpoint, InetSocketAddress> addresses, Teller teller) {
-    }
+    private record View(String name, Function<Endpoint, InetSocketAddress> addresses, Teller teller) {}
 
     /** Hears what discovery writes to whom, on its event loop. */
     public interface Teller {
@@ -66,15 +65,15 @@
     private record Entry(Endpoint endpoint, String state, long startedMs, long version) {
         String json(View view) {
             InetSocketAddress at = view.addresses().apply(endpoint);
-            return "{\"id\":\"" + endpoint.id() + "\",\"addr\":\"" + at.getAddress().getHostAddress() + ":"
-                + at.getPort() + "\",\"zone\":\"" + endpoint.zone()
-                + "\",\"kind\":\"stand-in\",\"cell\":0,\"state\":\"" + state
-                + "\",\"weight\":1.0,\"started_ms\":" + startedMs + "}";
+            return "{\"id\":\"" + endpoint.id() + "\",\"addr\":\""
+                    + at.getAddress().getHostAddress() + ":"
+                    + at.getPort() + "\",\"zone\":\"" + endpoint.zone()
+                    + "\",\"kind\":\"stand-in\",\"cell\":0,\"state\":\"" + state
+                    + "\",\"weight\":1.0,\"started_ms\":" + startedMs + "}";
         }
     }
 
-    private record Watch(ChannelHandlerContext ctx, View view, long index) {
-    }
+    private record Watch(ChannelHandlerContext ctx, View view, long index) {}
 
     private static final Teller NOBODY = new Teller() {
         @Override
@@ -117,20 +116,28 @@
      *
      * @return where
      */
-    public InetSocketAddress listen(InetSocketAddress at, String viewer,
-            Function<Endpoint, InetSocketAddress> addresses, Teller teller) {
+    public InetSocketAddress listen(
+            InetSocketAddress at, String viewer, Function<Endpoint, InetSocketAddress> addresses, Teller teller) {
         return listen(at, new View(viewer, addresses, teller));
     }
 
     private InetSocketAddress listen(InetSocketAddress at, View view) {
-        Channel listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel accepted) {
-                    accepted.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_REQUEST),
-                        new Questions(view));
-                }
-            }).bind(at).syncUninterruptibly().channel();
+        Channel listener = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel accepted) {
+                        accepted.pipeline()
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(MOST_REQUEST),
+                                        new Questions(view));
+                    }
+                })
+                .bind(at)
+                .syncUninterruptibly()
+                .channel();
         listeners.add(listener);
         return (InetSocketAddress) listener.localAddress();
     }
@@ -166,10 +173,11 @@
     void put(Endpoint endpoint, String state) {
         long startedMs = endpoint.startedMs();
         loop.submit(() -> {
-            entries.put(endpoint.id(), new Entry(endpoint, state, startedMs, ++version));
-            changes.changed(endpoint, state);
-            tell();
-        }).syncUninterruptibly();
+                    entries.put(endpoint.id(), new Entry(endpoint, state, startedMs, ++version));
+                    changes.changed(endpoint, state);
+                    tell();
+                })
+                .syncUninterruptibly();
     }
 
     /** The whole list as it is now, as its JSON. */
@@ -179,8 +187,9 @@
 
     /** The same, with a viewer's own addresses. */
     public String list(Function<Endpoint, InetSocketAddress> addresses) {
-        return loop.submit(() -> json(new View("", addresses, NOBODY),
-            -1)).syncUninterruptibly().getNow();
+        return loop.submit(() -> json(new View("", addresses, NOBODY), -1))
+                .syncUninterruptibly()
+                .getNow();
     }
 
     void close() {
@@ -198,9 +207,11 @@
 
     private String json(View view, long since) {
         boolean full = since < 0;
-        StringBuilder out = new StringBuilder("{\"version\":").append(version).append(",\"full\":")
-            .append(full)
-            .append(",\"servers\":[");
+        StringBuilder out = new StringBuilder("{\"version\":")
+                .append(version)
+                .append(",\"full\":")
+                .append(full)
+                .append(",\"servers\":[");
         String comma = "";
         for (Entry entry : entries.values()) {
             if (entry.version() > since && !(full && entry.state().equals("terminated"))) {
@@ -215,7 +226,7 @@
     private void answer(ChannelHandlerContext ctx, View view, long since) {
         Runnable write = () -> {
             switch (manner) {
-                case SILENT -> { }
+                case SILENT -> {}
                 case DOWN -> write(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "");
                 case WRONG -> write(ctx, HttpResponseStatus.OK, "{\"version\":\"new\"}");
                 default -> write(ctx, HttpResponseStatus.OK, json(view, since));
@@ -229,10 +240,11 @@
     }
 
     private static void write(ChannelHandlerContext ctx, HttpResponseStatus status, String body) {
-        FullHttpResponse made = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-            Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
-        made.headers().set("Content-Type", "application/json")
-            .set("Content-Length", made.content().readableBytes());
+        FullHttpResponse made = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
+        made.headers()
+                .set("Content-Type", "application/json")
+                .set("Content-Length", made.content().readableBytes());
         ctx.writeAndFlush(made);
     }
 
@@ -258,8 +270,10 @@
                 if (turn.atMs() <= now) {
                     come(ctx, index, wait, turn.refused());
                 } else {
-                    loop.schedule(() -> come(ctx, index, wait, turn.refused()),
-                        (long) ((turn.atMs() - now) * 1000), TimeUnit.MICROSECONDS);
+                    loop.schedule(
+                            () -> come(ctx, index, wait, turn.refused()),
+                            (long) ((turn.atMs() - now) * 1000),
+                            TimeUnit.MICROSECONDS);
                 }
             } catch (NumberFormatException e) {
                 write(ctx, HttpResponseStatus.BAD_REQUEST, "");
@@ -282,11 +296,14 @@
             }
             Watch watch = new Watch(ctx, view, index);
             watches.add(watch);
-            loop.schedule(() -> {
-                if (watches.remove(watch)) {
-                    answer(ctx, view, index);
-                }
-            }, wait, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        if (watches.remove(watch)) {
+                            answer(ctx, view, index);
+                        }
+                    },
+                    wait,
+                    TimeUnit.MILLISECONDS);
         }
 
         private long number(QueryStringDecoder query, String name, long absent) {
--- a/tools/src/main/java/martenlatch/world/Endpoint.java
+++ b/tools/src/main/java/martenlatch/world/Endpoint.java
@@ -74,21 +74,27 @@
 
     /** Listens, at the same address as before if there was one. */
     void listen(int port) {
-        listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, 1024)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel accepted) {
-                    connections.add(accepted);
-                    accepts.incrementAndGet();
-                    if (trouble == Trouble.DEAF) {
-                        accepted.config().setAutoRead(false);
+        listener = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, 1024)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel accepted) {
+                        connections.add(accepted);
+                        accepts.incrementAndGet();
+                        if (trouble == Trouble.DEAF) {
+                            accepted.config().setAutoRead(false);
+                        }
+                        accepted.pipeline()
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY), new Requests());
                     }
-                    accepted.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY),
-                        new Requests());
-                }
-            }).bind("127.0.0.1", port).syncUninterruptibly().channel();
+                })
+                .bind("127.0.0.1", port)
+                .syncUninterruptibly()
+                .channel();
         address = (InetSocketAddress) listener.localAddress();
     }
 
@@ -133,15 +139,16 @@
     /** Its process dies: connections are reset, what it worked on is lost, new ones are refused. */
     void die() {
         loop.submit(() -> {
-            life++;
-            working = 0;
-            queue.clear();
-            listener.close();
-            connections.forEach(one -> {
-                one.config().setOption(ChannelOption.SO_LINGER, 0);
-                one.close();
-            });
-        }).syncUninterruptibly();
+                    life++;
+                    working = 0;
+                    queue.clear();
+                    listener.close();
+                    connections.forEach(one -> {
+                        one.config().setOption(ChannelOption.SO_LINGER, 0);
+                        one.close();
+                    });
+                })
+                .syncUninterruptibly();
     }
 
     /** It starts again at its address, cold; if it still lives it dies first. */
@@ -152,11 +159,12 @@
         listener.closeFuture().syncUninterruptibly();
         startedMs = System.currentTimeMillis();
         loop.submit(() -> {
-            trouble = Trouble.NONE;
-            stalledUntil = System.nanoTime();
-            drainedAt = Long.MAX_VALUE;
-            warmAt = System.nanoTime() + (long) (settings.coldMs() * NANOS_IN_MS);
-        }).syncUninterruptibly();
+                    trouble = Trouble.NONE;
+                    stalledUntil = System.nanoTime();
+                    drainedAt = Long.MAX_VALUE;
+                    warmAt = System.nanoTime() + (long) (settings.coldMs() * NANOS_IN_MS);
+                })
+                .syncUninterruptibly();
         listen(address.getPort());
     }
 
@@ -188,8 +196,11 @@
                 write(ctx, away, keep);
                 return;
             }
-            ledger.ran(id, name, request.method() == HttpMethod.POST
-                && !request.headers().contains("Idempotency-Key"), now < warmAt);
+            ledger.ran(
+                    id,
+                    name,
+                    request.method() == HttpMethod.POST && !request.headers().contains("Idempotency-Key"),
+                    now < warmAt);
             if (now < warmAt) {
                 ledger.cold();
             }
@@ -203,8 +214,9 @@
         private void work(ChannelHandlerContext ctx, String name, boolean keep) {
             working++;
             long now = System.nanoTime();
-            double ms = settings.service().draw(random) * (trouble == Trouble.SLOW ? SLOWNESS : 1)
-                * (now < warmAt ? settings.coldFactor() : 1);
+            double ms = settings.service().draw(random)
+                    * (trouble == Trouble.SLOW ? SLOWNESS : 1)
+                    * (now < warmAt ? settings.coldFactor() : 1);
             long until = Math.max(now + (long) (ms * NANOS_IN_MS), stalledUntil);
             int begun = life;
             Runnable done = () -> {
@@ -223,11 +235,14 @@
             long left = stalledUntil - System.nanoTime();
             if (left > 0) {
                 int begun = life;
-                loop.schedule(() -> {
-                    if (begun == life) {
-                        finish(ctx, name, keep);
-                    }
-                }, left, TimeUnit.NANOSECONDS);
+                loop.schedule(
+                        () -> {
+                            if (begun == life) {
+                                finish(ctx, name, keep);
+                            }
+                        },
+                        left,
+                        TimeUnit.NANOSECONDS);
                 return;
             }
             working--;
@@ -240,7 +255,7 @@
 
         private void reply(ChannelHandlerContext ctx, String name, boolean keep) {
             switch (trouble) {
-                case HANGS -> { }
+                case HANGS -> {}
                 case RESETS -> {
                     ctx.channel().config().setOption(ChannelOption.SO_LINGER, 0);
                     ctx.close();
@@ -249,8 +264,11 @@
                 case GARBLES -> raw(ctx, "220 mail.example ESMTP\r\n\r\n", true);
                 case TWICE -> {
                     ledger.answered(id, name);
-                    raw(ctx, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1"
-                        + "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n2", false);
+                    raw(
+                            ctx,
+                            "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1"
+                                    + "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n2",
+                            false);
                 }
                 case ERRORS -> write(ctx, answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, "error\n"), keep);
                 default -> {
@@ -270,8 +288,8 @@
         }
 
         private FullHttpResponse answer(HttpResponseStatus status, String body) {
-            FullHttpResponse made = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
+            FullHttpResponse made = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
             made.headers().set("Content-Length", body.length());
             return made;
         }
--- a/tools/src/main/java/martenlatch/world/Happening.java
+++ b/tools/src/main/java/martenlatch/world/Happening.java
@@ -61,8 +61,8 @@
                     return one;
                 }
             }
-            throw new IllegalArgumentException("event.do must be one of " + Arrays.stream(values())
-                .map(What::text).toList() + " but is \"" + text + "\"");
+            throw new IllegalArgumentException("event.do must be one of "
+                    + Arrays.stream(values()).map(What::text).toList() + " but is \"" + text + "\"");
         }
 
         String text() {
@@ -75,17 +75,16 @@
             throw new IllegalArgumentException("event.at must be 0 to 1000000 seconds but is " + atSeconds);
         }
         if (what.toEndpoints && (endpoint < 0) == zone.isEmpty()) {
-            throw new IllegalArgumentException("event.endpoint or event.zone must say to whom " + what.text()
-                + " happens, one of them");
+            throw new IllegalArgumentException(
+                    "event.endpoint or event.zone must say to whom " + what.text() + " happens, one of them");
         }
         if (endpoint >= settings.endpoints() || endpoint < -1) {
-            throw new IllegalArgumentException("event.endpoint must be 0 to " + (settings.endpoints() - 1)
-                + " but is " + endpoint);
+            throw new IllegalArgumentException(
+                    "event.endpoint must be 0 to " + (settings.endpoints() - 1) + " but is " + endpoint);
         }
         if (!zone.isEmpty() && !settings.zones().contains(zone)) {
-            throw new IllegalArgumentException("event.zone must be one of " + settings.zones() + " but is \""
-                + zone
-                + "\"");
+            throw new IllegalArgumentException(
+                    "event.zone must be one of " + settings.zones() + " but is \"" + zone + "\"");
         }
         if (what.timed && !(ms >= 0 && ms <= 600_000)) {
             throw new IllegalArgumentException("event.ms must be 0 to 600000 but is " + ms);
@@ -109,7 +108,8 @@
             return;
         }
         for (int i = 0; i < world.endpoints().size(); i++) {
-            if (i == endpoint || !zone.isEmpty() && world.endpoints().get(i).zone().equals(zone)) {
+            if (i == endpoint
+                    || !zone.isEmpty() && world.endpoints().get(i).zone().equals(zone)) {
                 to(world, i);
             }
         }
@@ -138,7 +138,9 @@
 
     @Override
     public String toString() {
-        return what.text() + (endpoint >= 0 ? " s" + endpoint : "") + (zone.isEmpty() ? "" : " zone " + zone)
-            + (Double.isNaN(ms) ? "" : " " + (long) ms + " ms");
+        return what.text()
+                + (endpoint >= 0 ? " s" + endpoint : "")
+                + (zone.isEmpty() ? "" : " zone " + zone)
+                + (Double.isNaN(ms) ? "" : " " + (long) ms + " ms");
     }
 }
--- a/tools/src/main/java/martenlatch/world/Ledger.java
+++ b/tools/src/main/java/martenlatch/world/Ledger.java
@@ -158,9 +158,9 @@
     @Override
     public String toString() {
         return "received " + receivedCount() + ", ran " + ranCount() + " (" + ids() + " ids, " + runTwice()
-            + " of them twice or more, unsafe ones again: " + unsafeAgainCount()
-            + (unknownCount() > 0 ? ", " + unknownCount() + " not kept by id" : "")
-            + "), turned away " + turnedAwayCount() + ", answered " + answeredCount() + ", after a drain "
-            + afterDrainCount() + ", on cold endpoints " + coldCount();
+                + " of them twice or more, unsafe ones again: " + unsafeAgainCount()
+                + (unknownCount() > 0 ? ", " + unknownCount() + " not kept by id" : "")
+                + "), turned away " + turnedAwayCount() + ", answered " + answeredCount() + ", after a drain "
+                + afterDrainCount() + ", on cold endpoints " + coldCount();
     }
 }
--- a/tools/src/main/java/martenlatch/world/ServiceTime.java
+++ b/tools/src/main/java/martenlatch/world/ServiceTime.java
@@ -33,8 +33,8 @@
         try {
             Form form = Form.valueOf(words[0].toUpperCase(Locale.ROOT));
             if (words.length == (form == Form.LOGNORMAL ? 3 : 2)) {
-                return new ServiceTime(form, Double.parseDouble(words[1]),
-                    form == Form.LOGNORMAL ? Double.parseDouble(words[2]) : 0);
+                return new ServiceTime(
+                        form, Double.parseDouble(words[1]), form == Form.LOGNORMAL ? Double.parseDouble(words[2]) : 0);
             }
         } catch (NumberFormatException e) {
             throw bad(text, e);
@@ -48,9 +48,9 @@
     }
 
     private static IllegalArgumentException bad(String text, Exception cause) {
-        return new IllegalArgumentException("service must be constant MS, exponential MS or lognormal MS "
-            + "SPREAD "
-            + "but is \"" + text + "\"", cause);
+        return new IllegalArgumentException(
+                "service must be constant MS, exponential MS or lognormal MS " + "SPREAD " + "but is \"" + text + "\"",
+                cause);
     }
 
     /** One of them, in milliseconds. */
--- a/tools/src/main/java/martenlatch/world/World.java
+++ b/tools/src/main/java/martenlatch/world/World.java
@@ -28,8 +28,8 @@
 
     /** As above, with a ledger that the caller has made. */
     public World(WorldSettings settings, int discoveryPort, Ledger ledger) {
-        group = new MultiThreadIoEventLoopGroup(settings.threads() + 1,
-            new DefaultThreadFactory("world", true), NioIoHandler.newFactory());
+        group = new MultiThreadIoEventLoopGroup(
+                settings.threads() + 1, new DefaultThreadFactory("world", true), NioIoHandler.newFactory());
         this.ledger = ledger;
         discovery = new Discovery((EventLoop) group.next());
         discovery.listen(discoveryPort);
@@ -38,8 +38,13 @@
             loops.add((EventLoop) group.next());
         }
         for (int i = 0; i < settings.endpoints(); i++) {
-            Endpoint made = new Endpoint("s" + i, settings.zones().get(i % settings.zones().size()),
-                loops.get(i % loops.size()), settings, ledger, settings.seed() + i);
+            Endpoint made = new Endpoint(
+                    "s" + i,
+                    settings.zones().get(i % settings.zones().size()),
+                    loops.get(i % loops.size()),
+                    settings,
+                    ledger,
+                    settings.seed() + i);
             made.listen(0);
             endpoints.add(made);
             discovery.put(made, "in_service");
--- a/tools/src/main/java/martenlatch/world/WorldSettings.java
+++ b/tools/src/main/java/martenlatch/world/WorldSettings.java
@@ -16,8 +16,18 @@
  * @param threads event loops for all endpoints together
  * @param ids how many requests are remembered by id
  */
-public record WorldSettings(int endpoints, List<String> zones, ServiceTime service, int slots, int queue,
-        double coldMs, double coldFactor, double drainGraceMs, int threads, int ids, long seed) {
+public record WorldSettings(
+        int endpoints,
+        List<String> zones,
+        ServiceTime service,
+        int slots,
+        int queue,
+        double coldMs,
+        double coldFactor,
+        double drainGraceMs,
+        int threads,
+        int ids,
+        long seed) {
 
     public WorldSettings {
         zones = List.copyOf(zones);
@@ -36,14 +46,13 @@
 
     private static void within(String field, double value, double least, double most) {
         if (!(value >= least && value <= most)) {
-            throw new IllegalArgumentException(field + " must be " + (long) least + " to " + (long) most
-                + " but is " + value);
+            throw new IllegalArgumentException(
+                    field + " must be " + (long) least + " to " + (long) most + " but is " + value);
         }
     }
 
     /** Endpoints that answer at once and are never full, in one zone. */
     public static WorldSettings plain(int endpoints, ServiceTime service) {
-        return new WorldSettings(endpoints, List.of("a"), service, 1_000_000, 0, 1000, 3, 500, 1, 2_000_000,
-            1);
+        return new WorldSettings(endpoints, List.of("a"), service, 1_000_000, 0, 1000, 3, 500, 1, 2_000_000, 1);
     }
 }
--- a/tools/src/test/java/martenlatch/ToolsRoomsTest.java
+++ b/tools/src/test/java/martenlatch/ToolsRoomsTest.java
@@ -12,29 +12,52 @@
 class ToolsRoomsTest {
 
     private static final JavaClasses PROGRAM = new ClassFileImporter()
-        .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("martenlatch");
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("martenlatch");
 
     @Test
     void arrowsRunDown() {
-        layeredArchitecture().consideringOnlyDependenciesInLayers()
-            .layer("tools").definedBy("martenlatch.tools..")
-            .layer("demo").definedBy("martenlatch.demo..")
-            .layer("load.http").definedBy("martenlatch.load.http..")
-            .layer("load").definedBy("martenlatch.load")
-            .layer("world").definedBy("martenlatch.world..")
-            .whereLayer("tools").mayNotBeAccessedByAnyLayer()
-            .whereLayer("demo").mayOnlyBeAccessedByLayers("tools")
-            .whereLayer("load.http").mayOnlyBeAccessedByLayers("tools", "demo")
-            .whereLayer("load").mayOnlyBeAccessedByLayers("tools", "demo", "load.http")
-            .whereLayer("world").mayOnlyBeAccessedByLayers("tools", "demo")
-            .check(PROGRAM);
+        layeredArchitecture()
+                .consideringOnlyDependenciesInLayers()
+                .layer("tools")
+                .definedBy("martenlatch.tools..")
+                .layer("demo")
+                .definedBy("martenlatch.demo..")
+                .layer("load.http")
+                .definedBy("martenlatch.load.http..")
+                .layer("load")
+                .definedBy("martenlatch.load")
+                .layer("world")
+                .definedBy("martenlatch.world..")
+                .whereLayer("tools")
+                .mayNotBeAccessedByAnyLayer()
+                .whereLayer("demo")
+                .mayOnlyBeAccessedByLayers("tools")
+                .whereLayer("load.http")
+                .mayOnlyBeAccessedByLayers("tools", "demo")
+                .whereLayer("load")
+                .mayOnlyBeAccessedByLayers("tools", "demo", "load.http")
+                .whereLayer("world")
+                .mayOnlyBeAccessedByLayers("tools", "demo")
+                .check(PROGRAM);
     }
 
     @Test
     void theyUseNothingOfTheProductButItsChecksOfFields() {
-        noClasses().that().resideInAnyPackage("martenlatch.load..", "martenlatch.world..")
-            .should().dependOnClassesThat().resideInAnyPackage("martenlatch.policy..", "martenlatch.host..",
-                "martenlatch.front..", "martenlatch.upstream..", "martenlatch.membership..",
-                "martenlatch.sidecar..", "martenlatch.site..", "martenlatch.net..").check(PROGRAM);
+        noClasses()
+                .that()
+                .resideInAnyPackage("martenlatch.load..", "martenlatch.world..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "martenlatch.policy..",
+                        "martenlatch.host..",
+                        "martenlatch.front..",
+                        "martenlatch.upstream..",
+                        "martenlatch.membership..",
+                        "martenlatch.sidecar..",
+                        "martenlatch.site..",
+                        "martenlatch.net..")
+                .check(PROGRAM);
     }
 }
--- a/tools/src/test/java/martenlatch/load/LoadRunTest.java
+++ b/tools/src/test/java/martenlatch/load/LoadRunTest.java
@@ -47,12 +47,13 @@
         return new Kind("k", 1, effect, effect == Kind.Effect.REPEATABLE ? 0 : 20, deadlineMs, retries);
     }
 
-    private static LoadRun run(InetSocketAddress to, Kind kind, String shape, int connections,
-            Consumer<Second> live) {
+    private static LoadRun run(InetSocketAddress to, Kind kind, String shape, int connections, Consumer<Second> live) {
         List<InetSocketAddress> targets = List.of(to);
-        return new LoadRun(new LoadPlan(targets, 1, connections, 0),
-            Arrivals.drawn(new Schedule(List.of(Shape.parse(shape)), false, 1), List.of(kind), 1),
-            (loop, most) -> new HttpDriver(loop, targets, most), live);
+        return new LoadRun(
+                new LoadPlan(targets, 1, connections, 0),
+                Arrivals.drawn(new Schedule(List.of(Shape.parse(shape)), false, 1), List.of(kind), 1),
+                (loop, most) -> new HttpDriver(loop, targets, most),
+                live);
     }
 
     private static String printed(LoadReport report) {
@@ -64,16 +65,16 @@
     @Test
     void whatIsServedIsCountedOnBothSides() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 1")));
-        LoadReport report = run(endpoint.address(), kind(Kind.Effect.KEYED, 2_000, 0), "constant 500 1", 200,
-            second -> { }).run();
+        LoadReport report = run(
+                        endpoint.address(), kind(Kind.Effect.KEYED, 2_000, 0), "constant 500 1", 200, second -> {})
+                .run();
         assertEquals(500, report.all().wishes());
         assertEquals(500, report.all().count(End.SERVED));
         assertEquals(500, world.ledger().ids());
         assertEquals(0, world.ledger().runTwice());
         assertEquals(List.of(), report.differences());
         assertEquals(500, report.seconds().stream().mapToLong(Second::wishes).sum());
-        assertTrue(printed(report).contains("generator: ") || printed(report).contains("GENERATOR"),
-            printed(report));
+        assertTrue(printed(report).contains("generator: ") || printed(report).contains("GENERATOR"), printed(report));
     }
 
     /**
@@ -84,12 +85,13 @@
     @Test
     void aStallShowsInTheTailAsArithmeticSaysAndAClosedLoopHidesIt() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 1")));
-        LoadReport report = run(endpoint.address(), kind(Kind.Effect.REPEATABLE, 5_000, 0), "constant 200 3",
-            1000, second -> {
-                if (second.number() == 0) {
-                    endpoint.stall(1000);
-                }
-            }).run();
+        LoadReport report = run(
+                        endpoint.address(), kind(Kind.Effect.REPEATABLE, 5_000, 0), "constant 200 3", 1000, second -> {
+                            if (second.number() == 0) {
+                                endpoint.stall(1000);
+                            }
+                        })
+                .run();
         Histogram times = report.all().served();
         assertEquals(600, times.getTotalCount());
         assertTrue(times.getValueAtPercentile(99) >= 960_000, "p99 " + times.getValueAtPercentile(99));
@@ -99,15 +101,16 @@
         assertTrue(report.judgement().lateness().getMaxValue() < 900_000_000L, report.verdict());
 
         Histogram closed = new Histogram(3_600_000_000L, 3);
-        try (Socket socket = new Socket(endpoint.address().getAddress(), endpoint.address().getPort())) {
+        try (Socket socket =
+                new Socket(endpoint.address().getAddress(), endpoint.address().getPort())) {
             byte[] answer = new byte[4096];
             for (int i = 0; i < 400; i++) {
                 if (i == 200) {
                     endpoint.stall(1000);
                 }
                 long began = System.nanoTime();
-                socket.getOutputStream().write(("GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: c" + i
-                    + "\r\n\r\n").getBytes());
+                socket.getOutputStream()
+                        .write(("GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: c" + i + "\r\n\r\n").getBytes());
                 assertTrue(socket.getInputStream().read(answer) > 0);
                 closed.recordValue((System.nanoTime() - began) / 1000);
             }
@@ -121,8 +124,7 @@
     void aStarvedGeneratorSaysSo() throws Exception {
         LoadReport report = starvedRun(kind(Kind.Effect.REPEATABLE, 5_000, 0), 1000, 600);
         assertEquals(1000, report.all().count(End.SERVED));
-        assertTrue(report.judgement().voidFrom() >= 0 && report.judgement().voidFrom() <= 1,
-            report.verdict());
+        assertTrue(report.judgement().voidFrom() >= 0 && report.judgement().voidFrom() <= 1, report.verdict());
         assertTrue(report.judgement().lateShare() > 0.1, report.verdict());
         assertTrue(report.judgement().longestPause() >= 390_000_000L, report.verdict());
         assertTrue(printed(report).contains("GENERATOR TOO SLOW: figures from second"), printed(report));
@@ -143,11 +145,15 @@
 
     /** 1,000 wishes in two seconds to a service that answers at once, and a block at one of the sends. */
     private LoadReport starvedRun(Kind kind, int connections, int atSend) throws Exception {
-        List<InetSocketAddress> targets = List.of(
-            endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 0"))).address());
-        return new LoadRun(new LoadPlan(targets, 1, connections, 0),
-            Arrivals.drawn(new Schedule(List.of(Shape.parse("constant 500 2")), false, 1), List.of(kind), 1),
-            (loop, most) -> starved(new HttpDriver(loop, targets, most), atSend), second -> { }).run();
+        List<InetSocketAddress> targets = List.of(endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 0")))
+                .address());
+        return new LoadRun(
+                        new LoadPlan(targets, 1, connections, 0),
+                        Arrivals.drawn(
+                                new Schedule(List.of(Shape.parse("constant 500 2")), false, 1), List.of(kind), 1),
+                        (loop, most) -> starved(new HttpDriver(loop, targets, most), atSend),
+                        second -> {})
+                .run();
     }
 
     /** A driver that blocks the generator's loop at one of its sends. */
@@ -175,20 +181,31 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"NONE, SERVED, ", "RESETS, FAILED, reset|closed", "HALF, FAILED, cut short",
-        "GARBLES, FAILED, no HTTP", "HANGS, TIMED_OUT, no answer", "DEAF, TIMED_OUT, no answer",
-        "ERRORS, FAILED, status 500", "TWICE, SERVED, "})
+    @CsvSource({
+        "NONE, SERVED, ",
+        "RESETS, FAILED, reset|closed",
+        "HALF, FAILED, cut short",
+        "GARBLES, FAILED, no HTTP",
+        "HANGS, TIMED_OUT, no answer",
+        "DEAF, TIMED_OUT, no answer",
+        "ERRORS, FAILED, status 500",
+        "TWICE, SERVED, "
+    })
     void eachRequestEndsInOneCount(Trouble trouble, End end, String cause) throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 0")));
         endpoint.trouble(trouble);
         int deadline = end == End.TIMED_OUT ? 300 : 5_000;
-        LoadReport report = run(endpoint.address(), kind(Kind.Effect.UNSAFE, deadline, 0), "constant 200 0.5",
-            400, second -> { }).run();
+        LoadReport report = run(
+                        endpoint.address(),
+                        kind(Kind.Effect.UNSAFE, deadline, 0),
+                        "constant 200 0.5",
+                        400,
+                        second -> {})
+                .run();
         Figures all = report.all();
         assertEquals(100, all.wishes());
         // A very busy machine may not get some out within a short deadline; none is in two counts or none.
-        assertEquals(100, all.count(end) + (end == End.TIMED_OUT ? all.count(End.NOT_SENT) : 0),
-            printed(report));
+        assertEquals(100, all.count(end) + (end == End.TIMED_OUT ? all.count(End.NOT_SENT) : 0), printed(report));
         assertEquals(100, all.ended());
         assertEquals(0, all.open());
         assertEquals(List.of(), report.differences());
@@ -207,8 +224,9 @@
     @Test
     void anAnswerThatComesTooLateIsNoSecondEnd() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 300")));
-        LoadReport report = run(endpoint.address(), kind(Kind.Effect.UNSAFE, 100, 0), "constant 100 1.5", 400,
-            second -> { }).run();
+        LoadReport report = run(
+                        endpoint.address(), kind(Kind.Effect.UNSAFE, 100, 0), "constant 100 1.5", 400, second -> {})
+                .run();
         Figures all = report.all();
         assertEquals(150, all.wishes());
         assertEquals(150, all.count(End.TIMED_OUT) + all.count(End.NOT_SENT), printed(report));
@@ -221,9 +239,13 @@
     void aServiceThatIsNotThereFailsEachAtOnce() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 0")));
         world.die(0);
-        LoadReport report = run(endpoint.address(), kind(Kind.Effect.REPEATABLE, 5_000, 0),
-            "constant 200 0.5",
-            50, second -> { }).run();
+        LoadReport report = run(
+                        endpoint.address(),
+                        kind(Kind.Effect.REPEATABLE, 5_000, 0),
+                        "constant 200 0.5",
+                        50,
+                        second -> {})
+                .run();
         assertEquals(100, report.all().count(End.FAILED), printed(report));
         assertEquals(100L, report.all().causes().get("no connect"));
     }
@@ -235,9 +257,13 @@
     @Test
     void sendsThatFoundNoConnectionAreCounted() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 500")));
-        LoadReport report = run(endpoint.address(), kind(Kind.Effect.REPEATABLE, 3000, 0),
-            "constant 10000 0.01", 1,
-            second -> { }).run();
+        LoadReport report = run(
+                        endpoint.address(),
+                        kind(Kind.Effect.REPEATABLE, 3000, 0),
+                        "constant 10000 0.01",
+                        1,
+                        second -> {})
+                .run();
         Figures all = report.all();
         assertEquals(100, all.ended());
         assertTrue(all.count(End.NOT_SENT) >= 50, printed(report));
@@ -252,22 +278,23 @@
      */
     @Test
     void retriesAreThoseOfThePlatformsClients() throws Exception {
-        WorldSettings full = new WorldSettings(1, List.of("a"), ServiceTime.parse("constant 300"), 1, 0, 0,
-            1, 500,
-            1, 1000, 1);
+        WorldSettings full =
+                new WorldSettings(1, List.of("a"), ServiceTime.parse("constant 300"), 1, 0, 0, 1, 500, 1, 1000, 1);
         Endpoint endpoint = endpoint(full);
-        LoadReport refused = run(endpoint.address(), kind(Kind.Effect.UNSAFE, 5_000, 2), "constant 20 0.2",
-            50,
-            second -> { }).run();
+        LoadReport refused = run(
+                        endpoint.address(), kind(Kind.Effect.UNSAFE, 5_000, 2), "constant 20 0.2", 50, second -> {})
+                .run();
         assertTrue(refused.all().requests() > refused.all().wishes(), printed(refused));
         assertEquals(4, refused.all().ended());
         assertEquals(0, world.ledger().runTwice());
         endpoint.trouble(Trouble.ERRORS);
-        LoadReport unsafe = run(endpoint.address(), kind(Kind.Effect.UNSAFE, 5_000, 2), "constant 2 0.6", 50,
-            second -> { }).run();
+        LoadReport unsafe = run(
+                        endpoint.address(), kind(Kind.Effect.UNSAFE, 5_000, 2), "constant 2 0.6", 50, second -> {})
+                .run();
         assertEquals(unsafe.all().wishes(), unsafe.all().requests(), printed(unsafe));
-        LoadReport keyed = run(endpoint.address(), kind(Kind.Effect.KEYED, 5_000, 2), "constant 2 0.6", 50,
-            second -> { }).run();
+        LoadReport keyed = run(
+                        endpoint.address(), kind(Kind.Effect.KEYED, 5_000, 2), "constant 2 0.6", 50, second -> {})
+                .run();
         assertEquals(3 * keyed.all().wishes(), keyed.all().requests(), printed(keyed));
     }
 
@@ -275,8 +302,12 @@
     void aStopGivesTheReportOfWhatWasDone() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 1")));
         LoadRun[] run = new LoadRun[1];
-        run[0] = run(endpoint.address(), kind(Kind.Effect.REPEATABLE, 5_000, 0), "constant 100 3600", 50,
-            second -> run[0].stop());
+        run[0] = run(
+                endpoint.address(),
+                kind(Kind.Effect.REPEATABLE, 5_000, 0),
+                "constant 100 3600",
+                50,
+                second -> run[0].stop());
         LoadReport report = run[0].run();
         assertTrue(report.all().wishes() >= 50, printed(report));
         assertEquals(report.all().wishes(), report.all().ended());
@@ -286,8 +317,13 @@
     @Test
     void aRateBeyondTheMachineIsSaidToBe() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 0")));
-        LoadReport report = run(endpoint.address(), kind(Kind.Effect.REPEATABLE, 5_000, 0),
-            "constant 3000000 0.01", 16, second -> { }).run();
+        LoadReport report = run(
+                        endpoint.address(),
+                        kind(Kind.Effect.REPEATABLE, 5_000, 0),
+                        "constant 3000000 0.01",
+                        16,
+                        second -> {})
+                .run();
         assertEquals(30_000, report.all().ended());
         assertTrue(report.judgement().voidFrom() == 0, report.verdict());
     }
@@ -297,13 +333,20 @@
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 0")));
         List<InetSocketAddress> targets = List.of(endpoint.address());
         List<Second> seconds = new ArrayList<>();
-        LoadReport report = new LoadRun(new LoadPlan(targets, 3, 64, 0),
-            Arrivals.drawn(new Schedule(List.of(Shape.parse("constant 1000 2")), true, 5),
-                List.of(kind(Kind.Effect.REPEATABLE, 5_000, 0)), 1),
-            (loop, most) -> new HttpDriver(loop, targets, most), seconds::add).run();
+        LoadReport report = new LoadRun(
+                        new LoadPlan(targets, 3, 64, 0),
+                        Arrivals.drawn(
+                                new Schedule(List.of(Shape.parse("constant 1000 2")), true, 5),
+                                List.of(kind(Kind.Effect.REPEATABLE, 5_000, 0)),
+                                1),
+                        (loop, most) -> new HttpDriver(loop, targets, most),
+                        seconds::add)
+                .run();
         assertEquals(report.all().wishes(), report.all().count(End.SERVED), printed(report));
         assertEquals(report.all().wishes(), world.ledger().ids());
-        assertEquals(report.all().wishes(), seconds.stream().mapToLong(Second::wishes).sum());
+        assertEquals(
+                report.all().wishes(),
+                seconds.stream().mapToLong(Second::wishes).sum());
         for (int i = 0; i < seconds.size(); i++) {
             assertEquals(i, seconds.get(i).number());
         }
@@ -321,8 +364,7 @@
                 if (count == 10) {
                     throw new IOException("unexpected end of the file");
                 }
-                return new Wish(count, count++ * 1_000_000L, kind(Kind.Effect.REPEATABLE, 1000, 0), null, 0,
-                    1000);
+                return new Wish(count, count++ * 1_000_000L, kind(Kind.Effect.REPEATABLE, 1000, 0), null, 0, 1000);
             }
 
             @Override
@@ -330,9 +372,15 @@
                 return 1;
             }
         };
-        String said = assertThrows(IOException.class,
-            () -> new LoadRun(new LoadPlan(targets, 1, 64, 0), broken,
-                (loop, most) -> new HttpDriver(loop, targets, most), second -> { }).run()).getMessage();
+        String said = assertThrows(
+                        IOException.class,
+                        () -> new LoadRun(
+                                        new LoadPlan(targets, 1, 64, 0),
+                                        broken,
+                                        (loop, most) -> new HttpDriver(loop, targets, most),
+                                        second -> {})
+                                .run())
+                .getMessage();
         assertEquals("unexpected end of the file", said);
     }
 }
--- a/tools/src/test/java/martenlatch/load/ScheduleTest.java
+++ b/tools/src/test/java/martenlatch/load/ScheduleTest.java
@@ -15,7 +15,8 @@
 class ScheduleTest {
 
     private static List<Double> seconds(boolean poisson, long seed, String... shapes) {
-        Schedule schedule = new Schedule(List.of(shapes).stream().map(Shape::parse).toList(), poisson, seed);
+        Schedule schedule =
+                new Schedule(List.of(shapes).stream().map(Shape::parse).toList(), poisson, seed);
         List<Double> times = new ArrayList<>();
         for (long next = schedule.next(); next >= 0; next = schedule.next()) {
             times.add(next / 1e9);
@@ -37,8 +38,13 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"constant 250 4, 1000", "ramp 0 500 4, 1000", "steps 100 300 3 6, 1200",
-        "bursts 50 1050 2 0.5 4, 1200", "wave 200 150 2 4, 800"})
+    @CsvSource({
+        "constant 250 4, 1000",
+        "ramp 0 500 4, 1000",
+        "steps 100 300 3 6, 1200",
+        "bursts 50 1050 2 0.5 4, 1200",
+        "wave 200 150 2 4, 800"
+    })
     void eachShapeSendsWhatItsRateAddsUpTo(String shape, int arrivals) {
         assertEquals(arrivals, seconds(false, 1, shape).size(), 1);
     }
@@ -95,28 +101,40 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"constant", "constant 5", "constant -1 2", "constant 1 0", "ramp 1 2 x",
-        "saw 1 2",
-        "steps 1 2 1 3", "bursts 1 2 1 2 5", "wave 100 200 1 4", "constant NaN 1", "constant 1e12 1"})
+    @ValueSource(
+            strings = {
+                "constant",
+                "constant 5",
+                "constant -1 2",
+                "constant 1 0",
+                "ramp 1 2 x",
+                "saw 1 2",
+                "steps 1 2 1 3",
+                "bursts 1 2 1 2 5",
+                "wave 100 200 1 4",
+                "constant NaN 1",
+                "constant 1e12 1"
+            })
     void aShapeThatIsNoneIsNamed(String text) {
-        String said = assertThrows(IllegalArgumentException.class, () -> Shape.parse(text)).getMessage();
+        String said = assertThrows(IllegalArgumentException.class, () -> Shape.parse(text))
+                .getMessage();
         assertTrue(said.startsWith("shape") && said.contains(text), said);
     }
 
     @Test
     void aRateOfNothingIsRefused() {
-        String said = assertThrows(IllegalArgumentException.class,
-            () -> new Schedule(List.of(Shape.parse("constant 0 5")), false, 1)).getMessage();
+        String said = assertThrows(
+                        IllegalArgumentException.class,
+                        () -> new Schedule(List.of(Shape.parse("constant 0 5")), false, 1))
+                .getMessage();
         assertTrue(said.contains("rates are all 0"), said);
     }
 
     @Test
     void classesComeInTheirShares() throws Exception {
-        List<Kind> kinds = List.of(new Kind("a", 3, Kind.Effect.REPEATABLE, 0, 100, 0),
-            new Kind("b", 1, Kind.Effect.UNSAFE, 10, 200, 0));
-        Arrivals arrivals = Arrivals.drawn(new Schedule(List.of(Shape.parse("constant 10000 1")), false, 1),
-            kinds,
-            3);
+        List<Kind> kinds = List.of(
+                new Kind("a", 3, Kind.Effect.REPEATABLE, 0, 100, 0), new Kind("b", 1, Kind.Effect.UNSAFE, 10, 200, 0));
+        Arrivals arrivals = Arrivals.drawn(new Schedule(List.of(Shape.parse("constant 10000 1")), false, 1), kinds, 3);
         int[] counts = new int[2];
         long number = 0;
         for (Wish next = arrivals.next(); next != null; next = arrivals.next()) {
--- a/tools/src/test/java/martenlatch/load/TraceTest.java
+++ b/tools/src/test/java/martenlatch/load/TraceTest.java
@@ -20,8 +20,9 @@
  */
 class TraceTest {
 
-    private static final List<Kind> KINDS = List.of(new Kind("read", 1, Kind.Effect.REPEATABLE, 0, 500, 0),
-        new Kind("order", 1, Kind.Effect.UNSAFE, 100, 900, 0));
+    private static final List<Kind> KINDS = List.of(
+            new Kind("read", 1, Kind.Effect.REPEATABLE, 0, 500, 0),
+            new Kind("order", 1, Kind.Effect.UNSAFE, 100, 900, 0));
 
     @TempDir
     Path folder;
@@ -34,9 +35,10 @@
         List<String> wishes = new ArrayList<>();
         try (Arrivals arrivals = trace.play(speed)) {
             for (Wish next = arrivals.next(); next != null; next = arrivals.next()) {
-                wishes.add(next.number() + "@" + next.intendedNanos() / 1_000_000 + " " + next.kind().name()
-                    + " "
-                    + next.key() + " " + next.bodyBytes() + " " + next.deadlineMs());
+                wishes.add(next.number() + "@" + next.intendedNanos() / 1_000_000 + " "
+                        + next.kind().name()
+                        + " "
+                        + next.key() + " " + next.bodyBytes() + " " + next.deadlineMs());
             }
         }
         return wishes;
@@ -44,8 +46,10 @@
 
     @Test
     void csvIsReadByItsHeader() throws IOException {
-        Trace trace = Trace.check(file("class,time,note,key,deadline,size", "read,100.5,\"a, b\",k1,,",
-            "order,101,x,,250,4096"), KINDS, 0);
+        Trace trace = Trace.check(
+                file("class,time,note,key,deadline,size", "read,100.5,\"a, b\",k1,,", "order,101,x,,250,4096"),
+                KINDS,
+                0);
         assertEquals(List.of("0@0 read k1 0 500", "1@500 order null 4096 250"), played(trace, 1));
         assertEquals(0.5, trace.seconds(), 1e-9);
         assertEquals(2, trace.lines());
@@ -61,28 +65,40 @@
                 {"time":"5.25"}
                 """.getBytes(StandardCharsets.UTF_8));
         }
-        assertEquals(List.of("0@0 order null 7 900", "1@250 read null 0 500"),
-            played(Trace.check(file, KINDS, 0), 1));
+        assertEquals(List.of("0@0 order null 7 900", "1@250 read null 0 500"), played(Trace.check(file, KINDS, 0), 1));
     }
 
     @Test
     void aSpeedScalesIt() throws IOException {
         Trace trace = Trace.check(file("time", "10", "14", "20"), KINDS, 0);
-        assertEquals(List.of("0@0 read null 0 500", "1@2000 read null 0 500", "2@5000 read null 0 500"),
-            played(trace, 2));
+        assertEquals(
+                List.of("0@0 read null 0 500", "1@2000 read null 0 500", "2@5000 read null 0 500"), played(trace, 2));
         assertThrows(IllegalArgumentException.class, () -> trace.play(0));
     }
 
     @Test
     void aLineOfNoUseIsNamedByNumberAndLeftOutOfBothPasses() throws IOException {
-        Trace trace = Trace.check(file("time,class,size", "1,read,0", "x,read,0", "2,write,0",
-            "3,order,70000",
-            "2.5,read", "4,order,5", "3.9,read,1", "5,read,0"), KINDS, 0.7);
-        assertEquals(List.of("line 3: time must be a number from 0 to 10000000000 but is \"x\"",
-            "line 4: class must be one of the settings' but is \"write\"",
-            "line 5: size must be a number from 0 to 65536 but is \"70000\"",
-            "line 6: it must have 3 fields but has 2",
-            "line 8: time runs backwards, from 4.0 to 3.9"), trace.complaints());
+        Trace trace = Trace.check(
+                file(
+                        "time,class,size",
+                        "1,read,0",
+                        "x,read,0",
+                        "2,write,0",
+                        "3,order,70000",
+                        "2.5,read",
+                        "4,order,5",
+                        "3.9,read,1",
+                        "5,read,0"),
+                KINDS,
+                0.7);
+        assertEquals(
+                List.of(
+                        "line 3: time must be a number from 0 to 10000000000 but is \"x\"",
+                        "line 4: class must be one of the settings' but is \"write\"",
+                        "line 5: size must be a number from 0 to 65536 but is \"70000\"",
+                        "line 6: it must have 3 fields but has 2",
+                        "line 8: time runs backwards, from 4.0 to 3.9"),
+                trace.complaints());
         assertEquals(5, trace.bad());
         assertEquals(3, played(trace, 1).size());
     }
@@ -91,28 +107,28 @@
     void tooManyOfThemEndTheRunBeforeItStarts() throws IOException {
         Path file = file("time", "1", "x", "2", "3");
         assertEquals(1, Trace.check(file, KINDS, 0.25).bad());
-        String said = assertThrows(IllegalArgumentException.class,
-            () -> Trace.check(file, KINDS, 0.24)).getMessage();
+        String said = assertThrows(IllegalArgumentException.class, () -> Trace.check(file, KINDS, 0.24))
+                .getMessage();
         assertTrue(said.contains("1 of 4 lines") && said.contains("line 3"), said);
     }
 
     @Test
     void anEmptyTraceOneWithoutTimesAndOneThatIsNotThereAreToldPlainly() throws IOException {
         assertTrue(assertThrows(IllegalArgumentException.class, () -> Trace.check(file(""), KINDS, 1))
-            .getMessage().contains("it is empty"));
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> Trace.check(file("time,class"), KINDS,
-            1))
-            .getMessage().contains("it is empty"));
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> Trace.check(file("when,class"), KINDS,
-            1))
-            .getMessage().contains("a column time"));
+                .getMessage()
+                .contains("it is empty"));
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> Trace.check(file("time,class"), KINDS, 1))
+                .getMessage()
+                .contains("it is empty"));
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> Trace.check(file("when,class"), KINDS, 1))
+                .getMessage()
+                .contains("a column time"));
         assertThrows(IOException.class, () -> Trace.check(folder.resolve("none"), KINDS, 1));
     }
 
     @Test
     void aLineWithoutEndIsOneLineOfNoUse() throws IOException {
-        Trace trace = Trace.check(file("time,class", "1,read", "2," + "x".repeat(300_000), "3,read"), KINDS,
-            0.5);
+        Trace trace = Trace.check(file("time,class", "1,read", "2," + "x".repeat(300_000), "3,read"), KINDS, 0.5);
         assertEquals(1, trace.bad());
         assertEquals(2, played(trace, 1).size());
         assertTrue(trace.complaints().get(0).length() < 200);
--- a/tools/src/test/java/martenlatch/tools/MainTest.java
+++ b/tools/src/test/java/martenlatch/tools/MainTest.java
@@ -53,9 +53,12 @@
     }
 
     private String load(String lines) throws IOException {
-        return Files.writeString(folder.resolve("load.toml"), "targets = [\"127.0.0.1:"
-            + world.endpoints().get(0).address().getPort() + "\"]\n" + lines.replace("\\n", "\n")
-            + "\n[[class]]\nname = \"read\"\neffect = \"repeatable\"\ndeadline-ms = 5000\n").toString();
+        return Files.writeString(
+                        folder.resolve("load.toml"),
+                        "targets = [\"127.0.0.1:"
+                                + world.endpoints().get(0).address().getPort() + "\"]\n" + lines.replace("\\n", "\n")
+                                + "\n[[class]]\nname = \"read\"\neffect = \"repeatable\"\ndeadline-ms = 5000\n")
+                .toString();
     }
 
     @ParameterizedTest
@@ -81,23 +84,23 @@
     @Test
     void aLoadTellsWhatCameOfItAndWritesItsPage() throws IOException {
         Path page = folder.resolve("page.html");
-        int status = run("load", load("shapes = [\"constant 100 1\", \"ramp 100 200 1\"]\narrivals = "
-            + "\"even\""),
-            "--report", page.toString());
+        int status = run(
+                "load",
+                load("shapes = [\"constant 100 1\", \"ramp 100 200 1\"]\narrivals = " + "\"even\""),
+                "--report",
+                page.toString());
         // A machine that is busy enough makes it say that it was too slow; both are true reports.
         assertTrue(status == 0 || status == Main.TOO_SLOW, said);
         assertTrue(said.matches("(?s).*read +250 +250 +250 +0 .*"), said);
         String html = Files.readString(page);
-        assertTrue(html.contains("<polyline") && html.contains("Requests a second")
-            && html.endsWith("</html>\n"));
+        assertTrue(html.contains("<polyline") && html.contains("Requests a second") && html.endsWith("</html>\n"));
         assertTrue(!html.contains("http://") && !html.contains("https://"), "it needs nothing else");
     }
 
     @Test
     void aTraceIsPlayedAndItsBadLinesAreNamed() throws IOException {
         Files.writeString(folder.resolve("t.csv"), "time,class\n1,read\n1.1,read\nx,read\n1.2,read\n");
-        int status = run("load", load("trace = \"t.csv\"\ntrace-bad-share = 0.3\ntrace-speed = 2"),
-            "--quiet");
+        int status = run("load", load("trace = \"t.csv\"\ntrace-bad-share = 0.3\ntrace-speed = 2"), "--quiet");
         assertTrue(status == 0 || status == Main.TOO_SLOW, said);
         assertTrue(said.contains("trace: line 4: time must be a number"), said);
         assertTrue(said.contains("trace: 1 of 4 lines of the trace are left out"), said);
@@ -106,18 +109,23 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"shapes = ['constant 0 1']|rates are all 0",
-        "shapes = ['zigzag 1']|shape \"zigzag 1\"", "|there must be shapes or a trace",
-        "shapes = ['constant 1 1']\\ntrace = 't'|but there are both",
-        "shapes = ['constant 1 1']\\nworkers = 0|workers",
-        "shapes = ['constant 1 1']\\nspeed = 3|speed is no setting",
-        "shapes = ['constant 1 1']\\narrivals = 'odd'|arrivals must be poisson or even but is \"odd\"",
-        "shapes = ['constant 1 1']\\nconnections = 1.5|connections must be a whole number but is 1.5",
-        "shapes = ['constant 1 1']\\n[[class]]\\nname = 'w'\\neffect = 'odd'|class.effect must be",
-        "shapes = ['constant 1 1']\\n[[class]]\\nname = 'w'\\neffect = 'unsafe'\\nretries = "
-        + "-1|class.retries must be",
-        "shapes = ['constant 1 1']\\n[[class]]\\nname = 'read'\\neffect = 'unsafe'|two are \"read\"",
-        "trace = 'none.csv'|none.csv"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "shapes = ['constant 0 1']|rates are all 0",
+                "shapes = ['zigzag 1']|shape \"zigzag 1\"",
+                "|there must be shapes or a trace",
+                "shapes = ['constant 1 1']\\ntrace = 't'|but there are both",
+                "shapes = ['constant 1 1']\\nworkers = 0|workers",
+                "shapes = ['constant 1 1']\\nspeed = 3|speed is no setting",
+                "shapes = ['constant 1 1']\\narrivals = 'odd'|arrivals must be poisson or even but is \"odd\"",
+                "shapes = ['constant 1 1']\\nconnections = 1.5|connections must be a whole number but is 1.5",
+                "shapes = ['constant 1 1']\\n[[class]]\\nname = 'w'\\neffect = 'odd'|class.effect must be",
+                "shapes = ['constant 1 1']\\n[[class]]\\nname = 'w'\\neffect = 'unsafe'\\nretries = "
+                        + "-1|class.retries must be",
+                "shapes = ['constant 1 1']\\n[[class]]\\nname = 'read'\\neffect = 'unsafe'|two are \"read\"",
+                "trace = 'none.csv'|none.csv"
+            })
     void settingsThatCannotBeUsedAreNamed(String lines, String part) throws IOException {
         assertEquals(1, run("load", load(lines == null ? "" : lines)));
         assertTrue(said.startsWith("martenlatch: ") && said.contains(part), said);
@@ -126,9 +134,17 @@
     }
 
     private Process start(String shell, String... args) throws IOException {
-        List<String> command = new ArrayList<>(List.of("bash", "-c", shell + "exec \"$@\"", "bash",
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
-            "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"), "martenlatch.tools.Main"));
+        List<String> command = new ArrayList<>(List.of(
+                "bash",
+                "-c",
+                shell + "exec \"$@\"",
+                "bash",
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-XX:+UseSerialGC",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "martenlatch.tools.Main"));
         command.addAll(List.of(args));
         return new ProcessBuilder(command).redirectErrorStream(true).start();
     }
@@ -138,10 +154,16 @@
         Process process = start("", "load", load("shapes = [\"constant 100 3000\"]"));
         try (BufferedReader lines = process.inputReader()) {
             assertTrue(lines.readLine().contains("1 s sent"), "it has begun");
-            new ProcessBuilder("kill", "-INT", Long.toString(process.pid())).start().waitFor();
+            new ProcessBuilder("kill", "-INT", Long.toString(process.pid()))
+                    .start()
+                    .waitFor();
             String rest = String.join("\n", lines.lines().toList());
-            assertTrue(rest.contains("stopped after") && rest.contains("of 3000 s")
-                && rest.matches("(?s).*\nread +\\d+ .*") && !rest.contains("DOES NOT ADD UP"), rest);
+            assertTrue(
+                    rest.contains("stopped after")
+                            && rest.contains("of 3000 s")
+                            && rest.matches("(?s).*\nread +\\d+ .*")
+                            && !rest.contains("DOES NOT ADD UP"),
+                    rest);
             assertTrue(process.waitFor(60, TimeUnit.SECONDS));
         } finally {
             process.destroyForcibly();
@@ -153,8 +175,8 @@
     void descriptorsThatRunOutAreCounted() throws Exception {
         world.endpoints().get(0).stall(60_000);
         String file = load("connections = 300\nshapes = [\"constant 300 1\"]\narrivals = \"even\"");
-        Files.writeString(Path.of(file), Files.readString(Path.of(file)).replace("deadline-ms = 5000",
-            "deadline-ms = 3000"));
+        Files.writeString(
+                Path.of(file), Files.readString(Path.of(file)).replace("deadline-ms = 5000", "deadline-ms = 3000"));
         Process process = start("ulimit -n 40; ", "load", file, "--quiet");
         try (BufferedReader lines = process.inputReader()) {
             String all = String.join("\n", lines.lines().toList());
@@ -167,8 +189,13 @@
 
     @Test
     void aWorldRunsUntilItIsStoppedAndTellsItsTally() throws Exception {
-        Process process = start("", "world", Files.writeString(folder.resolve("w.toml"),
-            "endpoints = 2\n[[event]]\nat = 0\ndo = \"stall\"\nendpoint = 1\nms = 5\n").toString());
+        Process process = start(
+                "",
+                "world",
+                Files.writeString(
+                                folder.resolve("w.toml"),
+                                "endpoints = 2\n[[event]]\nat = 0\ndo = \"stall\"\nendpoint = 1\nms = 5\n")
+                        .toString());
         try (BufferedReader lines = process.inputReader()) {
             assertTrue(lines.readLine().startsWith("s0 a 127.0.0.1:"));
             lines.readLine();
--- a/tools/src/test/java/martenlatch/tools/RehearsalTest.java
+++ b/tools/src/test/java/martenlatch/tools/RehearsalTest.java
@@ -16,9 +16,9 @@
     @Test
     void allClassesAreSentAndServed() throws Exception {
         LoadReport report = Rehearsal.play(List.of(
-            new Kind("look-up", 1, Kind.Effect.REPEATABLE, 0, 30_000, 0),
-            new Kind("update", 1, Kind.Effect.KEYED, 300, 30_000, 1),
-            new Kind("book", 1, Kind.Effect.UNSAFE, 300, 30_000, 0)));
+                new Kind("look-up", 1, Kind.Effect.REPEATABLE, 0, 30_000, 0),
+                new Kind("update", 1, Kind.Effect.KEYED, 300, 30_000, 1),
+                new Kind("book", 1, Kind.Effect.UNSAFE, 300, 30_000, 0)));
         assertEquals(3, report.kinds().size());
         assertEquals(report.all().wishes(), report.all().count(End.SERVED));
         assertEquals(List.of(), report.differences());
--- a/tools/src/test/java/martenlatch/world/WorldTest.java
+++ b/tools/src/test/java/martenlatch/world/WorldTest.java
@@ -29,13 +29,14 @@
 @Timeout(60)
 class WorldTest {
 
-    private static final WorldSettings SMALL = new WorldSettings(2, List.of("a", "b"),
-        ServiceTime.parse("constant 100"), 1, 1, 60_000, 2, 0, 1, 100, 1);
+    private static final WorldSettings SMALL =
+            new WorldSettings(2, List.of("a", "b"), ServiceTime.parse("constant 100"), 1, 1, 60_000, 2, 0, 1, 100, 1);
 
     @TempDir
     Path folder;
 
-    private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+    private final HttpClient client =
+            HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private World world;
 
     @AfterEach
@@ -46,9 +47,8 @@
     }
 
     private static HttpRequest request(InetSocketAddress to, String path, String id, boolean unsafe) {
-        HttpRequest.Builder made = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + to.getPort()
-            + path))
-            .timeout(Duration.ofSeconds(20));
+        HttpRequest.Builder made = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + to.getPort() + path))
+                .timeout(Duration.ofSeconds(20));
         if (id != null) {
             made.header("X-Request-Id", id);
         }
@@ -56,23 +56,25 @@
     }
 
     private HttpResponse<String> ask(int endpoint, String id) throws IOException, InterruptedException {
-        return client.send(request(world.endpoints().get(endpoint).address(), "/api", id, false),
-            HttpResponse.BodyHandlers.ofString());
+        return client.send(
+                request(world.endpoints().get(endpoint).address(), "/api", id, false),
+                HttpResponse.BodyHandlers.ofString());
     }
 
     private HttpResponse<String> list(String query) throws IOException, InterruptedException {
-        return client.send(request(world.discovery().address(), "/registry/instances" + query, null, false),
-            HttpResponse.BodyHandlers.ofString());
+        return client.send(
+                request(world.discovery().address(), "/registry/instances" + query, null, false),
+                HttpResponse.BodyHandlers.ofString());
     }
 
     @Test
     void oneIsWorkedOnOneWaitsAndTheThirdIsTurnedAwayUnrun() throws Exception {
         world = new World(SMALL, 0);
-        var first = client.sendAsync(request(world.endpoints().get(0).address(), "/api", "r1", false),
-            HttpResponse.BodyHandlers.ofString());
+        var first = client.sendAsync(
+                request(world.endpoints().get(0).address(), "/api", "r1", false), HttpResponse.BodyHandlers.ofString());
         await(() -> world.ledger().ranCount() == 1);
-        var second = client.sendAsync(request(world.endpoints().get(0).address(), "/api", "r2", false),
-            HttpResponse.BodyHandlers.ofString());
+        var second = client.sendAsync(
+                request(world.endpoints().get(0).address(), "/api", "r2", false), HttpResponse.BodyHandlers.ofString());
         await(() -> world.ledger().ranCount() == 2);
         HttpResponse<String> third = ask(0, "r3");
         assertEquals(503, third.statusCode());
@@ -81,8 +83,12 @@
         assertEquals("r2\n", second.get(20, TimeUnit.SECONDS).body());
         assertEquals(0, world.ledger().runs("r3"));
         assertEquals(1, world.ledger().turnedAwayCount());
-        assertEquals(404, client.send(request(world.endpoints().get(0).address(), "/api", null, false),
-            HttpResponse.BodyHandlers.ofString()).statusCode());
+        assertEquals(
+                404,
+                client.send(
+                                request(world.endpoints().get(0).address(), "/api", null, false),
+                                HttpResponse.BodyHandlers.ofString())
+                        .statusCode());
     }
 
     private static void await(java.util.function.BooleanSupplier condition) throws InterruptedException {
@@ -100,8 +106,9 @@
         ask(1, "safe");
         ask(0, "safe");
         for (int i = 0; i < 2; i++) {
-            client.send(request(world.endpoints().get(i).address(), "/api", "order", true),
-                HttpResponse.BodyHandlers.ofString());
+            client.send(
+                    request(world.endpoints().get(i).address(), "/api", "order", true),
+                    HttpResponse.BodyHandlers.ofString());
         }
         assertEquals(2, world.ledger().runTwice());
         assertEquals(1, world.ledger().unsafeAgainCount());
@@ -113,13 +120,21 @@
     void aDrainIsToldAndWhatComesAfterItIsCounted() throws Exception {
         world = new World(SMALL, 0);
         String version = list("").body().replaceAll(".*\"version\":(\\d+).*", "$1");
-        CompletableFuture<HttpResponse<String>> watch = client.sendAsync(request(world.discovery().address(),
-            "/registry/instances?index=" + version + "&wait=20000", null, false),
-            HttpResponse.BodyHandlers.ofString());
+        CompletableFuture<HttpResponse<String>> watch = client.sendAsync(
+                request(
+                        world.discovery().address(),
+                        "/registry/instances?index=" + version + "&wait=20000",
+                        null,
+                        false),
+                HttpResponse.BodyHandlers.ofString());
         world.drain(1);
         String told = watch.get(20, TimeUnit.SECONDS).body();
-        assertTrue(told.contains("\"full\":false") && told.contains("\"id\":\"s1\"")
-            && told.contains("terminating") && !told.contains("\"id\":\"s0\""), told);
+        assertTrue(
+                told.contains("\"full\":false")
+                        && told.contains("\"id\":\"s1\"")
+                        && told.contains("terminating")
+                        && !told.contains("\"id\":\"s0\""),
+                told);
         HttpResponse<String> late = ask(1, "r1");
         assertEquals(503, late.statusCode());
         assertEquals(1, world.ledger().afterDrainCount());
@@ -132,14 +147,14 @@
         InetSocketAddress before = world.endpoints().get(0).address();
         world.die(0);
         assertThrows(ConnectException.class, () -> ask(0, "r1"));
-        assertTrue(list("").body().contains("in_service\",\"weight\":1.0,\"started_ms\":0"),
-            "nobody told it");
+        assertTrue(list("").body().contains("in_service\",\"weight\":1.0,\"started_ms\":0"), "nobody told it");
         world.restart(0);
         assertEquals(before, world.endpoints().get(0).address());
         assertEquals("r2\n", ask(0, "r2").body());
         assertEquals(1, world.ledger().coldCount());
         assertTrue(world.endpoints().get(0).startedMs() > 0);
-        assertTrue(list("").body().contains("\"started_ms\":" + world.endpoints().get(0).startedMs()));
+        assertTrue(list("").body()
+                .contains("\"started_ms\":" + world.endpoints().get(0).startedMs()));
         world.remove(0);
         assertFalse(list("").body().contains("\"id\":\"s0\""));
     }
@@ -177,8 +192,9 @@
             endpoint = 2
             ms = 300
             """));
-        assertEquals(List.of("stall s2 300 ms", "die zone a"),
-            file.happenings().stream().map(Happening::toString).toList());
+        assertEquals(
+                List.of("stall s2 300 ms", "die zone a"),
+                file.happenings().stream().map(Happening::toString).toList());
         world = new World(file.settings(), 0);
         file.happenings().get(1).to(world);
         assertThrows(ConnectException.class, () -> ask(0, "r1"));
@@ -187,20 +203,27 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"endpoints = 0|endpoints must be 1 to 10000 but is 0",
-        "endpoints = 'x'|endpoints must be a whole number", "speed = 1|speed is no setting",
-        "service = 'normal 3'|service must be constant MS", "service = 'constant -1'|service mean must be",
-        "[[event]]\\ndo = 'die'\\nendpoint = 0|event.at must be 0 to",
-        "[[event]]\\nat = 1\\ndo = 'x'|event.do must be",
-        "[[event]]\\nat = 1\\ndo = 'die'|event.endpoint or event.zone must say",
-        "[[event]]\\nat = 1\\ndo = 'die'\\nendpoint = 9|event.endpoint must be 0 to 3 but is 9",
-        "[[event]]\\nat = 1\\ndo = 'die'\\nzone = 'q'|event.zone must be one of",
-        "[[event]]\\nat = 1\\ndo = 'stall'\\nendpoint = 1|event.ms must be", "endpoints = |is not TOML",
-        "discovery-port = 70000|discovery-port must be 0 to 65535 but is 70000"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "endpoints = 0|endpoints must be 1 to 10000 but is 0",
+                "endpoints = 'x'|endpoints must be a whole number",
+                "speed = 1|speed is no setting",
+                "service = 'normal 3'|service must be constant MS",
+                "service = 'constant -1'|service mean must be",
+                "[[event]]\\ndo = 'die'\\nendpoint = 0|event.at must be 0 to",
+                "[[event]]\\nat = 1\\ndo = 'x'|event.do must be",
+                "[[event]]\\nat = 1\\ndo = 'die'|event.endpoint or event.zone must say",
+                "[[event]]\\nat = 1\\ndo = 'die'\\nendpoint = 9|event.endpoint must be 0 to 3 but is 9",
+                "[[event]]\\nat = 1\\ndo = 'die'\\nzone = 'q'|event.zone must be one of",
+                "[[event]]\\nat = 1\\ndo = 'stall'\\nendpoint = 1|event.ms must be",
+                "endpoints = |is not TOML",
+                "discovery-port = 70000|discovery-port must be 0 to 65535 but is 70000"
+            })
     void whatCannotBeUsedIsNamed(String text, String said) throws IOException {
         Path file = Files.writeString(folder.resolve("w.toml"), text.replace("\\n", "\n"));
         String message = assertThrows(IllegalArgumentException.class, () -> WorldFile.read(file))
-            .getMessage();
+                .getMessage();
         assertTrue(message.contains(said), message);
     }
 
