--- a/sidecar/src/test/java/martenlatch/benchlink/BenchLinkTest.java
+++ b/sidecar/src/test/java/martenlatch/benchlink/BenchLinkTest.java
@@ -132,7 +132,8 @@
                                 "{\"kind\":\"PingResult\",\"reason\":\"Ok\",\"endpoint\":\"e9\",\"rtt-ms\":1}",
                                 "{\"kind\":\"Fired\",\"name\":77}",
                                 "{\"kind\":\"CancelledByClient\",\"msg-id\":\"q7\"}",
-                                "{\"kind\":\"Accepted\",\"msg-id\":\"q7\",\"hop\":0,\"endpoint\":\"e1\",\"rtt-ms\":1}")));
+                                "{\"kind\":\"Accepted\",\"msg-id\":\"q7\",\"hop\":0,"
+                                        + "\"endpoint\":\"e1\",\"rtt-ms\":1}")));
         assertEquals(
                 "{\"batch\":1,\"parts\":[{\"i\":\"sidecar/0\",\"out\":[]}]}",
                 replies().get(1));
--- a/tools/src/main/java/martenlatch/tools/HtmlReport.java
+++ b/tools/src/main/java/martenlatch/tools/HtmlReport.java
@@ -95,7 +95,8 @@
             out.append(String.format(
                     Locale.ROOT,
                     "<line x1=\"%d\" x2=\"%d\" y1=\"%.1f\" y2=\"%.1f\" "
-                            + "stroke=\"#eee\"/><text x=\"%d\" y=\"%.1f\" font-size=\"11\" text-anchor=\"end\">%s</text>",
+                            + "stroke=\"#eee\"/><text x=\"%d\" y=\"%.1f\" "
+                            + "font-size=\"11\" text-anchor=\"end\">%s</text>",
                     LEFT,
                     WIDTH - 10,
                     y,
