--- a/extproc/src/main/java/martenlatch/extproc/ExtProcServer.java
+++ b/extproc/src/main/java/martenlatch/extproc/ExtProcServer.java
@@ -16,17 +16,17 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import martenlatch.discovery.DiscoveryClient;
+import martenlatch.discovery.PollTiming;
 import martenlatch.front.extproc.EndpointAddresses;
 import martenlatch.front.extproc.ExtProcSettings;
 import martenlatch.front.extproc.Processor;
-import martenlatch.host.Complaints;
-import martenlatch.host.Exchange;
-import martenlatch.host.Time;
-import martenlatch.host.Witness;
-import martenlatch.membership.DiscoveryClient;
-import martenlatch.membership.Pace;
 import martenlatch.net.LoopTime;
 import martenlatch.policy.api.RequestClass;
+import martenlatch.request.RateLimitedLogger;
+import martenlatch.request.RequestObserver;
+import martenlatch.request.RequestTracker;
+import martenlatch.request.Scheduler;
 import martenlatch.site.SiteConfig;
 
 /** One external processor: its parts on one event loop, which is the only thread that touches any of them. */
@@ -47,7 +47,7 @@
     private final EventLoop loop;
     private Processor processor;
     private DiscoveryClient discovery;
-    private Exchange exchange;
+    private RequestTracker exchange;
     private Server server;
     private double longestMs;
 
@@ -78,16 +78,21 @@
     }
 
     private void build(SiteConfig config, ExtProcSettings own) {
-        Time time = new LoopTime(loop);
+        Scheduler time = new LoopTime(loop);
         for (RequestClass kind : config.settings().classes()) {
             longestMs = Math.max(longestMs, kind.deadlineMs());
         }
-        Complaints complaints = new Complaints(time, log);
+        RateLimitedLogger complaints = new RateLimitedLogger(time, log);
         EndpointAddresses addresses = new EndpointAddresses();
         SplittableRandom random = new SplittableRandom(config.seed());
         discovery = new DiscoveryClient(
-                loop, time, config.discovery(), config.names(), complaints, () -> Pace.next(config.settings(), random));
-        exchange = new Exchange(
+                loop,
+                time,
+                config.discovery(),
+                config.names(),
+                complaints,
+                () -> PollTiming.next(config.settings(), random));
+        exchange = new RequestTracker(
                 time,
                 complaints,
                 addresses,
@@ -95,7 +100,7 @@
                 config.settings(),
                 config.seed(),
                 config.known(),
-                Witness.NONE);
+                RequestObserver.NONE);
         discovery.listen(exchange, config.known().version());
         processor = new Processor(time, loop, complaints, exchange, addresses, own, config.settings());
     }
@@ -121,7 +126,7 @@
         return (InetSocketAddress) server.getListenSockets().get(0);
     }
 
-    Exchange exchange() {
+    RequestTracker exchange() {
         return exchange;
     }
 
--- a/extproc/src/main/java/martenlatch/extproc/Warmup.java
+++ b/extproc/src/main/java/martenlatch/extproc/Warmup.java
@@ -23,16 +23,16 @@
 import martenlatch.front.extproc.EndpointAddresses;
 import martenlatch.front.extproc.ExtProcSettings;
 import martenlatch.front.extproc.Processor;
-import martenlatch.host.Complaints;
-import martenlatch.host.Exchange;
-import martenlatch.host.ServerList;
-import martenlatch.host.Time;
-import martenlatch.host.Witness;
 import martenlatch.net.LoopTime;
 import martenlatch.policy.api.BalancerSettings;
 import martenlatch.policy.api.Endpoint;
 import martenlatch.policy.api.EndpointStatus;
 import martenlatch.policy.api.RequestClass;
+import martenlatch.request.EndpointList;
+import martenlatch.request.RateLimitedLogger;
+import martenlatch.request.RequestObserver;
+import martenlatch.request.RequestTracker;
+import martenlatch.request.Scheduler;
 import martenlatch.site.SiteConfig;
 
 /**
@@ -87,17 +87,17 @@
     }
 
     private static Processor parts(SiteConfig config, ExtProcSettings own, EventLoop loop) {
-        Time time = new LoopTime(loop);
-        Complaints silent = new Complaints(time, new PrintStream(OutputStream.nullOutputStream()));
+        Scheduler time = new LoopTime(loop);
+        RateLimitedLogger silent = new RateLimitedLogger(time, new PrintStream(OutputStream.nullOutputStream()));
         EndpointAddresses addresses = new EndpointAddresses();
-        ServerList list = new ServerList(
+        EndpointList list = new EndpointList(
                 0,
                 true,
-                List.of(new ServerList.Entry(
+                List.of(new EndpointList.Entry(
                         new Endpoint("warm-up", config.settings().ownZone(), 0, 0, 0, EndpointStatus.READY, 1),
                         own.listen())));
-        Exchange exchange =
-                new Exchange(time, silent, addresses, () -> {}, config.settings(), config.seed(), list, Witness.NONE);
+        RequestTracker exchange = new RequestTracker(
+                time, silent, addresses, () -> {}, config.settings(), config.seed(), list, RequestObserver.NONE);
         return new Processor(time, loop, silent, exchange, addresses, own, config.settings());
     }
 
--- a/extproc/src/main/java/martenlatch/front/extproc/EndpointAddresses.java
+++ b/extproc/src/main/java/martenlatch/front/extproc/EndpointAddresses.java
@@ -5,27 +5,27 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import martenlatch.host.EndpointTable;
-import martenlatch.host.ServerList;
 import martenlatch.policy.api.EndpointStatus;
+import martenlatch.request.EndpointConnections;
+import martenlatch.request.EndpointList;
 
 /** Where proxies find the endpoints that may get something new. */
-public final class EndpointAddresses implements EndpointTable {
+public final class EndpointAddresses implements EndpointConnections {
 
     private final Map<String, Replies.Destination> ready = new HashMap<>();
 
     @Override
-    public void update(ServerList list) {
+    public void update(EndpointList list) {
         if (list.full()) {
             Set<String> named = new HashSet<>();
-            list.entries().forEach(entry -> named.add(entry.server().id()));
+            list.entries().forEach(entry -> named.add(entry.endpoint().id()));
             ready.keySet().retainAll(named);
         }
-        for (ServerList.Entry entry : list.entries()) {
-            if (entry.server().status() == EndpointStatus.READY) {
-                ready.put(entry.server().id(), new Replies.Destination(text(entry.address())));
+        for (EndpointList.Entry entry : list.entries()) {
+            if (entry.endpoint().status() == EndpointStatus.READY) {
+                ready.put(entry.endpoint().id(), new Replies.Destination(text(entry.address())));
             } else {
-                ready.remove(entry.server().id());
+                ready.remove(entry.endpoint().id());
             }
         }
     }
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public void withdraw() {
+    public void withdrawAttempts() {
         // What proxies were told to send is theirs: they say whether they have.
         return;
     }
--- a/extproc/src/main/java/martenlatch/front/extproc/Processor.java
+++ b/extproc/src/main/java/martenlatch/front/extproc/Processor.java
@@ -13,11 +13,11 @@
 import java.util.Map;
 import java.util.concurrent.Executor;
 import martenlatch.front.CallReader;
-import martenlatch.host.Complaints;
-import martenlatch.host.Exchange;
-import martenlatch.host.Time;
 import martenlatch.policy.api.BalancerSettings;
 import martenlatch.policy.api.RequestClass;
+import martenlatch.request.RateLimitedLogger;
+import martenlatch.request.RequestTracker;
+import martenlatch.request.Scheduler;
 
 /**
  * The front for other proxies: a gRPC stream is a consultation, and a consultation is one attempt of a
@@ -39,10 +39,10 @@
     /** Where there is no room for what is new, it lasts until something old is forgotten. */
     private static final double FULL_COOL_DOWN_MS = 1000;
 
-    final Time time;
+    final Scheduler time;
     private final Executor soon;
-    final Complaints complaints;
-    final Exchange exchange;
+    final RateLimitedLogger complaints;
+    final RequestTracker exchange;
     final EndpointAddresses addresses;
     final ExtProcSettings own;
     private final BalancerSettings site;
@@ -62,10 +62,10 @@
      * @param soon runs a task on the same thread after what is in hand, and after what has been received
      */
     public Processor(
-            Time time,
+            Scheduler time,
             Executor soon,
-            Complaints complaints,
-            Exchange exchange,
+            RateLimitedLogger complaints,
+            RequestTracker exchange,
             EndpointAddresses addresses,
             ExtProcSettings own,
             BalancerSettings site) {
@@ -139,7 +139,7 @@
             try {
                 decide(next);
             } catch (RuntimeException e) {
-                complaints.bug("a consultation failed", e);
+                complaints.logException("a consultation failed", e);
                 next.fail(Status.INTERNAL.withDescription("a consultation failed"));
             }
         }
@@ -161,11 +161,11 @@
             asking.end(Replies.plain(400, ATTEMPT_HEADER + " is no whole number"));
         } else {
             RequestClass kind = site.classes().get(reading.request().classIndex());
-            switch (known.arrive(now, id, kind, attempt, exchange.has(id))) {
+            switch (known.arrive(now, id, kind, attempt, exchange.isPending(id))) {
                 case FIRST -> {
                     ProxyCall call = new ProxyCall(this, id, kind, asking);
                     calls.put(id, call);
-                    exchange.request(reading.request(), call, call);
+                    exchange.accept(reading.request(), call, call);
                     call.mustHaveAnswered();
                 }
                 case NEXT -> calls.get(id).next(asking);
--- a/extproc/src/main/java/martenlatch/front/extproc/ProxyCall.java
+++ b/extproc/src/main/java/martenlatch/front/extproc/ProxyCall.java
@@ -4,28 +4,33 @@
 import com.google.protobuf.Value;
 import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingRequest;
 import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingResponse;
-import martenlatch.host.Answer;
-import martenlatch.host.Carrier;
-import martenlatch.host.Client;
-import martenlatch.host.Time;
 import martenlatch.policy.api.AttemptOutcome;
 import martenlatch.policy.api.RequestClass;
+import martenlatch.request.EndpointResponse;
+import martenlatch.request.ResponseListener;
+import martenlatch.request.Scheduler;
+import martenlatch.request.Transport;
 
 /** One request, through all of its attempts. */
-final class ProxyCall implements Carrier, Client {
+final class ProxyCall implements Transport, ResponseListener {
 
     /** An attempt that the module has decided on. */
-    private static final class Try implements Carrier.Attempt {
+    private static final class Try implements Transport.Attempt {
         private final ProxyCall call;
         private final String server;
-        private final Conditions conditions;
+        private final WriteConditions conditions;
         private final double notAfter;
-        private final Carrier.Ending ending;
+        private final Transport.AttemptListener ending;
         private boolean handedOut;
         /** Before it none of the request's attempts can have run. */
         private boolean first;
 
-        Try(ProxyCall call, String server, Conditions conditions, double notAfter, Carrier.Ending ending) {
+        Try(
+                ProxyCall call,
+                String server,
+                WriteConditions conditions,
+                double notAfter,
+                Transport.AttemptListener ending) {
             this.call = call;
             this.server = server;
             this.conditions = conditions;
@@ -70,7 +75,7 @@
     /** Decided on, and not with any proxy yet. */
     private Try offer;
     /** For how long an attempt whose stream broke, or that no proxy has come for, is waited for. */
-    private Time.Timer wait;
+    private Scheduler.Timer wait;
     /** The final word, where it came while no stream waited for it. */
     private ProcessingResponse word;
 
@@ -88,7 +93,7 @@
     // ---- what the host asks for ----
 
     @Override
-    public Attempt send(String server, Conditions conditions, double notAfter, Ending ending) {
+    public Attempt send(String server, WriteConditions conditions, double notAfter, AttemptListener ending) {
         Try made = new Try(this, server, conditions, notAfter, ending);
         if (asking != null) {
             handOut(made);
@@ -97,7 +102,7 @@
             front.known.offered(id);
             waitFor(made, () -> {
                 offer = null;
-                made.ending.ended(AttemptOutcome.NOT_EXECUTED, null);
+                made.ending.onAttemptFinished(AttemptOutcome.NOT_EXECUTED, null);
             });
         }
         return made;
@@ -123,12 +128,12 @@
     private void handOut(Try made) {
         Replies.Destination to = front.addresses.of(made.server);
         if (to == null) {
-            made.ending.ended(AttemptOutcome.CONNECT_ERROR, null);
+            made.ending.onAttemptFinished(AttemptOutcome.CONNECT_ERROR, null);
             return;
         }
         double now = front.time.now();
         if (now > made.notAfter) {
-            made.ending.ended(AttemptOutcome.NOT_EXECUTED, null);
+            made.ending.onAttemptFinished(AttemptOutcome.NOT_EXECUTED, null);
             return;
         }
         Consultation proxy = asking;
@@ -158,22 +163,22 @@
     }
 
     @Override
-    public void served(Answer answer) {
+    public void onServed(EndpointResponse answer) {
         conclude(Replies.PASS);
     }
 
     @Override
-    public void turnedAway(int status) {
+    public void onInvalidRequest(int status) {
         conclude(Replies.PASS);
     }
 
     @Override
-    public void refused(double coolDownMs) {
+    public void onRejected(double coolDownMs) {
         conclude(Replies.refusal(coolDownMs));
     }
 
     @Override
-    public void failed() {
+    public void onFailed() {
         conclude(Replies.plain(timedOut ? 504 : 500, "failed"));
     }
 
@@ -217,7 +222,7 @@
             // What became of it nobody will tell: it may have run, and is no word on its endpoint.
             Try lost = out;
             out = null;
-            lost.ending.ended(AttemptOutcome.CANCELED, null);
+            lost.ending.onAttemptFinished(AttemptOutcome.CANCELED, null);
         }
         mustHaveAnswered();
     }
@@ -255,7 +260,8 @@
             mayHaveRunAt = Double.NaN;
         }
         answering = proxy;
-        ended.ending.ended(outcome, flags != 0 ? null : new Answer(status, notRun, false, null, NO_BODY));
+        ended.ending.onAttemptFinished(
+                outcome, flags != 0 ? null : new EndpointResponse(status, notRun, false, null, NO_BODY));
         if (answering != null) {
             answering = null;
             proxy.end(offer != null ? retriable() : Replies.plain(500, "failed"));
@@ -267,7 +273,7 @@
         if (outcome == AttemptOutcome.OK) {
             proxy.end(Replies.PASS);
             if (!over) {
-                front.exchange.clientGone(id);
+                front.exchange.onClientDisconnected(id);
                 end();
             }
         } else if (offer != null) {
@@ -290,11 +296,11 @@
         Try lost = out;
         front.known.lost(id);
         waitFor(lost, () -> {
-            front.exchange.clientGone(id);
+            front.exchange.onClientDisconnected(id);
             end();
             if (out == lost) {
                 out = null;
-                lost.ending.ended(AttemptOutcome.CANCELED, null);
+                lost.ending.onAttemptFinished(AttemptOutcome.CANCELED, null);
             }
         });
     }
--- a/extproc/src/main/java/martenlatch/front/extproc/ProxyOutcome.java
+++ b/extproc/src/main/java/martenlatch/front/extproc/ProxyOutcome.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.Map;
-import martenlatch.host.Answer;
 import martenlatch.policy.api.AttemptOutcome;
+import martenlatch.request.EndpointResponse;
 
 /**
  * What became of an attempt that a proxy made, by the status that it reports and by its response flags: they
@@ -68,7 +68,7 @@
                             ? AttemptOutcome.TIMED_OUT
                             : (flags & CLIENT_GONE) != 0 ? AttemptOutcome.CANCELED : AttemptOutcome.RESET;
         }
-        return Answer.outcome(status, notRun);
+        return EndpointResponse.outcome(status, notRun);
     }
 
     /** All flags that are told apart, for those that stand in for a proxy. */
--- a/extproc/src/main/java/martenlatch/front/extproc/SilentStreams.java
+++ b/extproc/src/main/java/martenlatch/front/extproc/SilentStreams.java
@@ -1,6 +1,6 @@
 package martenlatch.front.extproc;
 
-import martenlatch.host.Time;
+import martenlatch.request.Scheduler;
 
 /**
  * Ends streams that are silent for too long. All may be silent equally long, so they stand in the order in
@@ -26,14 +26,14 @@
         }
     }
 
-    private final Time time;
+    private final Scheduler time;
     private final double limitMs;
     /** Stands before the first and after the last. */
     private final Place ring = new Place(null);
 
     private boolean timed;
 
-    SilentStreams(Time time, double limitMs) {
+    SilentStreams(Scheduler time, double limitMs) {
         this.time = time;
         this.limitMs = limitMs;
         ring.before = ring;
--- a/extproc/src/main/java/martenlatch/world/StandInProxy.java
+++ b/extproc/src/main/java/martenlatch/world/StandInProxy.java
@@ -48,7 +48,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import java.util.Map;
-import martenlatch.host.Time;
+import martenlatch.request.Scheduler;
 
 /**
  * A proxy that consults an external processor for each request over the published protocol
@@ -120,7 +120,7 @@
             InetSocketAddress fallback) {}
 
     private final EventLoop loop;
-    private final Time time;
+    private final Scheduler time;
     private final Options options;
     private final Conduct conduct;
     private final ManagedChannel processor;
@@ -128,7 +128,8 @@
     private Channel listener;
 
     /** A proxy that is to consult a processor at an address; it listens only when told to. */
-    public StandInProxy(EventLoop loop, Time time, InetSocketAddress processorAt, Options options, Conduct conduct) {
+    public StandInProxy(
+            EventLoop loop, Scheduler time, InetSocketAddress processorAt, Options options, Conduct conduct) {
         this.loop = loop;
         this.time = time;
         this.options = options;
@@ -209,7 +210,7 @@
         private int attempt;
         private Asking asking;
         private Channel upstream;
-        private Time.Timer limit;
+        private Scheduler.Timer limit;
         private Reply held;
         private boolean over;
 
--- a/extproc/src/test/java/martenlatch/ExtProcRoomsTest.java
+++ b/extproc/src/test/java/martenlatch/ExtProcRoomsTest.java
@@ -46,7 +46,7 @@
                         "martenlatch.site..",
                         "martenlatch.front.http..",
                         "martenlatch.upstream..",
-                        "martenlatch.membership..",
+                        "martenlatch.discovery..",
                         "martenlatch.cli..")
                 .check(PROGRAM);
     }
--- a/extproc/src/test/java/martenlatch/extproc/BothModesTest.java
+++ b/extproc/src/test/java/martenlatch/extproc/BothModesTest.java
@@ -7,8 +7,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.UnaryOperator;
-import martenlatch.host.EndpointTable;
-import martenlatch.host.ServerList;
 import martenlatch.policy.api.AttemptLimits;
 import martenlatch.policy.api.BalancerSettings;
 import martenlatch.policy.api.DeduplicationScope;
@@ -16,6 +14,8 @@
 import martenlatch.policy.api.Idempotency;
 import martenlatch.policy.api.RequestClass;
 import martenlatch.policy.api.Tenant;
+import martenlatch.request.EndpointConnections;
+import martenlatch.request.EndpointList;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -74,7 +74,7 @@
                 new EndpointRules(0.3, 1500, 3, 1000, 500, 10_000));
     }
 
-    private static Lab play(Lab.Mode mode, int requests, int tries, UnaryOperator<EndpointTable> twist)
+    private static Lab play(Lab.Mode mode, int requests, int tries, UnaryOperator<EndpointConnections> twist)
             throws Exception {
         try (Lab lab = new Lab(mode, 20, requests, settings(tries), twist)) {
             return lab.play();
@@ -150,28 +150,28 @@
                 proxied.receipts.stream().sorted().toList());
     }
 
-    private record Swapped(EndpointTable table) implements EndpointTable {
+    private record Swapped(EndpointConnections table) implements EndpointConnections {
         @Override
-        public void update(ServerList list) {
-            List<ServerList.Entry> entries = list.entries();
+        public void update(EndpointList list) {
+            List<EndpointList.Entry> entries = list.entries();
             table.update(
                     entries.size() < 2
                             ? list
-                            : new ServerList(
+                            : new EndpointList(
                                     list.version(),
                                     list.full(),
                                     entries.stream()
                                             .map(entry -> entry == entries.get(0)
-                                                    ? new ServerList.Entry(
-                                                            entry.server(),
+                                                    ? new EndpointList.Entry(
+                                                            entry.endpoint(),
                                                             entries.get(1).address())
                                                     : entry)
                                             .toList()));
         }
 
         @Override
-        public void withdraw() {
-            table.withdraw();
+        public void withdrawAttempts() {
+            table.withdrawAttempts();
         }
 
         @Override
--- a/extproc/src/test/java/martenlatch/extproc/ExtProcServerTest.java
+++ b/extproc/src/test/java/martenlatch/extproc/ExtProcServerTest.java
@@ -40,11 +40,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BooleanSupplier;
 import martenlatch.front.extproc.Desk;
-import martenlatch.host.ServerList;
 import martenlatch.net.LoopTime;
 import martenlatch.policy.api.Endpoint;
 import martenlatch.policy.api.EndpointStatus;
 import martenlatch.policy.api.RequestClass;
+import martenlatch.request.EndpointList;
 import martenlatch.world.StandInProxy;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -437,13 +437,13 @@
         }
         clients.forEach(Thread::start);
         await("the endpoint has work", () -> leaving.at.size() >= 5);
-        ServerList drain = new ServerList(
+        EndpointList drain = new EndpointList(
                 2,
                 false,
-                List.of(new ServerList.Entry(
+                List.of(new EndpointList.Entry(
                         new Endpoint("s0", 0, 0, 0, 0, EndpointStatus.DRAINING, 1),
                         martenlatch.config.Fields.address("leaving", leaving.address()))));
-        server.loop().submit(() -> server.exchange().listed(drain)).syncUninterruptibly();
+        server.loop().submit(() -> server.exchange().onEndpointList(drain)).syncUninterruptibly();
         long told = System.nanoTime();
         for (Thread client : clients) {
             client.join(PATIENCE_MS);
--- a/extproc/src/test/java/martenlatch/extproc/Lab.java
+++ b/extproc/src/test/java/martenlatch/extproc/Lab.java
@@ -46,17 +46,17 @@
 import martenlatch.front.extproc.ManualTime;
 import martenlatch.front.extproc.Processor;
 import martenlatch.front.http.Frontend;
-import martenlatch.host.Complaints;
-import martenlatch.host.EndpointTable;
-import martenlatch.host.Exchange;
-import martenlatch.host.ServerList;
-import martenlatch.host.Witness;
 import martenlatch.policy.api.AttemptOutcome;
 import martenlatch.policy.api.BalancerSettings;
 import martenlatch.policy.api.EndpointStatus;
 import martenlatch.policy.api.Idempotency;
 import martenlatch.policy.api.Request;
 import martenlatch.policy.api.RequestClass;
+import martenlatch.request.EndpointConnections;
+import martenlatch.request.EndpointList;
+import martenlatch.request.RateLimitedLogger;
+import martenlatch.request.RequestObserver;
+import martenlatch.request.RequestTracker;
 import martenlatch.upstream.EndpointPool;
 import martenlatch.world.StandInProxy;
 
@@ -112,9 +112,9 @@
     private final List<Endpoint> endpoints = new ArrayList<>();
     private final CompletableFuture<Void> done = new CompletableFuture<>();
     private final List<Runnable> closing = new ArrayList<>();
-    private final Complaints complaints =
-            new Complaints(time, new PrintStream(java.io.OutputStream.nullOutputStream()));
-    private Exchange exchange;
+    private final RateLimitedLogger complaints =
+            new RateLimitedLogger(time, new PrintStream(java.io.OutputStream.nullOutputStream()));
+    private RequestTracker exchange;
     private InetSocketAddress front;
     private int asked;
     private boolean stepping;
@@ -126,7 +126,7 @@
             long seed,
             int requests,
             BalancerSettings settings,
-            java.util.function.UnaryOperator<EndpointTable> twist)
+            java.util.function.UnaryOperator<EndpointConnections> twist)
             throws Exception {
         this.seed = seed;
         this.requests = requests;
@@ -148,9 +148,10 @@
                 .get();
     }
 
-    private void buildSidecar(java.util.function.UnaryOperator<EndpointTable> twist) {
+    private void buildSidecar(java.util.function.UnaryOperator<EndpointConnections> twist) {
         EndpointPool pool = new EndpointPool(loop, time, complaints, 10_000, 15_000, 4000);
-        exchange = new Exchange(time, complaints, twist.apply(pool), () -> {}, settings, 7, list(true), new Recorder());
+        exchange = new RequestTracker(
+                time, complaints, twist.apply(pool), () -> {}, settings, 7, list(true), new Recorder());
         Frontend frontend = new Frontend(loop, time, complaints, exchange, pool, settings, 4000);
         var bound = frontend.listen(LOOPBACK);
         front = (InetSocketAddress) bound.channel().localAddress();
@@ -159,9 +160,9 @@
         closing.add(pool::close);
     }
 
-    private void buildProcessor(java.util.function.UnaryOperator<EndpointTable> twist) throws Exception {
+    private void buildProcessor(java.util.function.UnaryOperator<EndpointConnections> twist) throws Exception {
         EndpointAddresses addresses = new EndpointAddresses();
-        exchange = new Exchange(
+        exchange = new RequestTracker(
                 time, complaints, twist.apply(addresses), () -> {}, settings, 7, list(true), new Recorder());
         ExtProcSettings own = new ExtProcSettings(LOOPBACK, 2000, 2000, 300, 10_000, 100_000, 100, 250);
         Processor processor = new Processor(time, loop, complaints, exchange, addresses, own, settings);
@@ -225,7 +226,7 @@
         stepping = true;
         try {
             while (unsettled.isEmpty()) {
-                if (asked == requests && exchange.openRequests() == 0) {
+                if (asked == requests && exchange.pendingRequests() == 0) {
                     done.complete(null);
                     return;
                 }
@@ -315,7 +316,7 @@
                     count("cold start");
                     one.state = EndpointStatus.READY;
                     one.startedMs = time.now();
-                    exchange.listed(list(random.nextInt(2) == 0));
+                    exchange.onEndpointList(list(random.nextInt(2) == 0));
                     one.busyWith = null;
                 });
             }
@@ -335,11 +336,11 @@
     }
 
     private void tell(Endpoint one) {
-        exchange.listed(new ServerList(1, false, List.of(one.entry())));
+        exchange.onEndpointList(new EndpointList(1, false, List.of(one.entry())));
     }
 
-    private ServerList list(boolean full) {
-        return new ServerList(
+    private EndpointList list(boolean full) {
+        return new EndpointList(
                 1,
                 full,
                 endpoints.stream()
@@ -348,21 +349,21 @@
                         .toList());
     }
 
-    private final class Recorder implements Witness {
+    private final class Recorder implements RequestObserver {
 
         private void line(String what) {
             decisions.add(String.format(Locale.ROOT, "%.3f %s", time.now() - began, what));
         }
 
         @Override
-        public void taken(Request request) {
+        public void onRequest(Request request) {
             deadlines.put(request.id(), request.deadlineMs());
-            line("taken " + request.id() + " class " + request.classIndex() + " tenant " + request.tenant() + " until "
-                    + (request.deadlineMs() - began));
+            line("taken " + request.id() + " class " + request.classIndex() + " tenant " + request.tenantIndex()
+                    + " until " + (request.deadlineMs() - began));
         }
 
         @Override
-        public void sent(String id, int attempt, String server, double timeoutMs) {
+        public void onAttemptStarted(String id, int attempt, String server, double timeoutMs) {
             line("sent " + id + "#" + attempt + " to " + server + " for " + timeoutMs);
             attempts.put(id, attempt);
             waits.put(id, Math.min(timeoutMs, deadlines.get(id) - time.now()));
@@ -370,14 +371,14 @@
         }
 
         @Override
-        public void ended(String id, int attempt, AttemptOutcome outcome) {
+        public void onAttemptFinished(String id, int attempt, AttemptOutcome outcome) {
             line("ended " + id + "#" + attempt + " " + outcome);
             ended.add(id + "#" + attempt);
             count(outcome.name());
         }
 
         @Override
-        public void concluded(String id, Final end, double coolDownMs) {
+        public void onConcluded(String id, Conclusion end, double coolDownMs) {
             line("concluded " + id + " " + end + " " + coolDownMs);
             unsettled.add(id);
             count(end.name());
@@ -419,8 +420,8 @@
             listener.close();
         }
 
-        ServerList.Entry entry() {
-            return new ServerList.Entry(
+        EndpointList.Entry entry() {
+            return new EndpointList.Entry(
                     new martenlatch.policy.api.Endpoint("s" + number, number % 2, 0, number / 2, startedMs, state, 1),
                     state == EndpointStatus.GONE ? null : address);
         }
--- a/extproc/src/test/java/martenlatch/front/extproc/Desk.java
+++ b/extproc/src/test/java/martenlatch/front/extproc/Desk.java
@@ -21,10 +21,6 @@
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.List;
-import martenlatch.host.Complaints;
-import martenlatch.host.Exchange;
-import martenlatch.host.ServerList;
-import martenlatch.host.Witness;
 import martenlatch.policy.api.AttemptLimits;
 import martenlatch.policy.api.BalancerSettings;
 import martenlatch.policy.api.DeduplicationScope;
@@ -33,6 +29,10 @@
 import martenlatch.policy.api.EndpointStatus;
 import martenlatch.policy.api.Idempotency;
 import martenlatch.policy.api.RequestClass;
+import martenlatch.request.EndpointList;
+import martenlatch.request.RateLimitedLogger;
+import martenlatch.request.RequestObserver;
+import martenlatch.request.RequestTracker;
 
 /** A processor with no sockets, on a clock that the test moves, and the streams that consult it. */
 public final class Desk {
@@ -66,7 +66,7 @@
     final EndpointAddresses addresses = new EndpointAddresses();
     final ExtProcSettings own;
     private final Deque<Runnable> tasks = new ArrayDeque<>();
-    Exchange exchange;
+    RequestTracker exchange;
     Processor processor;
 
     Desk(Endpoint... servers) {
@@ -81,8 +81,9 @@
     /** A new program, that knows nothing of the old one's. */
     void restart(Endpoint... servers) {
         tasks.clear();
-        Complaints complaints = new Complaints(time, new PrintStream(log, true, StandardCharsets.UTF_8));
-        exchange = new Exchange(time, complaints, addresses, () -> {}, SITE, 7, list(true, servers), Witness.NONE);
+        RateLimitedLogger complaints = new RateLimitedLogger(time, new PrintStream(log, true, StandardCharsets.UTF_8));
+        exchange = new RequestTracker(
+                time, complaints, addresses, () -> {}, SITE, 7, list(true, servers), RequestObserver.NONE);
         processor = new Processor(time, tasks::add, complaints, exchange, addresses, own, SITE);
     }
 
@@ -94,19 +95,19 @@
         return new Endpoint("s" + number, 0, 0, number, 0, state, 1);
     }
 
-    public static ServerList list(boolean full, Endpoint... servers) {
-        List<ServerList.Entry> entries = new ArrayList<>();
+    public static EndpointList list(boolean full, Endpoint... servers) {
+        List<EndpointList.Entry> entries = new ArrayList<>();
         for (Endpoint server : servers) {
-            entries.add(new ServerList.Entry(
+            entries.add(new EndpointList.Entry(
                     server,
                     new InetSocketAddress(
                             "10.0.0.1", 1 + Integer.parseInt(server.id().substring(1)))));
         }
-        return new ServerList(1, full, entries);
+        return new EndpointList(1, full, entries);
     }
 
     void change(Endpoint... servers) {
-        exchange.listed(list(false, servers));
+        exchange.onEndpointList(list(false, servers));
     }
 
     /** Lets what was put off until later happen. */
--- a/extproc/src/test/java/martenlatch/front/extproc/ManualTime.java
+++ b/extproc/src/test/java/martenlatch/front/extproc/ManualTime.java
@@ -2,10 +2,10 @@
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
-import martenlatch.host.Time;
+import martenlatch.request.Scheduler;
 
 /** A clock that a test moves. All of it happens on one thread, which is the test's to choose. */
-public final class ManualTime implements Time {
+public final class ManualTime implements Scheduler {
 
     private record Due(double at, long number, Runnable task) {}
 
--- a/extproc/src/test/java/martenlatch/front/extproc/ProcessorTest.java
+++ b/extproc/src/test/java/martenlatch/front/extproc/ProcessorTest.java
@@ -48,7 +48,7 @@
                 List.of(
                         desk.processor.openStreams(),
                         desk.processor.pendingCalls(),
-                        desk.exchange.openRequests(),
+                        desk.exchange.pendingRequests(),
                         desk.processor.remembered()));
         assertEquals(0, desk.time.waiting());
     }
@@ -154,7 +154,7 @@
         assertEquals(1, desk.processor.pendingCalls());
         desk.time.advance(Desk.OWN.nextMs() + 1);
         assertEquals(0, desk.processor.pendingCalls());
-        assertEquals(0, desk.exchange.openRequests());
+        assertEquals(0, desk.exchange.pendingRequests());
     }
 
     @Test
@@ -193,7 +193,7 @@
         desk.time.advance(wait);
         assertEquals(1, desk.processor.pendingCalls(), "the next attempt waits for its consultation");
         assertTrue(stream.say(Desk.response(200, 0)).isPassedOn());
-        assertEquals(0, desk.exchange.openRequests());
+        assertEquals(0, desk.exchange.pendingRequests());
     }
 
     @Test
@@ -369,9 +369,9 @@
     @Test
     void aClientThatGoesAwayFreesItsPlaceSoon() {
         consult("r", READ, 1).breakOff();
-        assertEquals(1, desk.exchange.openRequests());
+        assertEquals(1, desk.exchange.pendingRequests());
         desk.time.advance(Desk.OWN.nextMs() + 1);
-        assertEquals(0, desk.exchange.openRequests());
+        assertEquals(0, desk.exchange.pendingRequests());
         assertEquals(0, desk.processor.pendingCalls());
     }
 
--- a/extproc/src/test/java/martenlatch/front/extproc/RandomConsultationsTest.java
+++ b/extproc/src/test/java/martenlatch/front/extproc/RandomConsultationsTest.java
@@ -262,7 +262,7 @@
                     List.of(
                             desk.processor.openStreams(),
                             desk.processor.pendingCalls(),
-                            desk.exchange.openRequests(),
+                            desk.exchange.pendingRequests(),
                             desk.processor.remembered()));
             assertEquals(0, desk.time.waiting());
         }
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimDiscovery.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimDiscovery.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import martenlatch.fleet.history.Event.What;
 import martenlatch.fleet.history.History;
-import martenlatch.host.ServerList;
 import martenlatch.policy.api.Endpoint;
 import martenlatch.policy.api.EndpointStatus;
+import martenlatch.request.EndpointList;
 import martenlatch.world.CallQueue;
 import martenlatch.world.Discovery.Manner;
 
@@ -17,7 +17,7 @@
 
     /** Hears the answer to one call. */
     interface Caller {
-        void answered(ServerList list);
+        void answered(EndpointList list);
 
         void refused();
     }
@@ -52,7 +52,7 @@
     }
 
     /** The whole list, for a start. */
-    ServerList list() {
+    EndpointList list() {
         return list(-1);
     }
 
@@ -106,14 +106,14 @@
             case SILENT -> {}
             case DOWN, WRONG -> watch.caller().refused();
             default -> {
-                ServerList list = list(watch.index());
-                for (ServerList.Entry entry : list.entries()) {
+                EndpointList list = list(watch.index());
+                for (EndpointList.Entry entry : list.entries()) {
                     history.tell(
                             What.TOLD,
                             watch.viewer(),
-                            entry.server().id(),
+                            entry.endpoint().id(),
                             "",
-                            word(entry.server().status()));
+                            word(entry.endpoint().status()));
                 }
                 watch.caller().answered(list);
             }
@@ -128,12 +128,12 @@
         };
     }
 
-    private ServerList list(long since) {
+    private EndpointList list(long since) {
         boolean full = since < 0;
-        List<ServerList.Entry> told = entries.values().stream()
+        List<EndpointList.Entry> told = entries.values().stream()
                 .filter(one -> one.version() > since && !(full && one.server().status() == EndpointStatus.GONE))
-                .map(one -> new ServerList.Entry(one.server(), null))
+                .map(one -> new EndpointList.Entry(one.server(), null))
                 .toList();
-        return new ServerList(version, full, told);
+        return new EndpointList(version, full, told);
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
@@ -18,8 +18,6 @@
 import martenlatch.fleet.scenario.Scenario;
 import martenlatch.fleet.scenario.Selector.Group;
 import martenlatch.fleet.scenario.Sizes;
-import martenlatch.host.Answer;
-import martenlatch.host.Client;
 import martenlatch.load.Arrivals;
 import martenlatch.load.Kind;
 import martenlatch.load.Schedule;
@@ -34,6 +32,8 @@
 import martenlatch.policy.api.Idempotency;
 import martenlatch.policy.api.Request;
 import martenlatch.policy.api.RequestClass;
+import martenlatch.request.EndpointResponse;
+import martenlatch.request.ResponseListener;
 import martenlatch.world.Discovery.Manner;
 import martenlatch.world.Trouble;
 
@@ -309,24 +309,24 @@
     /** Who waits for a sidecar, in the order of asking: a run must repeat. */
     private final Map<SimSidecar, Set<Wanted.One>> deaths = new HashMap<>();
 
-    private record Answers(Wanted.One one, SimLink back) implements Client {
+    private record Answers(Wanted.One one, SimLink back) implements ResponseListener {
         @Override
-        public void served(Answer answer) {
+        public void onServed(EndpointResponse answer) {
             back.send(() -> one.end("SERVED", Double.NaN));
         }
 
         @Override
-        public void turnedAway(int status) {
+        public void onInvalidRequest(int status) {
             back.send(() -> one.end("FAILED status " + status, Double.NaN));
         }
 
         @Override
-        public void refused(double coolDownMs) {
+        public void onRejected(double coolDownMs) {
             back.send(() -> one.end("REFUSED refused 503", coolDownMs > 0 ? coolDownMs : Double.NaN));
         }
 
         @Override
-        public void failed() {
+        public void onFailed() {
             back.send(() -> one.end("FAILED status 502", Double.NaN));
         }
     }
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimSidecar.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimSidecar.java
@@ -10,24 +10,24 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Function;
+import martenlatch.discovery.EndpointListWatcher;
+import martenlatch.discovery.PollTiming;
 import martenlatch.fleet.history.Event.What;
 import martenlatch.fleet.history.History;
 import martenlatch.fleet.link.Conduct;
 import martenlatch.fleet.scenario.Selector.Group;
-import martenlatch.host.Answer;
-import martenlatch.host.Carrier;
-import martenlatch.host.Client;
-import martenlatch.host.Complaints;
-import martenlatch.host.EndpointTable;
-import martenlatch.host.Exchange;
-import martenlatch.host.ServerList;
-import martenlatch.host.Time;
-import martenlatch.host.Witness;
-import martenlatch.membership.ListWatch;
-import martenlatch.membership.Pace;
 import martenlatch.policy.api.AttemptOutcome;
 import martenlatch.policy.api.BalancerSettings;
 import martenlatch.policy.api.Request;
+import martenlatch.request.EndpointConnections;
+import martenlatch.request.EndpointList;
+import martenlatch.request.EndpointResponse;
+import martenlatch.request.RateLimitedLogger;
+import martenlatch.request.RequestObserver;
+import martenlatch.request.RequestTracker;
+import martenlatch.request.ResponseListener;
+import martenlatch.request.Scheduler;
+import martenlatch.request.Transport;
 
 /**
  * A sidecar in simulated time: the program's own decisions, host and watch on discovery; connections behave
@@ -83,12 +83,12 @@
     /** Who waits for this process's end. */
     private final List<Runnable> endings = new ArrayList<>();
 
-    private Exchange exchange;
+    private RequestTracker exchange;
     private boolean paused;
     private boolean alive;
     private double leavesAt = Double.POSITIVE_INFINITY;
     private int life;
-    private ListWatch watch;
+    private EndpointListWatcher watch;
     /** How links to an endpoint, or to discovery, are at this time. */
     private final Function<String, Conducts> conducts;
 
@@ -128,12 +128,12 @@
         life++;
         leavesAt = Double.POSITIVE_INFINITY;
         paused = false;
-        ServerList known = discovery.list();
-        Time own = new OwnTime();
-        Complaints complaints = new Complaints(time, new PrintStream(OutputStream.nullOutputStream()));
-        watch = new ListWatch(own, new Line(), complaints, () -> Pace.next(settings, moves));
-        exchange = new Exchange(
-                own, complaints, new Table(), watch::watch, settings, seed * 31 + life, known, Witness.NONE);
+        EndpointList known = discovery.list();
+        Scheduler own = new OwnTime();
+        RateLimitedLogger complaints = new RateLimitedLogger(time, new PrintStream(OutputStream.nullOutputStream()));
+        watch = new EndpointListWatcher(own, new Line(), complaints, () -> PollTiming.next(settings, moves));
+        exchange = new RequestTracker(
+                own, complaints, new Table(), watch::watch, settings, seed * 31 + life, known, RequestObserver.NONE);
         watch.listen(exchange, known.version());
         history.tell(What.PROCESS, name, "", "", "serves");
     }
@@ -167,7 +167,7 @@
         }
         leavesAt = time.elapsed();
         history.tell(What.PROCESS, name, "", "", "told to end");
-        exchange.endBy(time.now() + ANSWERED_MS);
+        exchange.capDeadlines(time.now() + ANSWERED_MS);
         int mine = life;
         time.after(ANSWERED_MS + 1, () -> {
             if (mine == life) {
@@ -213,24 +213,24 @@
     }
 
     /** A client's request has come; its deadline is a time on the simulation's clock. */
-    void request(Request request, Client client) {
+    void request(Request request, ResponseListener client) {
         enter(life, () -> {
             double latest = leavesAt + ANSWERED_MS - time.elapsed() + time.now();
             Request taken = request.deadlineMs() <= latest
                     ? request
                     : new Request(
                             request.id(), request.classIndex(), request.tenantIndex(), latest, request.clientRetry());
-            exchange.request(
+            exchange.accept(
                     taken, (server, wait, notAfter, ending) -> send(request.id(), server, notAfter, ending), client);
         });
     }
 
     /** Its client has gone away. */
     void clientGone(String id) {
-        enter(life, () -> exchange.clientGone(id));
+        enter(life, () -> exchange.onClientDisconnected(id));
     }
 
-    private final class OwnTime implements Time {
+    private final class OwnTime implements Scheduler {
         @Override
         public double now() {
             return time.now();
@@ -254,14 +254,14 @@
         }
     }
 
-    private final class Table implements EndpointTable {
+    private final class Table implements EndpointConnections {
         @Override
-        public void update(ServerList list) {
+        public void update(EndpointList list) {
             return;
         }
 
         @Override
-        public void withdraw() {
+        public void withdrawAttempts() {
             return;
         }
 
@@ -280,7 +280,7 @@
         return ways.computeIfAbsent(server, id -> new Way(endpoints.apply(id), seed * 1_000_003 + id.hashCode()));
     }
 
-    private final class Sent implements Carrier.Attempt {
+    private final class Sent implements Transport.Attempt {
         private boolean written;
         private boolean over;
 
@@ -300,7 +300,7 @@
         }
     }
 
-    private Carrier.Attempt send(String id, String server, double notAfter, Carrier.Ending ending) {
+    private Transport.Attempt send(String id, String server, double notAfter, Transport.AttemptListener ending) {
         Way way = way(server);
         Sent sent = new Sent();
         int mine = life;
@@ -310,12 +310,12 @@
             return sent;
         }
         double up = 2 * SimLink.BASE_MS;
-        Time.Timer failed = time.after(
+        Scheduler.Timer failed = time.after(
                 settings.limits().connectTimeoutMs(),
                 () -> enter(mine, () -> {
                     if (!sent.written && !sent.over) {
                         sent.over = true;
-                        ending.ended(AttemptOutcome.CONNECT_ERROR, null);
+                        ending.onAttemptFinished(AttemptOutcome.CONNECT_ERROR, null);
                     }
                 }));
         if (!way.isCut()) {
@@ -328,19 +328,19 @@
                         failed.cancel();
                         if (time.now() > notAfter) {
                             sent.over = true;
-                            ending.ended(AttemptOutcome.NOT_EXECUTED, null);
+                            ending.onAttemptFinished(AttemptOutcome.NOT_EXECUTED, null);
                         } else if (way.endpoint.isAlive()) {
                             write(way, id, sent, ending, mine);
                         } else {
                             sent.over = true;
-                            ending.ended(AttemptOutcome.CONNECT_ERROR, null);
+                            ending.onAttemptFinished(AttemptOutcome.CONNECT_ERROR, null);
                         }
                     }));
         }
         return sent;
     }
 
-    private void write(Way way, String id, Sent sent, Carrier.Ending ending, int mine) {
+    private void write(Way way, String id, Sent sent, Transport.AttemptListener ending, int mine) {
         sent.written = true;
         history.tell(What.SENT, name, way.endpoint.id(), id, "");
         boolean[] answered = new boolean[1];
@@ -356,25 +356,27 @@
                         way.idle++;
                     }
                     switch (reply) {
-                        case OK -> ending.ended(AttemptOutcome.OK, new Answer(200, false, true, null, new byte[0]));
-                        case ERROR -> ending.ended(AttemptOutcome.FAILED, null);
-                        case NOT_RUN -> ending.ended(AttemptOutcome.REJECTED_QUEUE_FULL, null);
-                        default -> ending.ended(AttemptOutcome.RESET, null);
+                        case OK ->
+                            ending.onAttemptFinished(
+                                    AttemptOutcome.OK, new EndpointResponse(200, false, true, null, new byte[0]));
+                        case ERROR -> ending.onAttemptFinished(AttemptOutcome.FAILED, null);
+                        case NOT_RUN -> ending.onAttemptFinished(AttemptOutcome.REJECTED_QUEUE_FULL, null);
+                        default -> ending.onAttemptFinished(AttemptOutcome.RESET, null);
                     }
                 }))));
     }
 
     // ---- the watch on discovery ----
 
-    private final class Line implements ListWatch.Line {
+    private final class Line implements EndpointListWatcher.Line {
         @Override
-        public void call(ListWatch.Call call) {
+        public void call(EndpointListWatcher.Call call) {
             int mine = life;
             long index = call.index().orElse(-1);
             long wait = call.pace().waitMs();
             toDiscovery.send(() -> discovery.ask(name, index, wait, new SimDiscovery.Caller() {
                 @Override
-                public void answered(ServerList list) {
+                public void answered(EndpointList list) {
                     fromDiscovery.send(() -> enter(mine, () -> watch.answered(call.number(), list)));
                 }
 
@@ -396,7 +398,7 @@
         if (alive) {
             int mine = life;
             history.tell(What.PROCESS, name, "", "", "reloads");
-            enter(mine, () -> watch.moved(moves.nextDouble() * ListWatch.spreadMs(settings)));
+            enter(mine, () -> watch.moved(moves.nextDouble() * EndpointListWatcher.spreadMs(settings)));
         }
     }
 
@@ -418,6 +420,6 @@
 
     /** Requests in hand. */
     int open() {
-        return alive ? exchange.openRequests() : 0;
+        return alive ? exchange.pendingRequests() : 0;
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/sim/VirtualTime.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/VirtualTime.java
@@ -1,13 +1,13 @@
 package martenlatch.fleet.sim;
 
 import java.util.PriorityQueue;
-import martenlatch.host.Time;
+import martenlatch.request.Scheduler;
 
 /**
  * The one clock of a simulation. Tasks run in the order of their times, and of one time in that of their
  * making.
  */
-public final class VirtualTime implements Time {
+public final class VirtualTime implements Scheduler {
 
     /** Any moment will do; endpoints' start times must lie above 0. */
     private static final double START_MS = 1.7e12;
--- a/sidecar/src/main/java/martenlatch/admin/Operations.java
+++ b/sidecar/src/main/java/martenlatch/admin/Operations.java
@@ -12,9 +12,9 @@
 import java.util.function.Consumer;
 import martenlatch.config.Fields;
 import martenlatch.config.SettingsReader;
-import martenlatch.host.Complaints;
-import martenlatch.host.ServerList;
-import martenlatch.host.Time;
+import martenlatch.request.EndpointList;
+import martenlatch.request.RateLimitedLogger;
+import martenlatch.request.Scheduler;
 
 /**
  * What operators may ask of a running sidecar, whatever protocol brings the call. Calls, lists and what the
@@ -53,15 +53,15 @@
         }
     }
 
-    private final Time time;
-    private final Complaints complaints;
+    private final Scheduler time;
+    private final RateLimitedLogger complaints;
     private final Service service;
     private final DisabledEndpoints endpoints = new DisabledEndpoints();
     private SharedFolder folder;
     private Keeper keeper;
 
     /** Operations of a sidecar that keep nothing yet. */
-    public Operations(Time time, Complaints complaints, Service service) {
+    public Operations(Scheduler time, RateLimitedLogger complaints, Service service) {
         this.time = time;
         this.complaints = complaints;
         this.service = service;
@@ -75,7 +75,7 @@
      */
     public void share(Path parent, String sidecar, Executor owner) {
         if (parent == null) {
-            complaints.say("no TMPDIR is set: endpoints out by hand are forgotten when this process ends");
+            complaints.info("no TMPDIR is set: endpoints out by hand are forgotten when this process ends");
             return;
         }
         try {
@@ -83,11 +83,11 @@
             shown(folder.out(), 0);
             keeper = new Keeper(folder, owner, this);
             if (!endpoints.out().isEmpty()) {
-                complaints.say("out by hand since before this start: " + endpoints.out());
+                complaints.info("out by hand since before this start: " + endpoints.out());
             }
         } catch (IOException e) {
             folder = null;
-            complaints.say("what operators decide is not kept: " + e);
+            complaints.info("what operators decide is not kept: " + e);
         }
     }
 
@@ -100,7 +100,7 @@
             try {
                 folder.serve();
             } catch (IOException e) {
-                complaints.say("others can't see that this process serves: " + e);
+                complaints.info("others can't see that this process serves: " + e);
             }
         }
     }
@@ -110,7 +110,7 @@
         try {
             return folder != null && folder.othersServe();
         } catch (IOException e) {
-            complaints.say("whether another process serves can't be seen: " + e);
+            complaints.info("whether another process serves can't be seen: " + e);
             return false;
         }
     }
@@ -122,7 +122,7 @@
             try {
                 folder.leave();
             } catch (IOException e) {
-                complaints.say("others may take this process for one that serves: " + e);
+                complaints.info("others may take this process for one that serves: " + e);
             }
         }
         return others;
@@ -136,14 +136,14 @@
     }
 
     /** A list of endpoints has come. */
-    public void listed(ServerList list) {
-        endpoints.listed(list.full(), list.servers());
+    public void listed(EndpointList list) {
+        endpoints.listed(list.full(), list.endpoints());
     }
 
     @Override
     public void shown(Set<String> out, long upTo) {
         if (endpoints.shown(out, upTo)) {
-            complaints.say("out by hand: " + endpoints.out());
+            complaints.info("out by hand: " + endpoints.out());
             service.disabled(Set.copyOf(endpoints.out()));
         }
     }
@@ -176,7 +176,7 @@
             }
             case "/drain", "/undrain" -> {
                 service.drain(path.equals("/drain"));
-                complaints.say("by hand: " + path);
+                complaints.info("by hand: " + path);
                 answer.accept(state(200));
             }
             default -> set(path.equals("/endpoints/disable"), body, answer);
@@ -206,7 +206,7 @@
             case UNKNOWN -> answer.accept(Reply.no(404, "no list has named an endpoint " + id));
             case FULL -> answer.accept(Reply.no(503, DisabledEndpoints.MOST_OUT + " endpoints are out already"));
             default -> {
-                complaints.say("by hand: endpoint " + id + (out ? " is out" : " is put back"));
+                complaints.info("by hand: endpoint " + id + (out ? " is out" : " is put back"));
                 service.disabled(Set.copyOf(endpoints.out()));
                 keep(id, out, answer);
             }
@@ -221,7 +221,7 @@
         }
         long number = endpoints.latest();
         boolean[] answered = {false};
-        Time.Timer late = time.after(KEEP_MS, () -> {
+        Scheduler.Timer late = time.after(KEEP_MS, () -> {
             answered[0] = true;
             answer.accept(Reply.no(503, "it holds in this process, but is not kept yet: the disk is slow"));
         });
--- a/sidecar/src/main/java/martenlatch/cli/Main.java
+++ b/sidecar/src/main/java/martenlatch/cli/Main.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import martenlatch.benchlink.BenchLink;
-import martenlatch.benchlink.WireException;
 import martenlatch.sidecar.Sidecar;
+import martenlatch.simulator.SimulatorAdapter;
+import martenlatch.simulator.WireException;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
@@ -60,7 +60,7 @@
             return 2;
         }
         try {
-            new BenchLink(in, out, errors).run();
+            new SimulatorAdapter(in, out, errors).run();
             return 0;
         } catch (WireException e) {
             errors.println("martenlatch: " + e.getMessage());
--- a/sidecar/src/main/java/martenlatch/membership/DiscoveryClient.java
+++ b/sidecar/src/main/java/martenlatch/discovery/DiscoveryClient.java
@@ -1,4 +1,4 @@
-package martenlatch.membership;
+package martenlatch.discovery;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
@@ -25,13 +25,13 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
-import martenlatch.host.Complaints;
-import martenlatch.host.ServerList;
-import martenlatch.host.Time;
 import martenlatch.net.Buffers;
+import martenlatch.request.EndpointList;
+import martenlatch.request.RateLimitedLogger;
+import martenlatch.request.Scheduler;
 
 /** Carries the calls of a watch on the list of endpoints out, over one connection at a time. */
-public final class DiscoveryClient implements ListWatch.Line {
+public final class DiscoveryClient implements EndpointListWatcher.Line {
 
     private static final int MOST_BODY = 4 * 1024 * 1024;
     /**
@@ -42,35 +42,35 @@
     private static final double CROSSED_MS = 200;
 
     private final EventLoop loop;
-    private final Time time;
-    private final RegistryList.Names names;
-    private final ListWatch watch;
+    private final Scheduler time;
+    private final EndpointListDecoder.Names names;
+    private final EndpointListWatcher watch;
     private final Bootstrap bootstrap;
     private InetSocketAddress address;
     private Channel channel;
     /** The call that is out, or null. */
-    private ListWatch.Call out;
+    private EndpointListWatcher.Call out;
     /** Until when the end of the connection says nothing of the call that is out on it. */
     private double crossedUntil;
 
     public DiscoveryClient(
             EventLoop loop,
-            Time time,
+            Scheduler time,
             InetSocketAddress address,
-            RegistryList.Names names,
-            Complaints complaints,
-            Supplier<Pace> pace) {
+            EndpointListDecoder.Names names,
+            RateLimitedLogger complaints,
+            Supplier<PollTiming> pace) {
         this.loop = loop;
         this.time = time;
         this.address = address;
         this.names = names;
-        watch = new ListWatch(time, this, complaints, pace);
+        watch = new EndpointListWatcher(time, this, complaints, pace);
         bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, ListWatch.SILENCE_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, EndpointListWatcher.SILENCE_MS)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel fresh) {
@@ -85,7 +85,7 @@
     }
 
     /** Who hears of lists, and which version is known already. */
-    public void listen(ServerList.Listener hearer, long known) {
+    public void listen(EndpointList.Listener hearer, long known) {
         watch.listen(hearer, known);
     }
 
@@ -108,7 +108,7 @@
     }
 
     @Override
-    public void call(ListWatch.Call call) {
+    public void call(EndpointListWatcher.Call call) {
         out = call;
         if (channel != null && channel.isActive()) {
             crossedUntil = time.now() + CROSSED_MS;
@@ -118,7 +118,7 @@
         connect(call);
     }
 
-    private void connect(ListWatch.Call call) {
+    private void connect(EndpointListWatcher.Call call) {
         crossedUntil = 0;
         ChannelFuture connecting = bootstrap.connect(address);
         if (connecting.isDone() && !connecting.isSuccess()) {
@@ -161,7 +161,7 @@
     }
 
     private void fail(Object why) {
-        ListWatch.Call failed = out;
+        EndpointListWatcher.Call failed = out;
         drop();
         if (failed != null) {
             watch.failed(failed.number(), why);
@@ -202,9 +202,9 @@
                 fail("status " + answer.status().code());
                 return;
             }
-            ServerList list;
+            EndpointList list;
             try {
-                list = RegistryList.parse(ByteBufUtil.getBytes(answer.content()), names);
+                list = EndpointListDecoder.parse(ByteBufUtil.getBytes(answer.content()), names);
             } catch (IOException | IllegalArgumentException e) {
                 fail(e.getMessage());
                 return;
@@ -213,7 +213,7 @@
                 channel = null;
                 ctx.close();
             }
-            ListWatch.Call answered = out;
+            EndpointListWatcher.Call answered = out;
             out = null;
             watch.answered(answered.number(), list);
         }
--- a/sidecar/src/main/java/martenlatch/membership/RegistryList.java
+++ b/sidecar/src/main/java/martenlatch/discovery/EndpointListDecoder.java
@@ -1,4 +1,4 @@
-package martenlatch.membership;
+package martenlatch.discovery;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -9,21 +9,21 @@
 import java.util.Map;
 import martenlatch.config.Fields;
 import martenlatch.config.SettingsReader;
-import martenlatch.host.ServerList;
 import martenlatch.policy.api.Endpoint;
 import martenlatch.policy.api.EndpointStatus;
+import martenlatch.request.EndpointList;
 
 /** Reads lists of endpoints in discovery's form. */
-public final class RegistryList {
+public final class EndpointListDecoder {
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private RegistryList() {}
+    private EndpointListDecoder() {}
 
     /** The names of the zones and kinds, whose places in the settings stand for them. */
     public record Names(List<String> zones, List<String> kinds) {}
 
-    public static ServerList parse(byte[] json, Names names) throws IOException {
+    public static EndpointList parse(byte[] json, Names names) throws IOException {
         try (JsonParser in = JSON.createParser(json)) {
             in.nextToken();
             if (!(in.currentToken() != null && SettingsReader.value(in) instanceof Map<?, ?> list)) {
@@ -33,7 +33,7 @@
         }
     }
 
-    public static ServerList of(Map<?, ?> list, Names names) {
+    public static EndpointList of(Map<?, ?> list, Names names) {
         if (!(list.get("version") instanceof Double version)) {
             throw Fields.bad("version", list.get("version"));
         }
@@ -43,17 +43,17 @@
         if (!(list.get("servers") instanceof List<?> lines)) {
             throw Fields.bad("servers", list.get("servers"));
         }
-        List<ServerList.Entry> entries = new ArrayList<>();
+        List<EndpointList.Entry> entries = new ArrayList<>();
         for (Object line : lines) {
             if (!(line instanceof Map<?, ?> fields)) {
                 throw Fields.bad("servers[]", line);
             }
             entries.add(entry(fields, names));
         }
-        return new ServerList(version.longValue(), full, entries);
+        return new EndpointList(version.longValue(), full, entries);
     }
 
-    private static ServerList.Entry entry(Map<?, ?> fields, Names names) {
+    private static EndpointList.Entry entry(Map<?, ?> fields, Names names) {
         if (!(fields.get("id") instanceof String id)) {
             throw Fields.bad("servers[].id", fields.get("id"));
         }
@@ -67,7 +67,7 @@
         // Of an endpoint that is gone nothing but its id need be told.
         InetSocketAddress address =
                 state == EndpointStatus.GONE ? null : Fields.address("servers[].addr", fields.get("addr"));
-        return new ServerList.Entry(
+        return new EndpointList.Entry(
                 new Endpoint(
                         id,
                         names.zones().indexOf(fields.get("zone")),
--- a/sidecar/src/main/java/martenlatch/membership/ListWatch.java
+++ b/sidecar/src/main/java/martenlatch/discovery/EndpointListWatcher.java
@@ -1,18 +1,18 @@
-package martenlatch.membership;
+package martenlatch.discovery;
 
 import java.util.OptionalLong;
 import java.util.function.Supplier;
-import martenlatch.host.Complaints;
-import martenlatch.host.ServerList;
-import martenlatch.host.Time;
 import martenlatch.policy.api.BalancerSettings;
+import martenlatch.request.EndpointList;
+import martenlatch.request.RateLimitedLogger;
+import martenlatch.request.Scheduler;
 
 /**
  * When discovery is asked, for what, and how long an answer is waited for: call after call, until one fails.
  * In which way to go on then is for whoever listens: it calls {@link #watch} again. No I/O: whoever carries
  * calls out tells what comes of each by its number, and what comes of one that is over changes nothing.
  */
-public final class ListWatch {
+public final class EndpointListWatcher {
 
     /** What a call for the whole list may take, which waits for its turn only; a connection may as well. */
     public static final int SILENCE_MS = 2_000;
@@ -24,7 +24,7 @@
      * @param index what is known already: wanted is what is newer; none for the whole list
      * @param pace how long discovery may wait for something newer, and what it owes
      */
-    public record Call(long number, OptionalLong index, Pace pace) {
+    public record Call(long number, OptionalLong index, PollTiming pace) {
         /** What is asked for, as the protocol's page has it. */
         public String path() {
             return "/registry/instances"
@@ -46,13 +46,13 @@
         void drop();
     }
 
-    private final Time time;
+    private final Scheduler time;
     private final Line line;
-    private final Complaints complaints;
+    private final RateLimitedLogger complaints;
     /** That of the next call. */
-    private final Supplier<Pace> pace;
+    private final Supplier<PollTiming> pace;
 
-    private ServerList.Listener listener;
+    private EndpointList.Listener listener;
     /** What is known of the list at this place; none calls for the whole of it. */
     private OptionalLong version = OptionalLong.empty();
 
@@ -60,16 +60,16 @@
     /** The call that is out, until when its answer may come, and whether that has begun to come. */
     private Call out;
 
-    private Time.Timer silence;
+    private Scheduler.Timer silence;
     private double overAt;
     private boolean begun;
     /** The answer before broke off: a discovery that always does is left alone for a while. */
     private boolean brokeOff;
     /** Set while a first call at a new place waits for its turn. */
-    private Time.Timer due;
+    private Scheduler.Timer due;
 
     /** A watch whose calls have the pace that {@code pace} says, asked before each. */
-    public ListWatch(Time time, Line line, Complaints complaints, Supplier<Pace> pace) {
+    public EndpointListWatcher(Scheduler time, Line line, RateLimitedLogger complaints, Supplier<PollTiming> pace) {
         this.time = time;
         this.line = line;
         this.complaints = complaints;
@@ -87,7 +87,7 @@
     }
 
     /** Who hears of lists, and which version is known already. */
-    public void listen(ServerList.Listener hearer, long known) {
+    public void listen(EndpointList.Listener hearer, long known) {
         listener = hearer;
         version = OptionalLong.of(known);
     }
@@ -167,7 +167,7 @@
     }
 
     /** A list has come. The next call goes out first: it must come soon for the watch to go on. */
-    public void answered(long call, ServerList list) {
+    public void answered(long call, EndpointList list) {
         if (!isOut(call)) {
             return;
         }
@@ -175,7 +175,7 @@
         brokeOff = false;
         version = OptionalLong.of(list.version());
         watch();
-        listener.listed(list);
+        listener.onEndpointList(list);
     }
 
     /** Nothing will come of a call. */
@@ -187,7 +187,7 @@
         brokeOff = false;
         line.drop();
         complaints.log("discovery failed", why);
-        listener.failed();
+        listener.onPollFailed();
     }
 
     private boolean isOut(long call) {
--- a/sidecar/src/main/java/martenlatch/membership/Pace.java
+++ b/sidecar/src/main/java/martenlatch/discovery/PollTiming.java
@@ -1,4 +1,4 @@
-package martenlatch.membership;
+package martenlatch.discovery;
 
 import java.util.SplittableRandom;
 import martenlatch.policy.api.BalancerSettings;
@@ -10,7 +10,7 @@
  * @param owedMs within this time after its wait a call is answered, and an answer that has begun is whole
  * @param wholeMs what a call for the whole list may take
  */
-public record Pace(long waitMs, double owedMs, double wholeMs) {
+public record PollTiming(long waitMs, double owedMs, double wholeMs) {
 
     /**
      * Longer waits would show late that a watch has fallen silent; shorter ones show it no sooner to those
@@ -37,14 +37,14 @@
      * asking, at random, so that sidecars whose watches fell silent together, or ended together with nothing
      * new, do not come back together. It costs discovery no more calls than the site has it bear.
      */
-    public static Pace next(BalancerSettings settings, SplittableRandom random) {
+    public static PollTiming next(BalancerSettings settings, SplittableRandom random) {
         return settings.pollsEndpointList()
-                ? new Pace(
+                ? new PollTiming(
                         (long) Math.max(
                                 LEAST_WAIT_MS,
                                 Math.min(MOST_WAIT_MS, settings.rules().pollIntervalMs() * (1 + random.nextDouble()))),
                         OWED_MS,
-                        ListWatch.SILENCE_MS)
-                : new Pace(AGENT_WAIT_MS, AGENT_OWED_MS, AGENT_WAIT_MS);
+                        EndpointListWatcher.SILENCE_MS)
+                : new PollTiming(AGENT_WAIT_MS, AGENT_OWED_MS, AGENT_WAIT_MS);
     }
 }
--- a/sidecar/src/main/java/martenlatch/front/http/Frontend.java
+++ b/sidecar/src/main/java/martenlatch/front/http/Frontend.java
@@ -39,15 +39,15 @@
 import java.util.List;
 import java.util.Set;
 import martenlatch.front.CallReader;
-import martenlatch.host.Answer;
-import martenlatch.host.Client;
-import martenlatch.host.Complaints;
-import martenlatch.host.Exchange;
-import martenlatch.host.Rest;
-import martenlatch.host.Time;
 import martenlatch.net.Buffers;
 import martenlatch.policy.api.BalancerSettings;
 import martenlatch.policy.api.Request;
+import martenlatch.request.EndpointResponse;
+import martenlatch.request.RateLimitedLogger;
+import martenlatch.request.RemainingBody;
+import martenlatch.request.RequestTracker;
+import martenlatch.request.ResponseListener;
+import martenlatch.request.Scheduler;
 import martenlatch.upstream.EndpointPool;
 import martenlatch.upstream.Upload;
 
@@ -73,9 +73,9 @@
             HttpHeaderNames.EXPECT);
 
     private final EventLoop loop;
-    private final Time time;
-    private final Complaints complaints;
-    private final Exchange exchange;
+    private final Scheduler time;
+    private final RateLimitedLogger complaints;
+    private final RequestTracker exchange;
     private final int most;
     private CallReader calls;
     private final EndpointPool endpoints;
@@ -101,9 +101,9 @@
 
     public Frontend(
             EventLoop loop,
-            Time time,
-            Complaints complaints,
-            Exchange exchange,
+            Scheduler time,
+            RateLimitedLogger complaints,
+            RequestTracker exchange,
             EndpointPool endpoints,
             BalancerSettings settings,
             int most) {
@@ -174,7 +174,7 @@
     public void drain(double leftMs) {
         stopping = true;
         endsAt = time.now() + leftMs;
-        exchange.endBy(endsAt);
+        exchange.capDeadlines(endsAt);
     }
 
     /**
@@ -334,13 +334,13 @@
                 Reply whole = coming;
                 coming = null;
                 guard.requestTaken();
-                exchange.hasCome(whole.id, endsAt);
+                exchange.onRequestComplete(whole.id, endsAt);
                 return;
             }
             if (message instanceof RequestReader.Refusal refusal && coming != null) {
                 // Its body does not come to an end: no endpoint has had the whole of it.
                 Reply broken = coming;
-                exchange.clientGone(broken.id);
+                exchange.onClientDisconnected(broken.id);
                 broken.giveUp(refusal.status(), refusal.why());
                 return;
             }
@@ -424,7 +424,7 @@
                 reply.giveUp(HttpResponseStatus.valueOf(reading.status()), reading.why());
             } else if (surplus) {
                 reply.keepAlive = false;
-                reply.refused(OVERFLOW_COOL_DOWN_MS);
+                reply.onRejected(OVERFLOW_COOL_DOWN_MS);
             } else {
                 hasAsked = true;
                 arrivals.add(new Arrival(reply, reading.request(), message(request, body, upload)));
@@ -445,13 +445,13 @@
                     continue;
                 }
                 Request request = next.request();
-                if (exchange.has(request.id())) {
+                if (exchange.isPending(request.id())) {
                     reply.giveUp(HttpResponseStatus.CONFLICT, CallReader.ID + " is that of a request in hand");
                     continue;
                 }
                 reply.id = request.id();
                 boolean incomplete = next.message().upload() != null;
-                exchange.request(request, endpoints.carrier(next.message()), reply, incomplete);
+                exchange.accept(request, endpoints.carrier(next.message()), reply, incomplete);
             }
         }
 
@@ -478,7 +478,7 @@
                 ChannelFuture written = channel.writeAndFlush(reply.response);
                 if (reply.rest != null) {
                     passing = reply;
-                    reply.rest.to(reply);
+                    reply.rest.transferTo(reply);
                 } else {
                     replies.poll();
                     endAfter(reply, written);
@@ -530,7 +530,7 @@
             for (Reply reply : left) {
                 reply.freeRoom();
                 if (reply.id != null && reply.response == null) {
-                    exchange.clientGone(reply.id);
+                    exchange.onClientDisconnected(reply.id);
                 }
                 if (reply.rest != null) {
                     reply.rest.abandon();
@@ -542,7 +542,7 @@
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             // Clients come and go; only what is not the network's doing is worth a line.
             if (!(cause instanceof java.io.IOException)) {
-                complaints.bug("connection of a client", cause);
+                complaints.logException("connection of a client", cause);
             }
             ctx.close();
         }
@@ -574,7 +574,7 @@
     }
 
     /** The answer that one request on a connection will get. */
-    private final class Reply implements Client, Rest.Taker {
+    private final class Reply implements ResponseListener, RemainingBody.Receiver {
         private final Connection connection;
         private String id;
         private boolean keepAlive;
@@ -587,7 +587,7 @@
          * What is passed on after the response's head, or null; and whether only the connection's end ends
          * it.
          */
-        private Rest rest;
+        private RemainingBody rest;
 
         private boolean untilClose;
         private boolean isLast;
@@ -605,8 +605,8 @@
         }
 
         @Override
-        public void served(Answer answer) {
-            if (answer.rest() != null) {
+        public void onServed(EndpointResponse answer) {
+            if (answer.remainingBody() != null) {
                 passOn(answer);
                 return;
             }
@@ -617,8 +617,8 @@
             answer(served);
         }
 
-        private void passOn(Answer answer) {
-            rest = answer.rest();
+        private void passOn(EndpointResponse answer) {
+            rest = answer.remainingBody();
             HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             if (answer.contentType() != null) {
                 head.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.contentType());
@@ -635,7 +635,7 @@
         }
 
         @Override
-        public void part(byte[] bytes) {
+        public void onPart(byte[] bytes) {
             connection.channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes)));
             if (!connection.channel.isWritable()) {
                 rest.pause(true);
@@ -643,8 +643,8 @@
         }
 
         @Override
-        public void end(boolean whole) {
-            Rest over = rest;
+        public void onEnd(boolean whole) {
+            RemainingBody over = rest;
             rest = null;
             if (connection.passing == this) {
                 connection.passedOn(this, whole);
@@ -659,12 +659,12 @@
         }
 
         @Override
-        public void turnedAway(int status) {
+        public void onInvalidRequest(int status) {
             giveUp(HttpResponseStatus.valueOf(status), "turned away");
         }
 
         @Override
-        public void refused(double coolDownMs) {
+        public void onRejected(double coolDownMs) {
             FullHttpResponse refusal = response(HttpResponseStatus.SERVICE_UNAVAILABLE, text("refused"));
             if (coolDownMs > 0) {
                 refusal.headers().set(HttpHeaderNames.RETRY_AFTER, seconds(coolDownMs));
@@ -679,7 +679,7 @@
         }
 
         @Override
-        public void failed() {
+        public void onFailed() {
             answer(response(HttpResponseStatus.BAD_GATEWAY, text("failed")));
         }
 
--- a/sidecar/src/main/java/martenlatch/net/LoopTime.java
+++ b/sidecar/src/main/java/martenlatch/net/LoopTime.java
@@ -3,10 +3,10 @@
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import martenlatch.host.Time;
+import martenlatch.request.Scheduler;
 
-/** Time on an event loop: it runs with the monotonic clock and was set once to Unix time. */
-public final class LoopTime implements Time {
+/** Scheduler on an event loop: it runs with the monotonic clock and was set once to Unix time. */
+public final class LoopTime implements Scheduler {
 
     private final EventLoop loop;
     private final double startMs = System.currentTimeMillis();
--- /dev/null
+++ b/sidecar/src/main/java/martenlatch/request/RequestTracker.java
@@ -0,0 +1,430 @@
+package martenlatch.request;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import martenlatch.policy.LoadBalancer;
+import martenlatch.policy.api.AttemptOutcome;
+import martenlatch.policy.api.AttemptResult;
+import martenlatch.policy.api.BalancerActions;
+import martenlatch.policy.api.BalancerEvents;
+import martenlatch.policy.api.BalancerSettings;
+import martenlatch.policy.api.EndpointListKind;
+import martenlatch.policy.api.LoadReport;
+import martenlatch.policy.api.OverloadReport;
+import martenlatch.policy.api.Request;
+import martenlatch.request.RequestObserver.Conclusion;
+
+/**
+ * The host of the load balancer: the table of pending requests and their attempts. It carries out what the balancer
+ * decides, tells it what comes of that, and makes sure that each request gets exactly one final answer.
+ */
+public final class RequestTracker implements BalancerActions, EndpointList.Listener {
+
+    /** A request that nothing has concluded fails so long after its deadline. */
+    private static final double DEADLINE_SLACK_MS = 5;
+    /** Where lists are pushed, the local agent is polled again after this pause when a poll has failed. */
+    private static final int PUSHED_LIST_RETRY_MS = 100;
+
+    private final Scheduler scheduler;
+    private final RateLimitedLogger logger;
+    private final EndpointConnections connections;
+    /** Starts a watch on the endpoint list. */
+    private final Runnable pollEndpointList;
+
+    private final RequestObserver observer;
+    private final BalancerEvents balancer;
+    private final BalancerEventQueue events;
+    private final Map<String, PendingRequest> pending = new HashMap<>();
+    private BalancerSettings settings;
+    private boolean knowsEndpoints;
+
+    /**
+     * Creates a tracker without requests.
+     *
+     * @param pollEndpointList starts a watch on the endpoint list
+     * @param seed for the balancer's random choices
+     * @param known an endpoint list from before this process, perhaps old
+     * @param observer hears of every decision
+     */
+    public RequestTracker(
+            Scheduler scheduler,
+            RateLimitedLogger logger,
+            EndpointConnections connections,
+            Runnable pollEndpointList,
+            BalancerSettings settings,
+            long seed,
+            EndpointList known,
+            RequestObserver observer) {
+        this.scheduler = scheduler;
+        this.logger = logger;
+        this.connections = connections;
+        this.pollEndpointList = pollEndpointList;
+        this.settings = settings;
+        this.observer = observer;
+        events = new BalancerEventQueue(scheduler, this::logBalancerFailure, this::failUnhandled, this::removeIfOver);
+        balancer = new LoadBalancer(settings, seed, this);
+        applyList(EndpointListKind.CACHED, known);
+        if (!settings.pollsEndpointList()) {
+            pollEndpointList.run();
+        }
+    }
+
+    /** Whether any list has named an endpoint so far. */
+    public boolean knowsEndpoints() {
+        return knowsEndpoints;
+    }
+
+    /** The number of requests in the table. */
+    public int pendingRequests() {
+        return pending.size();
+    }
+
+    /** Whether a request with this id is in the table. */
+    public boolean isPending(String requestId) {
+        return pending.containsKey(requestId);
+    }
+
+    /** Applies settings to the requests from now on; requests refer to their classes by index. */
+    public void applySettings(BalancerSettings next) {
+        settings = next;
+        events.enqueue(now -> balancer.onSettingsChanged(now, next));
+    }
+
+    /** Operators have disabled these endpoints, and no others. */
+    public void disableEndpoints(Set<String> endpointIds) {
+        events.enqueue(now -> balancer.onEndpointsDisabled(now, endpointIds));
+    }
+
+    // ---- requests and their clients ----
+
+    /** Accepts a complete request. */
+    public void accept(Request request, Transport transport, ResponseListener listener) {
+        accept(request, transport, listener, false);
+    }
+
+    /**
+     * Accepts a request. While its body is incomplete no time of it passes and no attempt times out; its deadline is
+     * told as if it were complete, and moves until {@link #onRequestComplete}.
+     */
+    public void accept(Request request, Transport transport, ResponseListener listener, boolean bodyIncomplete) {
+        PendingRequest accepted = new PendingRequest(request, scheduler.now(), settings, transport, listener);
+        accepted.bodyIncomplete = bodyIncomplete;
+        pending.put(request.id(), accepted);
+        observer.onRequest(request);
+        if (!bodyIncomplete) {
+            startDeadlineTimer(accepted);
+        }
+        events.enqueue(accepted, now -> balancer.onRequest(now, request));
+    }
+
+    /** The last byte of a request has come: its time begins, and its deadline is {@code latestMs} at the latest. */
+    public void onRequestComplete(String requestId, double latestMs) {
+        PendingRequest request = pending.get(requestId);
+        if (request == null || !request.bodyIncomplete) {
+            return;
+        }
+        request.bodyIncomplete = false;
+        double now = scheduler.now();
+        request.deadlineMs = Math.min(latestMs, request.deadlineMs + now - request.acceptedAtMs);
+        if (!request.concluded) {
+            startDeadlineTimer(request);
+        }
+        for (PendingAttempt attempt : request.attempts) {
+            if (!attempt.ended) {
+                attempt.startedAtMs = now;
+                startTimeoutTimer(request, attempt, Math.min(attempt.timeoutMs, request.deadlineMs - now));
+            }
+        }
+    }
+
+    /**
+     * This process ends: every pending request gets its final answer by {@code latestMs}, however long its client
+     * would wait. The deadline of an incomplete request is capped by {@link #onRequestComplete}.
+     */
+    public void capDeadlines(double latestMs) {
+        for (PendingRequest request : pending.values()) {
+            if (!request.concluded && !request.bodyIncomplete && request.deadlineMs > latestMs) {
+                capDeadline(request, latestMs);
+            }
+        }
+    }
+
+    private void capDeadline(PendingRequest request, double latestMs) {
+        request.deadlineMs = latestMs;
+        request.cancelDeadlineTimer();
+        startDeadlineTimer(request);
+        for (PendingAttempt attempt : request.attempts) {
+            if (!attempt.ended && attempt.startedAtMs + attempt.timeoutMs > latestMs) {
+                attempt.cancelTimer();
+                startTimeoutTimer(request, attempt, latestMs - scheduler.now());
+            }
+        }
+    }
+
+    /** The client's connection has ended before the final answer. */
+    public void onClientDisconnected(String requestId) {
+        PendingRequest request = pending.get(requestId);
+        if (request == null || request.concluded) {
+            return;
+        }
+        conclude(request, Conclusion.GONE, 0);
+        events.enqueue(request, now -> balancer.onClientDisconnected(now, requestId));
+        for (PendingAttempt attempt : List.copyOf(request.attempts)) {
+            if (request.bodyIncomplete) {
+                // The request will never be complete: no attempt of it can be executed any more.
+                giveUp(request, attempt, AttemptOutcome.CANCELED);
+            } else if (attempt.withdraw()) {
+                // The settings tell whether an attempt that was sent may be cancelled; this one was not sent.
+                finish(request, attempt, AttemptOutcome.NOT_EXECUTED);
+            }
+        }
+    }
+
+    /**
+     * Looks whether the client is still connected: its end may have come while the event loop was busy with others.
+     * While a request is incomplete its connection is being read, and shows its end by that.
+     */
+    private void checkClient(PendingRequest request) {
+        if (!request.concluded && !request.bodyIncomplete && !request.listener.isConnected()) {
+            onClientDisconnected(request.id());
+        }
+    }
+
+    private void startDeadlineTimer(PendingRequest request) {
+        double delayMs = request.deadlineMs - scheduler.now() + DEADLINE_SLACK_MS;
+        request.deadlineTimer = scheduler.after(delayMs, () -> failAfterDeadline(request));
+    }
+
+    private void failAfterDeadline(PendingRequest request) {
+        if (!request.concluded) {
+            logger.log("no decision by the deadline", request.id());
+            failWithoutBalancer(request);
+        }
+    }
+
+    /** Fails a request without the load balancer, and tells the balancer that it owes no answer any more. */
+    private void failWithoutBalancer(PendingRequest request) {
+        conclude(request, Conclusion.FAILED, 0);
+        request.listener.onFailed();
+        events.enqueue(request, now -> balancer.onClientDisconnected(now, request.id()));
+    }
+
+    private void logBalancerFailure(RuntimeException exception) {
+        logger.logException("the load balancer failed", exception);
+    }
+
+    private void failUnhandled(PendingRequest request) {
+        if (!request.concluded && request.attemptsInFlight == 0) {
+            failWithoutBalancer(request);
+        }
+    }
+
+    private void removeIfOver(PendingRequest request) {
+        if (request.isOver()) {
+            pending.remove(request.id());
+        }
+    }
+
+    // ---- endpoint lists ----
+
+    @Override
+    public void onEndpointList(EndpointList list) {
+        applyList(list.full() ? EndpointListKind.FULL : EndpointListKind.DELTA, list);
+    }
+
+    private void applyList(EndpointListKind kind, EndpointList list) {
+        knowsEndpoints |= !list.entries().isEmpty();
+        connections.update(list);
+        events.enqueue(now -> balancer.onEndpointList(now, kind, list.endpoints()));
+        connections.withdrawAttempts();
+    }
+
+    @Override
+    public void onPollFailed() {
+        if (settings.pollsEndpointList()) {
+            events.enqueue(now -> balancer.onEndpointList(now, EndpointListKind.FAILED, List.of()));
+        } else {
+            scheduler.after(PUSHED_LIST_RETRY_MS, pollEndpointList);
+        }
+    }
+
+    // ---- attempts ----
+
+    @Override
+    public void forward(String requestId, String endpointId, double timeoutMs) {
+        PendingRequest request = pending.get(requestId);
+        if (request == null) {
+            logger.log("an attempt for a request that is not pending", requestId);
+            return;
+        }
+        checkClient(request);
+        double now = scheduler.now();
+        double remainingMs = request.deadlineMs - (request.bodyIncomplete ? request.acceptedAtMs : now);
+        double waitMs = timeoutMs == 0 ? remainingMs : Math.min(timeoutMs, remainingMs);
+        double notAfterMs = request.notAfterMs();
+        PendingAttempt attempt = new PendingAttempt(request.attempts.size(), endpointId, now, waitMs);
+        request.attempts.add(attempt);
+        request.attemptsInFlight++;
+        observer.onAttemptStarted(requestId, attempt.number, endpointId, timeoutMs);
+        if (request.concluded || remainingMs <= 0 || request.attempts.size() > request.maxAttempts) {
+            finish(request, attempt, AttemptOutcome.NOT_EXECUTED);
+        } else if (waitMs <= 0) {
+            finish(request, attempt, AttemptOutcome.TIMED_OUT);
+        } else {
+            if (!request.bodyIncomplete) {
+                startTimeoutTimer(request, attempt, waitMs);
+            }
+            send(request, attempt, notAfterMs);
+        }
+    }
+
+    private void send(PendingRequest request, PendingAttempt attempt, double notAfterMs) {
+        try {
+            attempt.transportAttempt = request.transport.send(
+                    attempt.endpointId,
+                    new AttemptConditions(request, attempt),
+                    notAfterMs,
+                    (outcome, response) -> onResponse(request, attempt, outcome, response));
+        } catch (RuntimeException e) {
+            // How far it came is not known, so it may have been executed; the balancer has to hear of its end.
+            logger.logException("sending failed", e);
+            finish(request, attempt, AttemptOutcome.RESET);
+        }
+    }
+
+    /** What the transport asks just before it writes an attempt. */
+    private final class AttemptConditions implements Transport.WriteConditions {
+        private final PendingRequest request;
+        private final PendingAttempt attempt;
+
+        AttemptConditions(PendingRequest request, PendingAttempt attempt) {
+            this.request = request;
+            this.attempt = attempt;
+        }
+
+        @Override
+        public double remainingMs() {
+            return request.remainingMs(attempt, scheduler.now());
+        }
+
+        @Override
+        public boolean isClientConnected() {
+            checkClient(request);
+            return !request.concluded;
+        }
+    }
+
+    private void startTimeoutTimer(PendingRequest request, PendingAttempt attempt, double delayMs) {
+        attempt.timeoutTimer = scheduler.after(delayMs, () -> giveUp(request, attempt, AttemptOutcome.TIMED_OUT));
+    }
+
+    private void onResponse(
+            PendingRequest request, PendingAttempt attempt, AttemptOutcome outcome, EndpointResponse response) {
+        if (response != null && !request.concluded) {
+            passOn(request, outcome, response);
+        } else if (response != null && response.remainingBody() != null) {
+            response.remainingBody().abandon();
+        }
+        finish(request, attempt, outcome);
+    }
+
+    /** Passes a response on if it is the final answer to its request. */
+    private void passOn(PendingRequest request, AttemptOutcome outcome, EndpointResponse response) {
+        if (outcome == AttemptOutcome.OK) {
+            conclude(request, Conclusion.SERVED, 0);
+            request.listener.onServed(response);
+        } else if (outcome == AttemptOutcome.NOT_EXECUTED) {
+            conclude(request, Conclusion.TURNED_AWAY, 0);
+            request.listener.onInvalidRequest(response.status());
+        }
+    }
+
+    /** Stops waiting for an attempt. One that was not written completely is known not to have been executed. */
+    private void giveUp(PendingRequest request, PendingAttempt attempt, AttemptOutcome outcome) {
+        if (!attempt.ended) {
+            boolean mayBeExecuted = attempt.transportAttempt.giveUp();
+            boolean keepsOutcome = mayBeExecuted || outcome == AttemptOutcome.CANCELED;
+            finish(request, attempt, keepsOutcome ? outcome : AttemptOutcome.CONNECT_ERROR);
+        }
+    }
+
+    private void finish(PendingRequest request, PendingAttempt attempt, AttemptOutcome outcome) {
+        if (attempt.ended) {
+            return;
+        }
+        attempt.ended = true;
+        attempt.neverExecuted = outcome.neverExecuted();
+        attempt.cancelTimer();
+        observer.onAttemptFinished(request.id(), attempt.number, outcome);
+        double durationMs = request.bodyIncomplete ? 0 : scheduler.now() - attempt.startedAtMs;
+        events.enqueue(request, now -> {
+            request.attemptsInFlight--;
+            balancer.onAttemptFinished(
+                    now,
+                    new AttemptResult(
+                            request.id(),
+                            attempt.number,
+                            attempt.endpointId,
+                            outcome,
+                            durationMs,
+                            request.concluded,
+                            LoadReport.NONE));
+        });
+    }
+
+    private void conclude(PendingRequest request, Conclusion conclusion, double retryAfterMs) {
+        request.concluded = true;
+        request.cancelDeadlineTimer();
+        observer.onConcluded(request.id(), conclusion, retryAfterMs);
+    }
+
+    // ---- other actions of the load balancer ----
+
+    @Override
+    public void reject(String requestId, double retryAfterMs) {
+        PendingRequest request = pending.get(requestId);
+        if (request != null && !request.concluded) {
+            conclude(request, Conclusion.REFUSED, retryAfterMs);
+            request.listener.onRejected(retryAfterMs);
+        }
+    }
+
+    @Override
+    public void fail(String requestId) {
+        PendingRequest request = pending.get(requestId);
+        if (request != null && !request.concluded) {
+            conclude(request, Conclusion.FAILED, 0);
+            request.listener.onFailed();
+        }
+    }
+
+    @Override
+    public void cancelAttempt(String requestId, int attempt) {
+        PendingRequest request = pending.get(requestId);
+        if (request != null && attempt < request.attempts.size()) {
+            giveUp(request, request.attempts.get(attempt), AttemptOutcome.CANCELED);
+        }
+    }
+
+    @Override
+    public void scheduleTimer(double delayMs, long name) {
+        scheduler.after(delayMs, () -> events.enqueue(now -> balancer.onTimer(now, name)));
+    }
+
+    @Override
+    public void closeIdleConnections(String endpointId) {
+        connections.closeIdleConnections(endpointId);
+    }
+
+    @Override
+    public void pollEndpointList() {
+        pollEndpointList.run();
+    }
+
+    @Override
+    public void report(OverloadReport report) {
+        logger.info(report);
+    }
+}
--- a/sidecar/src/main/java/martenlatch/sidecar/PeerHost.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/PeerHost.java
@@ -16,14 +16,14 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import martenlatch.host.Complaints;
-import martenlatch.host.Time;
 import martenlatch.net.Buffers;
 import martenlatch.peers.PeerSettings;
 import martenlatch.peers.PeerState;
 import martenlatch.peers.PeerView;
 import martenlatch.peers.Peers;
 import martenlatch.policy.api.BalancerSettings;
+import martenlatch.request.RateLimitedLogger;
+import martenlatch.request.Scheduler;
 import martenlatch.site.PeerAddresses;
 
 /** Membership among the sidecars over UDP, on the sidecar's event loop. */
@@ -35,8 +35,8 @@
     private static final int MOST_ZONE = 31;
 
     private final EventLoop loop;
-    private final Time time;
-    private final Complaints complaints;
+    private final Scheduler time;
+    private final RateLimitedLogger complaints;
     private final Peers peers;
     private List<InetSocketAddress> addresses;
     private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
@@ -45,8 +45,8 @@
 
     PeerHost(
             EventLoop loop,
-            Time time,
-            Complaints complaints,
+            Scheduler time,
+            RateLimitedLogger complaints,
             BalancerSettings settings,
             PeerAddresses told,
             long seed) {
--- a/sidecar/src/main/java/martenlatch/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/Sidecar.java
@@ -19,17 +19,17 @@
 import java.util.function.Supplier;
 import martenlatch.admin.AdminServer;
 import martenlatch.admin.Operations;
+import martenlatch.discovery.DiscoveryClient;
+import martenlatch.discovery.EndpointListWatcher;
+import martenlatch.discovery.PollTiming;
 import martenlatch.front.http.Frontend;
-import martenlatch.host.Complaints;
-import martenlatch.host.Exchange;
-import martenlatch.host.ServerList;
-import martenlatch.host.Time;
-import martenlatch.host.Witness;
-import martenlatch.membership.DiscoveryClient;
-import martenlatch.membership.ListWatch;
-import martenlatch.membership.Pace;
 import martenlatch.net.LoopTime;
 import martenlatch.policy.api.RequestClass;
+import martenlatch.request.EndpointList;
+import martenlatch.request.RateLimitedLogger;
+import martenlatch.request.RequestObserver;
+import martenlatch.request.RequestTracker;
+import martenlatch.request.Scheduler;
 import martenlatch.site.PeerAddresses;
 import martenlatch.site.SiteConfig;
 import martenlatch.upstream.EndpointPool;
@@ -66,11 +66,11 @@
     private final Path file;
     private final PrintStream log;
     private SiteConfig config;
-    private Time time;
-    private Complaints complaints;
+    private Scheduler time;
+    private RateLimitedLogger complaints;
     private Operations operations;
     private AdminServer admin;
-    private Time.Timer goodbye;
+    private Scheduler.Timer goodbye;
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop loop;
     /** The first answer of discovery has come. */
@@ -82,7 +82,7 @@
     private InetSocketAddress address;
     private InetSocketAddress adminAddress;
     private volatile long mostDeadlineMs;
-    private Exchange exchange;
+    private RequestTracker exchange;
     private SplittableRandom random;
     /** Null where the sidecars say nothing to each other. */
     private PeerHost peers;
@@ -129,7 +129,7 @@
             boolean beside = sidecar.operations.othersServe();
             if (!config.settings().pollsEndpointList()) {
                 // What the agent has counts as told already: the list in the file may be older.
-                sidecar.firstWord.await(ListWatch.SILENCE_MS, TimeUnit.MILLISECONDS);
+                sidecar.firstWord.await(EndpointListWatcher.SILENCE_MS, TimeUnit.MILLISECONDS);
             }
             if (!beside) {
                 sidecar.listen(config);
@@ -181,14 +181,19 @@
         random = new SplittableRandom(told.seed());
         mindDeadlines();
         time = new LoopTime(loop);
-        complaints = new Complaints(time, log);
+        complaints = new RateLimitedLogger(time, log);
         int spare = SPARE_SOCKETS + (config.admin() == null ? 0 : ADMIN_SOCKETS);
         int half = Math.max(LEAST_CONNECTIONS, (config.sockets() - openFiles() - spare) / 2);
         endpoints = new EndpointPool(
                 loop, time, complaints, config.settings().limits().connectTimeoutMs(), config.idleCloseMs(), half);
         discovery = new DiscoveryClient(
-                loop, time, config.discovery(), config.names(), complaints, () -> Pace.next(config.settings(), random));
-        exchange = new Exchange(
+                loop,
+                time,
+                config.discovery(),
+                config.names(),
+                complaints,
+                () -> PollTiming.next(config.settings(), random));
+        exchange = new RequestTracker(
                 time,
                 complaints,
                 endpoints,
@@ -196,7 +201,7 @@
                 config.settings(),
                 config.seed(),
                 config.known(),
-                Witness.NONE);
+                RequestObserver.NONE);
         operations = new Operations(time, complaints, new Service());
         admin = new AdminServer(loop, operations);
         discovery.listen(new Lists(), config.known().version());
@@ -247,22 +252,22 @@
 
         @Override
         public void disabled(Set<String> endpoints) {
-            exchange.disabled(endpoints);
+            exchange.disableEndpoints(endpoints);
         }
     }
 
     /** Lists go to whoever keeps endpoints' names before the decisions hear of them. */
-    private final class Lists implements ServerList.Listener {
+    private final class Lists implements EndpointList.Listener {
         @Override
-        public void listed(ServerList list) {
+        public void onEndpointList(EndpointList list) {
             operations.listed(list);
-            exchange.listed(list);
+            exchange.onEndpointList(list);
             firstWord.countDown();
         }
 
         @Override
-        public void failed() {
-            exchange.failed();
+        public void onPollFailed() {
+            exchange.onPollFailed();
         }
     }
 
@@ -298,9 +303,9 @@
                 config = next;
                 mindDeadlines();
                 endpoints.retune(next.settings().limits().connectTimeoutMs(), next.idleCloseMs());
-                exchange.retune(next.settings());
+                exchange.applySettings(next.settings());
                 frontend.retune(next.settings());
-                discovery.move(next.discovery(), random.nextDouble() * ListWatch.spreadMs(next.settings()));
+                discovery.move(next.discovery(), random.nextDouble() * EndpointListWatcher.spreadMs(next.settings()));
             } catch (IOException | RuntimeException e) {
                 log.println("martenlatch: the configuration stays as it was: " + e.getMessage());
             }
@@ -358,7 +363,7 @@
 
     /** What its tables hold: open requests and known endpoints; to be asked on the event loop. */
     List<Integer> tableSizes() {
-        return List.of(exchange.openRequests(), endpoints.size());
+        return List.of(exchange.pendingRequests(), endpoints.size());
     }
 
     /** What bodies hold, in bytes; to be asked on the event loop. */
--- a/sidecar/src/main/java/martenlatch/sidecar/Warmup.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/Warmup.java
@@ -31,17 +31,17 @@
 import java.util.concurrent.TimeUnit;
 import martenlatch.front.CallReader;
 import martenlatch.front.http.Frontend;
-import martenlatch.host.Complaints;
-import martenlatch.host.Exchange;
-import martenlatch.host.ServerList;
-import martenlatch.host.Time;
-import martenlatch.host.Witness;
 import martenlatch.net.Buffers;
 import martenlatch.net.LoopTime;
 import martenlatch.policy.api.Endpoint;
 import martenlatch.policy.api.EndpointStatus;
 import martenlatch.policy.api.Idempotency;
 import martenlatch.policy.api.RequestClass;
+import martenlatch.request.EndpointList;
+import martenlatch.request.RateLimitedLogger;
+import martenlatch.request.RequestObserver;
+import martenlatch.request.RequestTracker;
+import martenlatch.request.Scheduler;
 import martenlatch.site.SiteConfig;
 import martenlatch.upstream.AnswerReader;
 import martenlatch.upstream.EndpointPool;
@@ -105,16 +105,16 @@
     }
 
     private void startSidecar(InetSocketAddress at) {
-        Time time = new LoopTime(loop);
-        Complaints silent = new Complaints(time, new PrintStream(OutputStream.nullOutputStream()));
-        ServerList list = new ServerList(
+        Scheduler time = new LoopTime(loop);
+        RateLimitedLogger silent = new RateLimitedLogger(time, new PrintStream(OutputStream.nullOutputStream()));
+        EndpointList list = new EndpointList(
                 0,
                 true,
-                List.of(new ServerList.Entry(
+                List.of(new EndpointList.Entry(
                         new Endpoint("warm-up", config.settings().ownZone(), 0, 0, 0, EndpointStatus.READY, 1), at)));
         pool = new EndpointPool(loop, time, silent, MOST_MS, config.idleCloseMs(), config.sockets());
-        Exchange exchange =
-                new Exchange(time, silent, pool, () -> {}, config.settings(), config.seed(), list, Witness.NONE);
+        RequestTracker exchange = new RequestTracker(
+                time, silent, pool, () -> {}, config.settings(), config.seed(), list, RequestObserver.NONE);
         frontend = new Frontend(loop, time, silent, exchange, pool, config.settings(), config.sockets());
         ChannelFuture bound = frontend.listen(ephemeral());
         bound.addListener(up -> {
--- a/sidecar/src/main/java/martenlatch/benchlink/BenchLink.java
+++ b/sidecar/src/main/java/martenlatch/simulator/SimulatorAdapter.java
@@ -1,4 +1,4 @@
-package martenlatch.benchlink;
+package martenlatch.simulator;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -31,7 +31,7 @@
  * Speaks the simulator's wire: reads batches of events, hands each to the balancer of its instance, and
  * writes one reply a batch. Every decision is the balancers' own.
  */
-public final class BenchLink {
+public final class SimulatorAdapter {
 
     private static final EndpointListKind[] LIST_KINDS = {
         EndpointListKind.CACHED, EndpointListKind.FULL, EndpointListKind.DELTA, EndpointListKind.FAILED
@@ -53,7 +53,7 @@
     private String current = null;
 
     /** An adapter that reads {@code input} and writes {@code output}; warnings go to {@code errors}. */
-    public BenchLink(InputStream input, OutputStream output, PrintStream errors) throws IOException {
+    public SimulatorAdapter(InputStream input, OutputStream output, PrintStream errors) throws IOException {
         JsonFactory factory = JsonFactory.builder()
                 .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
                 .build();
--- a/sidecar/src/main/java/martenlatch/benchlink/WireException.java
+++ b/sidecar/src/main/java/martenlatch/simulator/WireException.java
@@ -1,4 +1,4 @@
-package martenlatch.benchlink;
+package martenlatch.simulator;
 
 /** Input that the adapter cannot act on; the message names the batch and, where known, the instance. */
 public final class WireException extends RuntimeException {
--- a/sidecar/src/main/java/martenlatch/benchlink/package-info.java
+++ b/sidecar/src/main/java/martenlatch/simulator/package-info.java
@@ -2,4 +2,4 @@
  * The simulator's adapter: the same decisions on its wire.
  * It may use the policy and the configuration.
  */
-package martenlatch.benchlink;
+package martenlatch.simulator;
--- a/sidecar/src/main/java/martenlatch/site/SiteConfig.java
+++ b/sidecar/src/main/java/martenlatch/site/SiteConfig.java
@@ -17,10 +17,10 @@
 import martenlatch.config.Fields;
 import martenlatch.config.SettingsReader;
 import martenlatch.config.Shape;
-import martenlatch.host.ServerList;
-import martenlatch.membership.RegistryList;
+import martenlatch.discovery.EndpointListDecoder;
 import martenlatch.policy.api.BalancerSettings;
 import martenlatch.policy.api.RequestClass;
+import martenlatch.request.EndpointList;
 
 /**
  * What a sidecar is told at its start, read from the file that GW_CONFIG names.
@@ -40,8 +40,8 @@
         long seed,
         int sockets,
         double idleCloseMs,
-        RegistryList.Names names,
-        ServerList known,
+        EndpointListDecoder.Names names,
+        EndpointList known,
         BalancerSettings settings,
         Set<String> fields,
         Object peerListen,
@@ -87,7 +87,7 @@
         object("settings.rules", settings.get("rules"));
         positive("settings.limits.dial-timeout-ms", limits.get("dial-timeout-ms"));
         positive("settings.limits.try-limit", limits.get("try-limit"));
-        RegistryList.Names names = new RegistryList.Names(
+        EndpointListDecoder.Names names = new EndpointListDecoder.Names(
                 words("settings.azs", settings.get("azs")), words("settings.models", settings.get("models")));
         Map<String, Object> shown = new HashMap<>();
         config.forEach((field, value) -> shown.put(String.valueOf(field), value));
@@ -104,7 +104,7 @@
                         "limits.sockets", object("limits", config.get("limits")).get("sockets")),
                 positive("settings.limits.idle-close-ms", limits.get("idle-close-ms")),
                 names,
-                RegistryList.of(object("known", config.get("known")), names),
+                EndpointListDecoder.of(object("known", config.get("known")), names),
                 checked(SettingsReader.settings(settings)),
                 Shape.of(shown),
                 config.get("peer_listen"),
--- a/sidecar/src/main/java/martenlatch/upstream/AnswerReader.java
+++ b/sidecar/src/main/java/martenlatch/upstream/AnswerReader.java
@@ -17,9 +17,9 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
 import java.io.IOException;
-import martenlatch.host.Answer;
-import martenlatch.host.Rest;
-import martenlatch.host.Time;
+import martenlatch.request.EndpointResponse;
+import martenlatch.request.RemainingBody;
+import martenlatch.request.Scheduler;
 
 /**
  * Reads the one answer that a connection to an endpoint waits for. It is told once all that has come with it
@@ -38,10 +38,10 @@
     /** What comes of it. */
     public interface Listener {
         /** The answer is whole; {@code clean} if nothing came with it, so that the connection may go on. */
-        void answered(Answer answer, boolean clean);
+        void answered(EndpointResponse answer, boolean clean);
 
-        /** A long answer has begun; it has a {@link Answer#rest}. */
-        void begun(Answer answer);
+        /** A long answer has begun; it has a {@link EndpointResponse#rest}. */
+        void begun(EndpointResponse answer);
 
         /** The long answer that has begun is whole; {@code clean} as above. */
         void ended(boolean clean);
@@ -104,14 +104,14 @@
     }
 
     private final Listener listener;
-    private final Time time;
+    private final Scheduler time;
     private final Decoder decoder = new Decoder();
     private boolean expecting;
     private boolean spoilt;
     private HttpResponse head;
     private ByteBuf body;
     private int interim;
-    private Answer whole;
+    private EndpointResponse whole;
     /** More has come with the answer than belongs to it. */
     private boolean more;
     /** The long answer that is passed on, how much of it has come, and whether that was all. */
@@ -122,7 +122,7 @@
     /** The connection has broken: its end is not the end of an answer. */
     private boolean broken;
 
-    public AnswerReader(Listener listener, Time time) {
+    public AnswerReader(Listener listener, Scheduler time) {
         this.listener = listener;
         this.time = time;
     }
@@ -213,7 +213,7 @@
                 time);
         passed = body.readableBytes();
         byte[] first = ByteBufUtil.getBytes(body);
-        Answer answer = answer(new byte[0], passing);
+        EndpointResponse answer = answer(new byte[0], passing);
         PassedOn begun = passing;
         if (first.length > 0) {
             begun.part(first);
@@ -221,8 +221,8 @@
         listener.begun(answer);
     }
 
-    private Answer answer(byte[] bytes, Rest rest) {
-        return new Answer(
+    private EndpointResponse answer(byte[] bytes, RemainingBody rest) {
+        return new EndpointResponse(
                 head.status().code(),
                 "1".equals(head.headers().get("X-Not-Run")),
                 HttpUtil.isKeepAlive(head),
@@ -327,7 +327,7 @@
         if (whole == null) {
             return;
         }
-        Answer answer = whole;
+        EndpointResponse answer = whole;
         boolean clean = !more && !decoder.holdsBytes();
         whole = null;
         more = false;
--- a/sidecar/src/main/java/martenlatch/upstream/EndpointPool.java
+++ b/sidecar/src/main/java/martenlatch/upstream/EndpointPool.java
@@ -31,18 +31,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import martenlatch.host.Answer;
-import martenlatch.host.Carrier;
-import martenlatch.host.Complaints;
-import martenlatch.host.EndpointTable;
-import martenlatch.host.ServerList;
-import martenlatch.host.Time;
 import martenlatch.net.Buffers;
 import martenlatch.policy.api.AttemptOutcome;
 import martenlatch.policy.api.EndpointStatus;
+import martenlatch.request.EndpointConnections;
+import martenlatch.request.EndpointList;
+import martenlatch.request.EndpointResponse;
+import martenlatch.request.RateLimitedLogger;
+import martenlatch.request.Scheduler;
+import martenlatch.request.Transport;
 
 /** The connections to each endpoint: one request at a time on each, kept alive, bounded in all. */
-public final class EndpointPool implements EndpointTable {
+public final class EndpointPool implements EndpointConnections {
 
     /** An idle connection is closed at this part of the time after which the endpoint may close it. */
     private static final double IDLE_SHARE = 0.5;
@@ -68,23 +68,23 @@
     public record Message(HttpMethod method, String uri, HttpHeaders headers, byte[] body, Upload upload) {}
 
     /** One request on its way to an endpoint. */
-    private final class Attempt implements Carrier.Attempt {
+    private final class Attempt implements Transport.Attempt {
         private final HttpRequest request;
         private final Upload upload;
-        private Carrier.Ending ending;
+        private Transport.AttemptListener ending;
         private Connection connection;
-        private final Carrier.Conditions conditions;
+        private final Transport.WriteConditions conditions;
         private final double notAfter;
-        private Time.Timer tooLate;
+        private Scheduler.Timer tooLate;
         /** The system has taken the last byte: from here on the request may have run. */
         private boolean written;
 
         private Attempt(
                 HttpRequest request,
                 Upload upload,
-                Carrier.Conditions conditions,
+                Transport.WriteConditions conditions,
                 double notAfter,
-                Carrier.Ending ending) {
+                Transport.AttemptListener ending) {
             this.request = request;
             this.upload = upload;
             this.conditions = conditions;
@@ -100,9 +100,9 @@
         }
 
         private void expire() {
-            Carrier.Ending told = ending;
+            Transport.AttemptListener told = ending;
             if (withdraw()) {
-                told.ended(AttemptOutcome.NOT_EXECUTED, null);
+                told.onAttemptFinished(AttemptOutcome.NOT_EXECUTED, null);
             }
         }
 
@@ -142,11 +142,11 @@
             return true;
         }
 
-        private void end(AttemptOutcome outcome, Answer answer) {
-            Carrier.Ending told = ending;
+        private void end(AttemptOutcome outcome, EndpointResponse answer) {
+            Transport.AttemptListener told = ending;
             over();
             if (told != null) {
-                told.ended(outcome, answer);
+                told.onAttemptFinished(outcome, answer);
             }
         }
     }
@@ -164,8 +164,8 @@
         int generation;
     }
 
-    private final Time time;
-    private final Complaints complaints;
+    private final Scheduler time;
+    private final RateLimitedLogger complaints;
     private final Bootstrap bootstrap;
     private double idleMs;
     private final int most;
@@ -177,10 +177,11 @@
     /** Attempts that wait for connections nobody wants any more. */
     private final List<Attempt> needless = new ArrayList<>();
 
-    private Time.Timer sweeping;
+    private Scheduler.Timer sweeping;
     private int open;
 
-    public EndpointPool(EventLoop loop, Time time, Complaints complaints, double dialMs, double idleCloseMs, int most) {
+    public EndpointPool(
+            EventLoop loop, Scheduler time, RateLimitedLogger complaints, double dialMs, double idleCloseMs, int most) {
         this.time = time;
         this.complaints = complaints;
         this.most = most;
@@ -211,31 +212,31 @@
 
     /** Takes in where endpoints listen; connections to a process or address that is no more are dropped. */
     @Override
-    public void update(ServerList list) {
+    public void update(EndpointList list) {
         if (list.full()) {
             Set<String> named = new HashSet<>();
-            list.entries().forEach(entry -> named.add(entry.server().id()));
+            list.entries().forEach(entry -> named.add(entry.endpoint().id()));
             for (String id : List.copyOf(endpoints.keySet())) {
                 if (!named.contains(id)) {
                     remove(id);
                 }
             }
         }
-        for (ServerList.Entry entry : list.entries()) {
-            String id = entry.server().id();
-            if (entry.server().status() == EndpointStatus.GONE) {
+        for (EndpointList.Entry entry : list.entries()) {
+            String id = entry.endpoint().id();
+            if (entry.endpoint().status() == EndpointStatus.GONE) {
                 remove(id);
                 continue;
             }
             Endpoint endpoint = endpoints.computeIfAbsent(id, k -> new Endpoint());
-            if (!entry.address().equals(endpoint.address) || entry.server().startedMs() != endpoint.startedMs) {
+            if (!entry.address().equals(endpoint.address) || entry.endpoint().startedMs() != endpoint.startedMs) {
                 retire(endpoint);
                 leaveAddress(endpoint);
             }
             endpoint.address = entry.address();
-            endpoint.startedMs = entry.server().startedMs();
+            endpoint.startedMs = entry.endpoint().startedMs();
             settleAddress(endpoint);
-            if (entry.server().status() != EndpointStatus.READY) {
+            if (entry.endpoint().status() != EndpointStatus.READY) {
                 leaveWaiting(endpoint);
             }
         }
@@ -247,13 +248,13 @@
 
     /** A send counts from its first byte, so what was decided before the list came must not begin after. */
     @Override
-    public void withdraw() {
+    public void withdrawAttempts() {
         List<Attempt> left = List.copyOf(needless);
         needless.clear();
         for (Attempt attempt : left) {
-            Carrier.Ending told = attempt.ending;
+            Transport.AttemptListener told = attempt.ending;
             if (attempt.withdraw()) {
-                told.ended(AttemptOutcome.NOT_EXECUTED, null);
+                told.onAttemptFinished(AttemptOutcome.NOT_EXECUTED, null);
             }
         }
     }
@@ -324,12 +325,12 @@
     }
 
     /** What sends the attempts of one call, all with the same message. */
-    public Carrier carrier(Message message) {
+    public Transport carrier(Message message) {
         return new MessageCarrier(message);
     }
 
     /** An attempt that was over before it began. */
-    private static final Carrier.Attempt NOTHING = new Carrier.Attempt() {
+    private static final Transport.Attempt NOTHING = new Transport.Attempt() {
         @Override
         public boolean giveUp() {
             return false;
@@ -341,7 +342,7 @@
         }
     };
 
-    private final class MessageCarrier implements Carrier {
+    private final class MessageCarrier implements Transport {
         private final Message message;
         private boolean sent;
 
@@ -350,10 +351,11 @@
         }
 
         @Override
-        public Carrier.Attempt send(String server, Conditions conditions, double notAfter, Ending ending) {
+        public Transport.Attempt send(
+                String server, WriteConditions conditions, double notAfter, AttemptListener ending) {
             if (message.upload() != null && !message.upload().isFresh()) {
                 // A part of the body is gone: nothing is sent, and the endpoint is not to blame.
-                ending.ended(AttemptOutcome.NOT_EXECUTED, null);
+                ending.onAttemptFinished(AttemptOutcome.NOT_EXECUTED, null);
                 return NOTHING;
             }
             // Hardly any request needs a second attempt: only those copy the headers.
@@ -456,7 +458,7 @@
         /** Whose body is being written, with its attempt. */
         private Attempt uploading;
 
-        private Time.Timer stuck;
+        private Scheduler.Timer stuck;
         private EndpointSocket channel;
         private Attempt attempt;
         private double idleSince;
@@ -620,7 +622,7 @@
         }
 
         @Override
-        public void answered(Answer answer, boolean clean) {
+        public void answered(EndpointResponse answer, boolean clean) {
             Attempt ended = attempt;
             attempt = null;
             boolean early = uploading != null;
@@ -647,11 +649,11 @@
         }
 
         @Override
-        public void begun(Answer answer) {
+        public void begun(EndpointResponse answer) {
             Attempt ended = attempt;
             attempt = null;
             if (ended == null || uploading != null) {
-                answer.rest().abandon();
+                answer.remainingBody().abandon();
                 close();
                 if (ended != null) {
                     ended.end(AttemptOutcome.RESET, null);
@@ -695,7 +697,7 @@
             public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
                 // A reset is an everyday end of an attempt and told as such; the rest operators should see.
                 if (!(cause instanceof java.io.IOException)) {
-                    complaints.bug("connection to an endpoint", cause);
+                    complaints.logException("connection to an endpoint", cause);
                 }
                 close();
             }
--- a/sidecar/src/main/java/martenlatch/upstream/PassedOn.java
+++ b/sidecar/src/main/java/martenlatch/upstream/PassedOn.java
@@ -2,11 +2,11 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import martenlatch.host.Rest;
-import martenlatch.host.Time;
+import martenlatch.request.RemainingBody;
+import martenlatch.request.Scheduler;
 
 /** An answer that is passed on as it comes, from the connection to an endpoint on which it comes. */
-final class PassedOn implements Rest {
+final class PassedOn implements RemainingBody {
 
     /**
      * Where no byte has been passed on for so long, one of both sides is gone without a word: longer than
@@ -23,15 +23,15 @@
 
     private final long length;
     private final Connection connection;
-    private final Time time;
+    private final Scheduler time;
     private final Deque<byte[]> early = new ArrayDeque<>();
-    private Taker taker;
-    private Time.Timer stall;
+    private Receiver taker;
+    private Scheduler.Timer stall;
     private double movedAt;
     private boolean ended;
     private boolean whole;
 
-    PassedOn(long length, Connection connection, Time time) {
+    PassedOn(long length, Connection connection, Scheduler time) {
         this.length = length;
         this.connection = connection;
         this.time = time;
@@ -61,7 +61,7 @@
         if (taker == null) {
             early.add(bytes);
         } else {
-            taker.part(bytes);
+            taker.onPart(bytes);
         }
     }
 
@@ -73,7 +73,7 @@
         whole = allCame;
         stall.cancel();
         if (taker != null) {
-            taker.end(whole);
+            taker.onEnd(whole);
         }
     }
 
@@ -82,13 +82,13 @@
     }
 
     @Override
-    public void to(Taker next) {
+    public void transferTo(Receiver next) {
         taker = next;
         for (byte[] bytes = early.poll(); bytes != null; bytes = early.poll()) {
-            next.part(bytes);
+            next.onPart(bytes);
         }
         if (ended) {
-            next.end(whole);
+            next.onEnd(whole);
         } else {
             connection.read(true);
         }
--- a/sidecar/src/test/java/martenlatch/membership/ListWatchTest.java
+++ b/sidecar/src/test/java/martenlatch/discovery/EndpointListWatcherTest.java
@@ -1,4 +1,4 @@
-package martenlatch.membership;
+package martenlatch.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,25 +11,25 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.SplittableRandom;
-import martenlatch.host.Complaints;
-import martenlatch.host.ServerList;
-import martenlatch.host.Time;
 import martenlatch.policy.api.AttemptLimits;
 import martenlatch.policy.api.BalancerSettings;
 import martenlatch.policy.api.DeduplicationScope;
 import martenlatch.policy.api.EndpointRules;
 import martenlatch.policy.api.Idempotency;
 import martenlatch.policy.api.RequestClass;
+import martenlatch.request.EndpointList;
+import martenlatch.request.RateLimitedLogger;
+import martenlatch.request.Scheduler;
 import org.junit.jupiter.api.Test;
 
 /** The watch on discovery, over random sequences of what may come of its calls. */
-class ListWatchTest {
+class EndpointListWatcherTest {
 
     private static final int SEQUENCES = 2000;
     private static final int STEPS = 60;
 
     /** A clock that the test moves. */
-    private static final class Clock implements Time {
+    private static final class Clock implements Scheduler {
         private static final class Task implements Timer, Comparable<Task> {
             private final double at;
             private Runnable work;
@@ -77,15 +77,15 @@
     }
 
     /** What goes out and comes back, and that each thing happens once. */
-    private static final class Recorder implements ListWatch.Line, ServerList.Listener {
-        private final List<ListWatch.Call> calls = new ArrayList<>();
-        private ListWatch.Call out;
+    private static final class Recorder implements EndpointListWatcher.Line, EndpointList.Listener {
+        private final List<EndpointListWatcher.Call> calls = new ArrayList<>();
+        private EndpointListWatcher.Call out;
         private int lists;
         private int failures;
         private int drops;
 
         @Override
-        public void call(ListWatch.Call call) {
+        public void call(EndpointListWatcher.Call call) {
             assertTrue(out == null, "two calls at once");
             out = call;
             calls.add(call);
@@ -98,13 +98,13 @@
         }
 
         @Override
-        public void listed(ServerList list) {
+        public void onEndpointList(EndpointList list) {
             assertTrue(out != null, "the next call goes out before the list is heard");
             lists++;
         }
 
         @Override
-        public void failed() {
+        public void onPollFailed() {
             assertTrue(out == null, "a call that has failed is over");
             failures++;
         }
@@ -112,18 +112,18 @@
 
     private final Clock clock = new Clock();
     private final Recorder line = new Recorder();
-    private final ListWatch watch = new ListWatch(
+    private final EndpointListWatcher watch = new EndpointListWatcher(
             clock,
             line,
-            new Complaints(clock, new PrintStream(OutputStream.nullOutputStream())),
-            () -> new Pace(20_000, 1000, 2000));
+            new RateLimitedLogger(clock, new PrintStream(OutputStream.nullOutputStream())),
+            () -> new PollTiming(20_000, 1000, 2000));
 
-    ListWatchTest() {
+    EndpointListWatcherTest() {
         watch.listen(line, 7);
     }
 
-    private static ServerList list(long version) {
-        return new ServerList(version, true, List.of());
+    private static EndpointList list(long version) {
+        return new EndpointList(version, true, List.of());
     }
 
     private void answer(long number, long version) {
@@ -137,7 +137,7 @@
     @Test
     void whateverComesOneCallIsOutAtATime() {
         for (int seed = 0; seed < SEQUENCES; seed++) {
-            ListWatchTest one = new ListWatchTest();
+            EndpointListWatcherTest one = new EndpointListWatcherTest();
             Random random = new Random(seed);
             for (int i = 0; i < STEPS; i++) {
                 int calls = one.line.calls.size();
@@ -190,7 +190,7 @@
     @Test
     void silenceOnTheWholeListIsAFailure() {
         watch.moved(0);
-        clock.pass(ListWatch.SILENCE_MS - 1);
+        clock.pass(EndpointListWatcher.SILENCE_MS - 1);
         assertEquals(0, line.failures);
         clock.pass(1);
         assertEquals(List.of(1, 1), List.of(line.failures, line.calls.size()));
@@ -228,15 +228,18 @@
         double least = Double.MAX_VALUE;
         double most = 0;
         for (int i = 0; i < 1000; i++) {
-            double wait = Pace.next(settings(true, 6000), random).waitMs();
+            double wait = PollTiming.next(settings(true, 6000), random).waitMs();
             least = Math.min(least, wait);
             most = Math.max(most, wait);
         }
         assertTrue(least >= 6000 && least < 6100 && most > 11_900 && most <= 12_000, least + " " + most);
         assertEquals(
-                Pace.MOST_WAIT_MS, Pace.next(settings(true, 60_000), random).waitMs());
-        assertEquals(Pace.LEAST_WAIT_MS, Pace.next(settings(true, 100), random).waitMs());
-        Pace agent = Pace.next(settings(false, 60_000), random);
+                PollTiming.MOST_WAIT_MS,
+                PollTiming.next(settings(true, 60_000), random).waitMs());
+        assertEquals(
+                PollTiming.LEAST_WAIT_MS,
+                PollTiming.next(settings(true, 100), random).waitMs());
+        PollTiming agent = PollTiming.next(settings(false, 60_000), random);
         assertTrue(agent.waitMs() + agent.owedMs() <= 500, "within any drain's grace: " + agent);
     }
 
@@ -266,7 +269,7 @@
         assertEquals(0, line.calls.size());
         clock.pass(1);
         assertEquals(OptionalLong.empty(), line.out.index());
-        clock.pass(ListWatch.SILENCE_MS);
+        clock.pass(EndpointListWatcher.SILENCE_MS);
         assertEquals(List.of(1, 1), List.of(line.calls.size(), line.failures));
     }
 }
--- a/sidecar/src/test/java/martenlatch/sidecar/SiteConfigTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SiteConfigTest.java
@@ -35,7 +35,7 @@
         assertEquals(1024, config.sockets());
         assertEquals(15_000, config.idleCloseMs());
         assertEquals(1, config.known().version());
-        assertEquals("s0", config.known().entries().get(0).server().id());
+        assertEquals("s0", config.known().entries().get(0).endpoint().id());
         assertEquals(3, config.settings().classes().size());
     }
 
--- a/sidecar/src/test/java/martenlatch/benchlink/BenchLinkTest.java
+++ b/sidecar/src/test/java/martenlatch/simulator/SimulatorAdapterTest.java
@@ -1,4 +1,4 @@
-package martenlatch.benchlink;
+package martenlatch.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/sidecar/src/test/java/martenlatch/upstream/EndpointAddressesTest.java
+++ b/sidecar/src/test/java/martenlatch/upstream/EndpointAddressesTest.java
@@ -12,11 +12,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import martenlatch.host.Complaints;
-import martenlatch.host.ServerList;
-import martenlatch.host.Time;
 import martenlatch.policy.api.Endpoint;
 import martenlatch.policy.api.EndpointStatus;
+import martenlatch.request.EndpointList;
+import martenlatch.request.RateLimitedLogger;
+import martenlatch.request.Scheduler;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
@@ -32,18 +32,18 @@
 
         private final Map<String, Place> places = new LinkedHashMap<>();
 
-        void update(ServerList list) {
+        void update(EndpointList list) {
             if (list.full()) {
                 places.keySet()
                         .removeIf(id -> list.entries().stream()
-                                .noneMatch(entry -> entry.server().id().equals(id)));
+                                .noneMatch(entry -> entry.endpoint().id().equals(id)));
             }
-            for (ServerList.Entry entry : list.entries()) {
-                String id = entry.server().id();
-                if (entry.server().status() == EndpointStatus.GONE) {
+            for (EndpointList.Entry entry : list.entries()) {
+                String id = entry.endpoint().id();
+                if (entry.endpoint().status() == EndpointStatus.GONE) {
                     places.remove(id);
                 } else {
-                    places.put(id, new Place(entry.server().startedMs(), entry.address()));
+                    places.put(id, new Place(entry.endpoint().startedMs(), entry.address()));
                     settle(id);
                 }
             }
@@ -71,7 +71,7 @@
     }
 
     private EndpointPool pool() {
-        Time still = new Time() {
+        Scheduler still = new Scheduler() {
             @Override
             public double now() {
                 return 0;
@@ -83,11 +83,16 @@
             }
         };
         return new EndpointPool(
-                loop, still, new Complaints(still, new PrintStream(OutputStream.nullOutputStream())), 100, 1000, 10);
+                loop,
+                still,
+                new RateLimitedLogger(still, new PrintStream(OutputStream.nullOutputStream())),
+                100,
+                1000,
+                10);
     }
 
-    private static ServerList.Entry entry(int id, int port, double startedMs, EndpointStatus state) {
-        return new ServerList.Entry(
+    private static EndpointList.Entry entry(int id, int port, double startedMs, EndpointStatus state) {
+        return new EndpointList.Entry(
                 new Endpoint("s" + id, 0, 0, 0, startedMs, state, 1),
                 state == EndpointStatus.GONE ? null : InetSocketAddress.createUnresolved("e", port));
     }
@@ -99,7 +104,7 @@
             EndpointPool pool = pool();
             Model model = new Model();
             for (int i = 0; i < LISTS; i++) {
-                List<ServerList.Entry> entries = new ArrayList<>();
+                List<EndpointList.Entry> entries = new ArrayList<>();
                 for (int left = random.nextInt(4); left >= 0; left--) {
                     entries.add(entry(
                             random.nextInt(6),
@@ -107,7 +112,7 @@
                             random.nextInt(3),
                             EndpointStatus.values()[random.nextInt(3)]));
                 }
-                ServerList list = new ServerList(i, random.nextInt(8) == 0, entries);
+                EndpointList list = new EndpointList(i, random.nextInt(8) == 0, entries);
                 pool.update(list);
                 model.update(list);
                 for (int id = 0; id < 6; id++) {
@@ -125,7 +130,7 @@
                         pool.addresses(),
                         "after list " + i + " of seed " + seed);
             }
-            pool.update(new ServerList(LISTS, true, List.of()));
+            pool.update(new EndpointList(LISTS, true, List.of()));
             assertEquals(0, pool.size() + pool.addresses());
         }
     }
--- a/sidecar/src/test/java/martenlatch/upstream/IdleConnectionsTest.java
+++ b/sidecar/src/test/java/martenlatch/upstream/IdleConnectionsTest.java
@@ -21,14 +21,14 @@
 import java.util.Locale;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import martenlatch.host.Answer;
-import martenlatch.host.Carrier;
-import martenlatch.host.Complaints;
-import martenlatch.host.ServerList;
-import martenlatch.host.Time;
 import martenlatch.policy.api.AttemptOutcome;
 import martenlatch.policy.api.Endpoint;
 import martenlatch.policy.api.EndpointStatus;
+import martenlatch.request.EndpointList;
+import martenlatch.request.EndpointResponse;
+import martenlatch.request.RateLimitedLogger;
+import martenlatch.request.Scheduler;
+import martenlatch.request.Transport;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -43,7 +43,7 @@
     private static final int LARGE = 8 * 1024 * 1024;
 
     /** What the pool asks about an attempt before it writes it. */
-    private final class FixedConditions implements Carrier.Conditions {
+    private final class FixedConditions implements Transport.WriteConditions {
         @Override
         public double remainingMs() {
             return waitUntil - now;
@@ -55,13 +55,13 @@
         }
     }
 
-    private record End(AttemptOutcome outcome, Answer answer) {}
+    private record End(AttemptOutcome outcome, EndpointResponse answer) {}
 
     private final EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private volatile double now = 1_000_000;
     private volatile double waitUntil = now + 5000;
     private volatile boolean clientConnected = true;
-    private final Carrier.Conditions conditions = new FixedConditions();
+    private final Transport.WriteConditions conditions = new FixedConditions();
     private final ServerSocket endpoint;
     private final LinkedBlockingQueue<End> ends = new LinkedBlockingQueue<>();
     private EndpointPool pool;
@@ -70,7 +70,7 @@
         endpoint = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         endpoint.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
         // Timers never fire: what a loop that is held up would have done is not done.
-        Time time = new Time() {
+        Scheduler time = new Scheduler() {
             @Override
             public double now() {
                 return now;
@@ -85,15 +85,15 @@
                     pool = new EndpointPool(
                             loop,
                             time,
-                            new Complaints(time, new PrintStream(OutputStream.nullOutputStream())),
+                            new RateLimitedLogger(time, new PrintStream(OutputStream.nullOutputStream())),
                             5000,
                             IDLE_CLOSE_MS,
                             100);
                     Endpoint server = new Endpoint("s0", 0, 0, 0, 0, EndpointStatus.READY, 1);
-                    pool.update(new ServerList(
+                    pool.update(new EndpointList(
                             1,
                             true,
-                            List.of(new ServerList.Entry(
+                            List.of(new EndpointList.Entry(
                                     server,
                                     new InetSocketAddress(endpoint.getInetAddress(), endpoint.getLocalPort())))));
                 })
@@ -110,7 +110,7 @@
         attempt(0, Double.POSITIVE_INFINITY);
     }
 
-    private Carrier.Attempt attempt(int bodySize, double notAfter) {
+    private Transport.Attempt attempt(int bodySize, double notAfter) {
         return pool.carrier(new EndpointPool.Message(
                         bodySize == 0 ? HttpMethod.GET : HttpMethod.POST,
                         "/api",
@@ -337,7 +337,7 @@
     /** What an endpoint has half of has not run, and never will where the rest is withdrawn in time. */
     @Test
     void whatIsHalfWrittenCanBeWithdrawn() throws Exception {
-        Carrier.Attempt half =
+        Transport.Attempt half =
                 loop.submit(() -> attempt(LARGE, Double.POSITIVE_INFINITY)).get();
         try (Socket first = endpoint.accept()) {
             while (first.getInputStream().available() == 0) {
@@ -346,7 +346,7 @@
             assertTrue(loop.submit(half::withdraw).get());
             assertTrue(first.getInputStream().readAllBytes().length < LARGE);
         }
-        Carrier.Attempt whole =
+        Transport.Attempt whole =
                 loop.submit(() -> attempt(0, Double.POSITIVE_INFINITY)).get();
         try (Socket second = endpoint.accept()) {
             read(second);
--- a/sidecar/src/test/java/martenlatch/upstream/PassedOnTest.java
+++ b/sidecar/src/test/java/martenlatch/upstream/PassedOnTest.java
@@ -6,14 +6,14 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import martenlatch.host.Rest;
-import martenlatch.host.Time;
+import martenlatch.request.RemainingBody;
+import martenlatch.request.Scheduler;
 import org.junit.jupiter.api.Test;
 
 /** An answer that is passed on: its parts, its pauses, its stall, on a clock that the test moves. */
 class PassedOnTest {
 
-    private static final class Clock implements Time {
+    private static final class Clock implements Scheduler {
         private record Task(double at, Runnable run) {}
 
         private double now;
@@ -66,14 +66,14 @@
                 }
             },
             clock);
-    private final Rest.Taker taker = new Rest.Taker() {
+    private final RemainingBody.Receiver taker = new RemainingBody.Receiver() {
         @Override
-        public void part(byte[] bytes) {
+        public void onPart(byte[] bytes) {
             got.append(new String(bytes));
         }
 
         @Override
-        public void end(boolean whole) {
+        public void onEnd(boolean whole) {
             got.append(whole ? "." : "!");
         }
     };
@@ -86,7 +86,7 @@
     void nothingIsReadUntilSomebodyTakesIt() {
         part("a");
         assertFalse(reading);
-        answer.to(taker);
+        answer.transferTo(taker);
         assertTrue(reading);
         part("b");
         answer.pause(true);
@@ -102,7 +102,7 @@
     /** Guards against a stream whose one side is gone without a word: nobody would ever end it. */
     @Test
     void whatStallsIsCutAndWhatMovesIsNot() {
-        answer.to(taker);
+        answer.transferTo(taker);
         for (int i = 0; i < 10; i++) {
             clock.pass(PassedOn.STALL_MS - 1);
             part("x");
@@ -116,7 +116,7 @@
 
     @Test
     void whoGivesItUpHearsNoEnd() {
-        answer.to(taker);
+        answer.transferTo(taker);
         part("a");
         answer.abandon();
         assertTrue(closed);
--- a/tools/src/test/java/martenlatch/ToolsRoomsTest.java
+++ b/tools/src/test/java/martenlatch/ToolsRoomsTest.java
@@ -51,10 +51,10 @@
                 .dependOnClassesThat()
                 .resideInAnyPackage(
                         "martenlatch.policy..",
-                        "martenlatch.host..",
+                        "martenlatch.request..",
                         "martenlatch.front..",
                         "martenlatch.upstream..",
-                        "martenlatch.membership..",
+                        "martenlatch.discovery..",
                         "martenlatch.sidecar..",
                         "martenlatch.site..",
                         "martenlatch.net..")
