--- a/extproc/src/main/java/martenlatch/extproc/ExtProcServer.java
+++ b/extproc/src/main/java/martenlatch/extproc/ExtProcServer.java
@@ -96,12 +96,12 @@
                 time,
                 complaints,
                 addresses,
-                discovery::watch,
+                discovery::start,
                 config.settings(),
                 config.seed(),
                 config.known(),
                 RequestObserver.NONE);
-        discovery.listen(exchange, config.known().version());
+        discovery.setListener(exchange, config.known().version());
         processor = new Processor(time, loop, complaints, exchange, addresses, own, config.settings());
     }
 
@@ -144,7 +144,7 @@
             try {
                 InetSocketAddress named = SiteConfig.read(siteFile).discovery();
                 log.println("martenlatch: configuration read again: discovery is at " + named);
-                discovery.move(named);
+                discovery.moveTo(named);
             } catch (IOException | RuntimeException e) {
                 log.println("martenlatch: the configuration stays as it was: " + e.getMessage());
             }
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimSidecar.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimSidecar.java
@@ -10,7 +10,9 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Function;
+import martenlatch.discovery.DiscoveryTransport;
 import martenlatch.discovery.EndpointListWatcher;
+import martenlatch.discovery.Poll;
 import martenlatch.discovery.PollTiming;
 import martenlatch.fleet.history.Event.What;
 import martenlatch.fleet.history.History;
@@ -133,8 +135,8 @@
         RateLimitedLogger complaints = new RateLimitedLogger(time, new PrintStream(OutputStream.nullOutputStream()));
         watch = new EndpointListWatcher(own, new Line(), complaints, () -> PollTiming.next(settings, moves));
         exchange = new RequestTracker(
-                own, complaints, new Table(), watch::watch, settings, seed * 31 + life, known, RequestObserver.NONE);
-        watch.listen(exchange, known.version());
+                own, complaints, new Table(), watch::start, settings, seed * 31 + life, known, RequestObserver.NONE);
+        watch.setListener(exchange, known.version());
         history.tell(What.PROCESS, name, "", "", "serves");
     }
 
@@ -368,27 +370,27 @@
 
     // ---- the watch on discovery ----
 
-    private final class Line implements EndpointListWatcher.Line {
+    private final class Line implements DiscoveryTransport {
         @Override
-        public void call(EndpointListWatcher.Call call) {
+        public void send(Poll poll) {
             int mine = life;
-            long index = call.index().orElse(-1);
-            long wait = call.pace().waitMs();
+            long index = poll.knownVersion().orElse(-1);
+            long wait = poll.timing().waitMs();
             toDiscovery.send(() -> discovery.ask(name, index, wait, new SimDiscovery.Caller() {
                 @Override
                 public void answered(EndpointList list) {
-                    fromDiscovery.send(() -> enter(mine, () -> watch.answered(call.number(), list)));
+                    fromDiscovery.send(() -> enter(mine, () -> watch.onList(poll.number(), list)));
                 }
 
                 @Override
                 public void refused() {
-                    fromDiscovery.send(() -> enter(mine, () -> watch.failed(call.number(), "status 503")));
+                    fromDiscovery.send(() -> enter(mine, () -> watch.onFailure(poll.number(), "status 503")));
                 }
             }));
         }
 
         @Override
-        public void drop() {
+        public void abort() {
             toDiscovery.send(() -> discovery.leave(name));
         }
     }
@@ -398,7 +400,7 @@
         if (alive) {
             int mine = life;
             history.tell(What.PROCESS, name, "", "", "reloads");
-            enter(mine, () -> watch.moved(moves.nextDouble() * EndpointListWatcher.spreadMs(settings)));
+            enter(mine, () -> watch.restart(moves.nextDouble() * PollTiming.maxStartJitterMs(settings)));
         }
     }
 
--- a/sidecar/src/main/java/martenlatch/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/martenlatch/discovery/DiscoveryClient.java
@@ -30,101 +30,102 @@
 import martenlatch.request.RateLimitedLogger;
 import martenlatch.request.Scheduler;
 
-/** Carries the calls of a watch on the list of endpoints out, over one connection at a time. */
-public final class DiscoveryClient implements EndpointListWatcher.Line {
+/** Polls discovery over HTTP/1.1, on one connection at a time. */
+public final class DiscoveryClient implements DiscoveryTransport {
 
-    private static final int MOST_BODY = 4 * 1024 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
     /**
-     * A connection that has answered may be closed behind its answer, and the next call cross that: it is
-     * made again at once, while the watch goes on by the protocol. Later a connection's end is discovery's,
-     * and who hears of it must not come back together with all others.
+     * Discovery may close a connection just after its response, and the next poll may cross that: within this time it
+     * is sent again at once, while the watch continues by the protocol. Later the end of a connection is discovery's
+     * doing, and those who see it must not come back together.
      */
-    private static final double CROSSED_MS = 200;
+    private static final double CONNECTION_RACE_MS = 200;
 
     private final EventLoop loop;
-    private final Scheduler time;
+    private final Scheduler scheduler;
     private final EndpointListDecoder.Names names;
-    private final EndpointListWatcher watch;
+    private final EndpointListWatcher watcher;
     private final Bootstrap bootstrap;
     private InetSocketAddress address;
     private Channel channel;
-    /** The call that is out, or null. */
-    private EndpointListWatcher.Call out;
-    /** Until when the end of the connection says nothing of the call that is out on it. */
-    private double crossedUntil;
+    /** Null while no poll is outstanding. */
+    private Poll outstanding;
+    /** Until then the end of the connection says nothing about the poll that was written to it. */
+    private double raceUntilMs;
 
+    /** Creates a client that polls nothing yet; {@code timing} is asked before each poll. */
     public DiscoveryClient(
             EventLoop loop,
-            Scheduler time,
+            Scheduler scheduler,
             InetSocketAddress address,
             EndpointListDecoder.Names names,
-            RateLimitedLogger complaints,
-            Supplier<PollTiming> pace) {
+            RateLimitedLogger logger,
+            Supplier<PollTiming> timing) {
         this.loop = loop;
-        this.time = time;
+        this.scheduler = scheduler;
         this.address = address;
         this.names = names;
-        watch = new EndpointListWatcher(time, this, complaints, pace);
+        watcher = new EndpointListWatcher(scheduler, this, logger, timing);
         bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, EndpointListWatcher.SILENCE_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, PollTiming.FULL_LIST_TIMEOUT_MS)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel fresh) {
                         fresh.pipeline()
                                 .addLast(
-                                        new Start(),
+                                        new ResponseStartHandler(),
                                         new HttpClientCodec(),
-                                        new HttpObjectAggregator(MOST_BODY),
-                                        new Calls());
+                                        new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                                        new ResponseHandler());
                     }
                 });
     }
 
-    /** Who hears of lists, and which version is known already. */
-    public void listen(EndpointList.Listener hearer, long known) {
-        watch.listen(hearer, known);
+    /** Sets who hears of lists, and the version that is known already. */
+    public void setListener(EndpointList.Listener listener, long knownVersion) {
+        watcher.setListener(listener, knownVersion);
     }
 
-    /** Starts a watch; one that is on goes on. */
-    public void watch() {
-        watch.watch();
+    /** Starts to poll; an outstanding poll goes on. */
+    public void start() {
+        watcher.start();
     }
 
-    /** As below, at once. */
-    public void move(InetSocketAddress to) {
-        move(to, 0);
+    /** Goes on at another address, at once. */
+    public void moveTo(InetSocketAddress next) {
+        moveTo(next, 0);
     }
 
-    /** Goes on at another address, after so many milliseconds; at the one that it has nothing changes. */
-    public void move(InetSocketAddress to, double afterMs) {
-        if (!to.equals(address)) {
-            address = to;
-            watch.moved(afterMs);
+    /** Goes on at another address after so many milliseconds; nothing changes where the address is the same. */
+    public void moveTo(InetSocketAddress next, double delayMs) {
+        if (!next.equals(address)) {
+            address = next;
+            watcher.restart(delayMs);
         }
     }
 
     @Override
-    public void call(EndpointListWatcher.Call call) {
-        out = call;
+    public void send(Poll poll) {
+        outstanding = poll;
         if (channel != null && channel.isActive()) {
-            crossedUntil = time.now() + CROSSED_MS;
-            ask();
+            raceUntilMs = scheduler.now() + CONNECTION_RACE_MS;
+            write();
             return;
         }
-        connect(call);
+        connect(poll);
     }
 
-    private void connect(EndpointListWatcher.Call call) {
-        crossedUntil = 0;
+    private void connect(Poll poll) {
+        raceUntilMs = 0;
         ChannelFuture connecting = bootstrap.connect(address);
         if (connecting.isDone() && !connecting.isSuccess()) {
-            // There is no descriptor for it, and no event loop that would tell; nor is it told from within.
+            // No descriptor is left: no event loop would report it, and it must not be reported from within this call.
             loop.execute(() -> {
-                if (out == call) {
+                if (outstanding != null && outstanding.number() == poll.number()) {
                     fail(connecting.cause());
                 }
             });
@@ -136,99 +137,99 @@
                 return;
             }
             if (connected.isSuccess()) {
-                ask();
+                write();
             } else {
                 fail(connected.cause());
             }
         });
     }
 
-    private void ask() {
-        FullHttpRequest request =
-                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, out.path(), Unpooled.EMPTY_BUFFER);
+    private void write() {
+        FullHttpRequest request = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1, HttpMethod.GET, outstanding.path(), Unpooled.EMPTY_BUFFER);
         request.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
         channel.writeAndFlush(request);
     }
 
-    /** The connection has ended with a call out on it. */
-    private void ended(Object why) {
-        if (out != null && time.now() < crossedUntil) {
+    /** The connection has ended under an outstanding poll. */
+    private void onConnectionEnded(Object cause) {
+        if (outstanding != null && scheduler.now() < raceUntilMs) {
             channel = null;
-            connect(out);
+            connect(outstanding);
         } else {
-            fail(why);
+            fail(cause);
         }
     }
 
-    private void fail(Object why) {
-        EndpointListWatcher.Call failed = out;
-        drop();
+    private void fail(Object cause) {
+        Poll failed = outstanding;
+        abort();
         if (failed != null) {
-            watch.failed(failed.number(), why);
+            watcher.onFailure(failed.number(), cause);
         }
     }
 
     @Override
-    public void drop() {
-        out = null;
+    public void abort() {
+        outstanding = null;
         if (channel != null) {
-            Channel dropped = channel;
+            Channel aborted = channel;
             channel = null;
-            dropped.close();
+            aborted.close();
         }
     }
 
-    /** Sees the first bytes of an answer, long before it is whole. */
-    private final class Start extends ChannelInboundHandlerAdapter {
+    /** Sees the first bytes of a response, long before it is complete. */
+    private final class ResponseStartHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            if (ctx.channel() == channel && out != null) {
-                crossedUntil = 0;
-                watch.begun(out.number());
+            if (ctx.channel() == channel && outstanding != null) {
+                raceUntilMs = 0;
+                watcher.onResponseStarted(outstanding.number());
             }
             ctx.fireChannelRead(bytes);
         }
     }
 
-    private final class Calls extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            if (ctx.channel() != channel || out == null) {
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+            if (ctx.channel() != channel || outstanding == null) {
                 ctx.close();
                 return;
             }
-            if (answer.status().code() != 200 || answer.decoderResult().isFailure()) {
-                fail("status " + answer.status().code());
+            if (response.status().code() != 200 || response.decoderResult().isFailure()) {
+                fail("status " + response.status().code());
                 return;
             }
             EndpointList list;
             try {
-                list = EndpointListDecoder.parse(ByteBufUtil.getBytes(answer.content()), names);
+                list = EndpointListDecoder.parse(ByteBufUtil.getBytes(response.content()), names);
             } catch (IOException | IllegalArgumentException e) {
                 fail(e.getMessage());
                 return;
             }
-            if (!HttpUtil.isKeepAlive(answer)) {
+            if (!HttpUtil.isKeepAlive(response)) {
                 channel = null;
                 ctx.close();
             }
-            EndpointListWatcher.Call answered = out;
-            out = null;
-            watch.answered(answered.number(), list);
+            Poll answered = outstanding;
+            outstanding = null;
+            watcher.onList(answered.number(), list);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             if (ctx.channel() == channel) {
-                ended("the connection ended");
+                onConnectionEnded("the connection ended");
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (ctx.channel() == channel && cause instanceof IOException) {
-                ended(cause);
+                onConnectionEnded(cause);
             } else if (ctx.channel() == channel) {
                 fail(cause);
             }
--- a/sidecar/src/main/java/martenlatch/discovery/EndpointListDecoder.java
+++ b/sidecar/src/main/java/martenlatch/discovery/EndpointListDecoder.java
@@ -13,16 +13,22 @@
 import martenlatch.policy.api.EndpointStatus;
 import martenlatch.request.EndpointList;
 
-/** Reads lists of endpoints in discovery's form. */
+/** Decodes endpoint lists from the JSON that discovery sends. */
 public final class EndpointListDecoder {
 
     private static final JsonFactory JSON = new JsonFactory();
 
     private EndpointListDecoder() {}
 
-    /** The names of the zones and kinds, whose places in the settings stand for them. */
+    /** The names of zones and machine types; their indexes stand for them everywhere else. */
     public record Names(List<String> zones, List<String> kinds) {}
 
+    /**
+     * Decodes a list.
+     *
+     * @throws IOException if it is not JSON, or not an object
+     * @throws IllegalArgumentException naming the field and the value that cannot be used
+     */
     public static EndpointList parse(byte[] json, Names names) throws IOException {
         try (JsonParser in = JSON.createParser(json)) {
             in.nextToken();
@@ -33,6 +39,11 @@
         }
     }
 
+    /**
+     * Takes a list from JSON that was parsed already.
+     *
+     * @throws IllegalArgumentException naming the field and the value that cannot be used
+     */
     public static EndpointList of(Map<?, ?> list, Names names) {
         if (!(list.get("version") instanceof Double version)) {
             throw Fields.bad("version", list.get("version"));
--- a/sidecar/src/main/java/martenlatch/discovery/PollTiming.java
+++ b/sidecar/src/main/java/martenlatch/discovery/PollTiming.java
@@ -4,47 +4,59 @@
 import martenlatch.policy.api.BalancerSettings;
 
 /**
- * How long discovery is asked to wait for news, and when it counts as silent. All times are milliseconds.
+ * How long discovery is asked to wait for changes, and for how long a response is waited for, in milliseconds.
  *
- * @param waitMs how long a call may wait for something newer
- * @param owedMs within this time after its wait a call is answered, and an answer that has begun is whole
- * @param wholeMs what a call for the whole list may take
+ * @param waitMs how long discovery may wait for something newer
+ * @param responseTimeoutMs the time after that within which a response is complete, and the time within which a
+ *     response is complete that has begun
+ * @param fullListTimeoutMs the time within which the whole list is complete
  */
-public record PollTiming(long waitMs, double owedMs, double wholeMs) {
+public record PollTiming(long waitMs, double responseTimeoutMs, double fullListTimeoutMs) {
+
+    /** The time within which the whole list is complete; establishing a connection may take as long. */
+    public static final int FULL_LIST_TIMEOUT_MS = 2_000;
 
     /**
-     * Longer waits would show late that a watch has fallen silent; shorter ones show it no sooner to those
-     * who count what it misses as told, which is 6 s after it fell silent at the earliest.
+     * Bounds of the wait. A longer wait would show late that a watch is broken; a shorter one would not show it sooner
+     * to the operators' check, which counts a missed change as notified 6 s after the watch broke at the earliest.
      */
-    static final int MOST_WAIT_MS = 20_000;
+    static final int MAX_WAIT_MS = 20_000;
 
-    static final int LEAST_WAIT_MS = 4_000;
+    static final int MIN_WAIT_MS = 4_000;
     /**
-     * What a silent watch misses counts as told 2 s after its wait: half of that is for noticing, the other
-     * half for asking anew and for the answer.
+     * A change that a broken watch misses counts as notified 2 s after its wait: half of that is for noticing, the
+     * other half for polling again and for the response.
      */
-    static final int OWED_MS = 1_000;
+    static final int RESPONSE_TIMEOUT_MS = 1_000;
     /**
-     * An agent on the own machine answers at once and at no cost, and what it has counts as told: one that
-     * was silent has to be heard well within a drain's grace once it speaks again.
+     * A local agent responds at once and at no cost, and what it has counts as notified: after an outage it has to be
+     * heard well within the grace of a drain.
      */
     private static final int AGENT_WAIT_MS = 300;
 
-    private static final int AGENT_OWED_MS = 100;
+    private static final int AGENT_RESPONSE_TIMEOUT_MS = 100;
 
     /**
-     * The pace of the next call. Where discovery is asked, it waits one or two times what the site gives for
-     * asking, at random, so that sidecars whose watches fell silent together, or ended together with nothing
-     * new, do not come back together. It costs discovery no more calls than the site has it bear.
+     * The timing of the next poll. Where the list is polled, discovery waits one to two poll intervals, at random:
+     * watches that broke or ended together must not come back together. It costs no more polls than the settings allow.
      */
     public static PollTiming next(BalancerSettings settings, SplittableRandom random) {
+        if (!settings.pollsEndpointList()) {
+            return new PollTiming(AGENT_WAIT_MS, AGENT_RESPONSE_TIMEOUT_MS, AGENT_WAIT_MS);
+        }
+        double waitMs = settings.rules().pollIntervalMs() * (1 + random.nextDouble());
+        long boundedMs = (long) Math.max(MIN_WAIT_MS, Math.min(MAX_WAIT_MS, waitMs));
+        return new PollTiming(boundedMs, RESPONSE_TIMEOUT_MS, FULL_LIST_TIMEOUT_MS);
+    }
+
+    /**
+     * The longest delay before the first poll at a new address. Sidecars that are moved together must not poll
+     * together: each polls at a random time within so many milliseconds, as at a start, and a single one at once.
+     * There is no delay where lists are pushed.
+     */
+    public static double maxStartJitterMs(BalancerSettings settings) {
         return settings.pollsEndpointList()
-                ? new PollTiming(
-                        (long) Math.max(
-                                LEAST_WAIT_MS,
-                                Math.min(MOST_WAIT_MS, settings.rules().pollIntervalMs() * (1 + random.nextDouble()))),
-                        OWED_MS,
-                        EndpointListWatcher.SILENCE_MS)
-                : new PollTiming(AGENT_WAIT_MS, AGENT_OWED_MS, AGENT_WAIT_MS);
+                ? settings.rules().pollIntervalMs() / 2 * (1 - 1.0 / settings.balancerCount())
+                : 0;
     }
 }
--- a/sidecar/src/main/java/martenlatch/discovery/package-info.java
+++ b/sidecar/src/main/java/martenlatch/discovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What is believed of endpoints, by its sources; today discovery's watch.
- * It may use the host and the configuration; no source is known above it.
+ * Polling and watching the endpoint list of discovery, and decoding it.
+ * May depend on the request package's types, the policy's contract, the configuration's checks and Netty.
  */
 package martenlatch.discovery;
--- a/sidecar/src/main/java/martenlatch/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/Sidecar.java
@@ -20,7 +20,6 @@
 import martenlatch.admin.AdminServer;
 import martenlatch.admin.Operations;
 import martenlatch.discovery.DiscoveryClient;
-import martenlatch.discovery.EndpointListWatcher;
 import martenlatch.discovery.PollTiming;
 import martenlatch.front.http.Frontend;
 import martenlatch.net.LoopTime;
@@ -129,7 +128,7 @@
             boolean beside = sidecar.operations.othersServe();
             if (!config.settings().pollsEndpointList()) {
                 // What the agent has counts as told already: the list in the file may be older.
-                sidecar.firstWord.await(EndpointListWatcher.SILENCE_MS, TimeUnit.MILLISECONDS);
+                sidecar.firstWord.await(PollTiming.FULL_LIST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
             if (!beside) {
                 sidecar.listen(config);
@@ -197,14 +196,14 @@
                 time,
                 complaints,
                 endpoints,
-                discovery::watch,
+                discovery::start,
                 config.settings(),
                 config.seed(),
                 config.known(),
                 RequestObserver.NONE);
         operations = new Operations(time, complaints, new Service());
         admin = new AdminServer(loop, operations);
-        discovery.listen(new Lists(), config.known().version());
+        discovery.setListener(new Lists(), config.known().version());
         frontend = new Frontend(
                 loop,
                 time,
@@ -305,7 +304,7 @@
                 endpoints.retune(next.settings().limits().connectTimeoutMs(), next.idleCloseMs());
                 exchange.applySettings(next.settings());
                 frontend.retune(next.settings());
-                discovery.move(next.discovery(), random.nextDouble() * EndpointListWatcher.spreadMs(next.settings()));
+                discovery.moveTo(next.discovery(), random.nextDouble() * PollTiming.maxStartJitterMs(next.settings()));
             } catch (IOException | RuntimeException e) {
                 log.println("martenlatch: the configuration stays as it was: " + e.getMessage());
             }
--- a/sidecar/src/test/java/martenlatch/discovery/EndpointListWatcherTest.java
+++ b/sidecar/src/test/java/martenlatch/discovery/EndpointListWatcherTest.java
@@ -22,7 +22,7 @@
 import martenlatch.request.Scheduler;
 import org.junit.jupiter.api.Test;
 
-/** The watch on discovery, over random sequences of what may come of its calls. */
+/** The watch on discovery, over random sequences of what may come of its polls. */
 class EndpointListWatcherTest {
 
     private static final int SEQUENCES = 2000;
@@ -77,49 +77,49 @@
     }
 
     /** What goes out and comes back, and that each thing happens once. */
-    private static final class Recorder implements EndpointListWatcher.Line, EndpointList.Listener {
-        private final List<EndpointListWatcher.Call> calls = new ArrayList<>();
-        private EndpointListWatcher.Call out;
+    private static final class Recorder implements DiscoveryTransport, EndpointList.Listener {
+        private final List<Poll> polls = new ArrayList<>();
+        private Poll outstanding;
         private int lists;
         private int failures;
-        private int drops;
+        private int aborts;
 
         @Override
-        public void call(EndpointListWatcher.Call call) {
-            assertTrue(out == null, "two calls at once");
-            out = call;
-            calls.add(call);
+        public void send(Poll poll) {
+            assertTrue(outstanding == null, "two polls at once");
+            outstanding = poll;
+            polls.add(poll);
         }
 
         @Override
-        public void drop() {
-            out = null;
-            drops++;
+        public void abort() {
+            outstanding = null;
+            aborts++;
         }
 
         @Override
         public void onEndpointList(EndpointList list) {
-            assertTrue(out != null, "the next call goes out before the list is heard");
+            assertTrue(outstanding != null, "the next call goes out before the list is heard");
             lists++;
         }
 
         @Override
         public void onPollFailed() {
-            assertTrue(out == null, "a call that has failed is over");
+            assertTrue(outstanding == null, "a call that has failed is over");
             failures++;
         }
     }
 
     private final Clock clock = new Clock();
-    private final Recorder line = new Recorder();
-    private final EndpointListWatcher watch = new EndpointListWatcher(
+    private final Recorder transport = new Recorder();
+    private final EndpointListWatcher watcher = new EndpointListWatcher(
             clock,
-            line,
+            transport,
             new RateLimitedLogger(clock, new PrintStream(OutputStream.nullOutputStream())),
             () -> new PollTiming(20_000, 1000, 2000));
 
     EndpointListWatcherTest() {
-        watch.listen(line, 7);
+        watcher.setListener(transport, 7);
     }
 
     private static EndpointList list(long version) {
@@ -127,10 +127,10 @@
     }
 
     private void answer(long number, long version) {
-        if (line.out != null && line.out.number() == number) {
-            line.out = null;
+        if (transport.outstanding != null && transport.outstanding.number() == number) {
+            transport.outstanding = null;
         }
-        watch.answered(number, list(version));
+        watcher.onList(number, list(version));
     }
 
     /** At most one call is out, each ends once, and after a failure none goes out unasked. */
@@ -140,27 +140,29 @@
             EndpointListWatcherTest one = new EndpointListWatcherTest();
             Random random = new Random(seed);
             for (int i = 0; i < STEPS; i++) {
-                int calls = one.line.calls.size();
-                long some = calls == 0
+                int polls = one.transport.polls.size();
+                long some = polls == 0
                         ? 0
-                        : one.line.calls.get(random.nextInt(calls)).number();
-                long latest = one.line.out == null || random.nextBoolean() ? some : one.line.out.number();
-                boolean out = one.line.out != null && one.line.out.number() == latest;
-                int lists = one.line.lists;
-                int failures = one.line.failures;
+                        : one.transport.polls.get(random.nextInt(polls)).number();
+                long latest = one.transport.outstanding == null || random.nextBoolean()
+                        ? some
+                        : one.transport.outstanding.number();
+                boolean out = one.transport.outstanding != null && one.transport.outstanding.number() == latest;
+                int lists = one.transport.lists;
+                int failures = one.transport.failures;
                 int step = random.nextInt(6);
                 switch (step) {
-                    case 0 -> one.watch.watch();
+                    case 0 -> one.watcher.start();
                     case 1 -> one.answer(latest, i);
-                    case 2 -> one.watch.failed(latest, "said so");
-                    case 5 -> one.watch.begun(latest);
+                    case 2 -> one.watcher.onFailure(latest, "said so");
+                    case 5 -> one.watcher.onResponseStarted(latest);
                     case 3 -> one.clock.pass(random.nextInt(3) * 12_000);
-                    default -> one.watch.moved(random.nextInt(3) * 500);
+                    default -> one.watcher.restart(random.nextInt(3) * 500);
                 }
-                assertTrue(one.line.lists <= lists + (out ? 1 : 0), "a call that was over was heard");
-                assertTrue(one.line.failures <= failures + 1);
+                assertTrue(one.transport.lists <= lists + (out ? 1 : 0), "a call that was over was heard");
+                assertTrue(one.transport.failures <= failures + 1);
                 if (step == 2) {
-                    assertEquals(calls, one.line.calls.size(), "a call that nobody asked for");
+                    assertEquals(polls, one.transport.polls.size(), "a call that nobody asked for");
                 }
             }
         }
@@ -172,53 +174,55 @@
      */
     @Test
     void aSilentWatchIsOpenedAnewBeforeWhatItMissesCountsAsTold() {
-        watch.watch();
+        watcher.start();
         for (int silences = 1; silences < 5; silences++) {
-            assertEquals("/registry/instances?index=7&wait=20000", line.out.path());
+            assertEquals("/registry/instances?index=7&wait=20000", transport.outstanding.path());
             clock.pass(20_000 + 999);
-            assertEquals(silences, line.calls.size());
+            assertEquals(silences, transport.polls.size());
             clock.pass(1);
-            assertEquals(List.of(silences + 1, silences, 0), List.of(line.calls.size(), line.drops, line.failures));
+            assertEquals(
+                    List.of(silences + 1, silences, 0),
+                    List.of(transport.polls.size(), transport.aborts, transport.failures));
         }
         answer(1, 9);
-        watch.failed(1, "late");
-        watch.begun(1);
-        assertEquals(List.of(0, 0, 5), List.of(line.lists, line.failures, line.calls.size()));
+        watcher.onFailure(1, "late");
+        watcher.onResponseStarted(1);
+        assertEquals(List.of(0, 0, 5), List.of(transport.lists, transport.failures, transport.polls.size()));
     }
 
     /** The whole list is not waited for with an old one in hand: whoever listens says when to go on. */
     @Test
     void silenceOnTheWholeListIsAFailure() {
-        watch.moved(0);
-        clock.pass(EndpointListWatcher.SILENCE_MS - 1);
-        assertEquals(0, line.failures);
+        watcher.restart(0);
+        clock.pass(PollTiming.FULL_LIST_TIMEOUT_MS - 1);
+        assertEquals(0, transport.failures);
         clock.pass(1);
-        assertEquals(List.of(1, 1), List.of(line.failures, line.calls.size()));
+        assertEquals(List.of(1, 1), List.of(transport.failures, transport.polls.size()));
     }
 
     /** From its first byte on an answer has a second; one that comes late has what is left. */
     @Test
     void anAnswerThatBreaksOffIsNotWaitedFor() {
-        watch.watch();
+        watcher.start();
         clock.pass(500);
-        watch.begun(1);
+        watcher.onResponseStarted(1);
         clock.pass(600);
-        watch.begun(1);
+        watcher.onResponseStarted(1);
         clock.pass(399);
-        assertEquals(1, line.calls.size());
+        assertEquals(1, transport.polls.size());
         clock.pass(1);
-        assertEquals(List.of(2, 0), List.of(line.calls.size(), line.failures));
+        assertEquals(List.of(2, 0), List.of(transport.polls.size(), transport.failures));
         clock.pass(20_000 + 500);
-        watch.begun(2);
+        watcher.onResponseStarted(2);
         clock.pass(499);
-        assertEquals(0, line.failures);
+        assertEquals(0, transport.failures);
         clock.pass(1);
-        assertEquals(List.of(2, 1), List.of(line.calls.size(), line.failures), "not again and again");
-        watch.watch();
+        assertEquals(List.of(2, 1), List.of(transport.polls.size(), transport.failures), "not again and again");
+        watcher.start();
         answer(3, 9);
-        watch.begun(4);
+        watcher.onResponseStarted(4);
         clock.pass(1000);
-        assertEquals(List.of(5, 1), List.of(line.calls.size(), line.failures), "that was long ago");
+        assertEquals(List.of(5, 1), List.of(transport.polls.size(), transport.failures), "that was long ago");
     }
 
     /** Watches of a fleet that fell silent together, or end together, do not come back together. */
@@ -234,13 +238,13 @@
         }
         assertTrue(least >= 6000 && least < 6100 && most > 11_900 && most <= 12_000, least + " " + most);
         assertEquals(
-                PollTiming.MOST_WAIT_MS,
+                PollTiming.MAX_WAIT_MS,
                 PollTiming.next(settings(true, 60_000), random).waitMs());
         assertEquals(
-                PollTiming.LEAST_WAIT_MS,
+                PollTiming.MIN_WAIT_MS,
                 PollTiming.next(settings(true, 100), random).waitMs());
         PollTiming agent = PollTiming.next(settings(false, 60_000), random);
-        assertTrue(agent.waitMs() + agent.owedMs() <= 500, "within any drain's grace: " + agent);
+        assertTrue(agent.waitMs() + agent.responseTimeoutMs() <= 500, "within any drain's grace: " + agent);
     }
 
     private static BalancerSettings settings(boolean asks, double askWithinMs) {
@@ -263,13 +267,13 @@
     /** Guards against a first move's turn that would have the second place asked too early. */
     @Test
     void aSecondMoveHasItsOwnTurn() {
-        watch.moved(1000);
-        watch.moved(3000);
+        watcher.restart(1000);
+        watcher.restart(3000);
         clock.pass(2999);
-        assertEquals(0, line.calls.size());
+        assertEquals(0, transport.polls.size());
         clock.pass(1);
-        assertEquals(OptionalLong.empty(), line.out.index());
-        clock.pass(EndpointListWatcher.SILENCE_MS);
-        assertEquals(List.of(1, 1), List.of(line.calls.size(), line.failures));
+        assertEquals(OptionalLong.empty(), transport.outstanding.knownVersion());
+        clock.pass(PollTiming.FULL_LIST_TIMEOUT_MS);
+        assertEquals(List.of(1, 1), List.of(transport.polls.size(), transport.failures));
     }
 }
