--- a/sidecar/src/main/java/martenlatch/policy/OutlierDetector.java
+++ b/sidecar/src/main/java/martenlatch/policy/OutlierDetector.java
@@ -58,7 +58,7 @@
     private static boolean isOutlier(EndpointState endpoint, AttemptOutcome outcome) {
         endpoint.failureRate += EndpointState.FAILURE_GAIN * (1 - endpoint.failureRate);
         return endpoint.onProbation
-                || outcome != AttemptOutcome.FAILED && outcome != AttemptOutcome.RESET
+                || (outcome != AttemptOutcome.FAILED && outcome != AttemptOutcome.RESET)
                 || endpoint.failureRate > CHANCE_FAILURE_RATE;
     }
 
--- a/sidecar/src/main/java/martenlatch/policy/RetryPolicy.java
+++ b/sidecar/src/main/java/martenlatch/policy/RetryPolicy.java
@@ -54,7 +54,7 @@
 
     /** Whether a client may be told that repeating the call does no harm. */
     static boolean mayReject(PendingCall call) {
-        return call.mayHaveExecuted == null && call.inFlight == 0 || call.requestClass.isRepeatableAnywhere();
+        return (call.mayHaveExecuted == null && call.inFlight == 0) || call.requestClass.isRepeatableAnywhere();
     }
 
     /** The time-out of the next attempt: an endpoint that hangs must not use up the time of another attempt. */
--- a/sidecar/src/main/java/martenlatch/policy/SlotPool.java
+++ b/sidecar/src/main/java/martenlatch/policy/SlotPool.java
@@ -106,7 +106,7 @@
                 || !endpoint.isReady()
                 || nowMs < endpoint.pausedUntilMs
                 || Long.bitCount(endpoint.heldSlots) >= (single ? 1 : MAX_SLOTS_PER_ENDPOINT)
-                || endpoint.onProbation && endpoint.inFlight > 0) {
+                || (endpoint.onProbation && endpoint.inFlight > 0)) {
             return;
         }
         Slot slot = new Slot(endpoint, Long.numberOfTrailingZeros(~endpoint.heldSlots));
@@ -179,7 +179,7 @@
                 otherZonesSpares.isEmpty() ? null : otherZonesSpares.first());
     }
 
-    private TreeSet<Slot> sparesOf(EndpointState endpoint) {
+    private Set<Slot> sparesOf(EndpointState endpoint) {
         return state.isRemote(endpoint) ? otherZonesSpares : ownZoneSpares;
     }
 
@@ -204,7 +204,7 @@
     }
 
     private Slot first(Slot a, Slot b) {
-        return a == null || b != null && compare(b, a) < 0 ? b : a;
+        return a == null || (b != null && compare(b, a) < 0) ? b : a;
     }
 
     private int compare(Slot a, Slot b) {
--- a/sidecar/src/main/java/martenlatch/policy/api/RequestClass.java
+++ b/sidecar/src/main/java/martenlatch/policy/api/RequestClass.java
@@ -52,7 +52,7 @@
 
     /** Whether a repeat at any endpoint does no harm, as far as a client may be told. */
     public boolean isRepeatableAnywhere() {
-        return isIdempotent() || usesIdempotencyKey() && deduplicationScope == DeduplicationScope.ALL;
+        return isIdempotent() || (usesIdempotencyKey() && deduplicationScope == DeduplicationScope.ALL);
     }
 
     /** Whether a request must never be executed twice. */
--- a/sidecar/src/test/java/martenlatch/policy/BadInputTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/BadInputTest.java
@@ -76,8 +76,8 @@
 
     @Test
     void aBadRequestChangesNothing() {
-        Fixture f = Fixture.of(10, 0, 0).list(Fixture.servers(3));
-        String first = f.request(Fixture.REPEATABLE);
+        BalancerFixture f = BalancerFixture.of(10, 0, 0).list(BalancerFixture.endpoints(3));
+        String first = f.request(BalancerFixture.IDEMPOTENT);
         f.now += 60_000;
         List<String> before = List.copyOf(f.host.all);
         refused("class", 9, () -> f.balancer.onRequest(f.now, new Request("x", 9, 0, f.now + 100, false)));
@@ -90,14 +90,14 @@
     @Test
     void extremeButLegalFleetsGetLegalAnswers() {
         for (List<Endpoint> list :
-                List.of(List.<Endpoint>of(), List.of(Fixture.server("d", 0, 0, EndpointStatus.DRAINING)))) {
-            Fixture f = Fixture.of(1, 0, 0).list(list);
-            String refused = f.request(Fixture.ONCE);
+                List.of(List.<Endpoint>of(), List.of(BalancerFixture.endpoint("d", 0, 0, EndpointStatus.DRAINING)))) {
+            BalancerFixture f = BalancerFixture.of(1, 0, 0).list(list);
+            String refused = f.request(BalancerFixture.NON_IDEMPOTENT);
             assertEquals(List.of(refused), f.host.refused);
             assertTrue(f.host.sent.isEmpty());
         }
-        Fixture many = Fixture.of(5000, 4999, 0).list(Fixture.servers(1));
-        many.request(Fixture.ONCE);
-        assertEquals("s0", many.host.last().server());
+        BalancerFixture many = BalancerFixture.of(5000, 4999, 0).list(BalancerFixture.endpoints(1));
+        many.request(BalancerFixture.NON_IDEMPOTENT);
+        assertEquals("s0", many.host.last().endpointId());
     }
 }
--- a/sidecar/src/test/java/martenlatch/policy/Fixture.java
+++ b/sidecar/src/test/java/martenlatch/policy/BalancerFixture.java
@@ -18,22 +18,22 @@
 import martenlatch.policy.api.Tenant;
 
 /** A balancer with a recording host and a clock set by hand. */
-final class Fixture {
+final class BalancerFixture {
 
-    static final int REPEATABLE = 0;
-    static final int ONCE = 1;
-    static final int BY_CELL = 2;
+    static final int IDEMPOTENT = 0;
+    static final int NON_IDEMPOTENT = 1;
+    static final int KEYED_BY_CELL = 2;
 
-    final Recorder host = new Recorder();
+    final RecordingActions host = new RecordingActions();
     final LoadBalancer balancer;
     double now = 1_000_000;
     private int requests;
 
-    Fixture(BalancerSettings settings) {
+    BalancerFixture(BalancerSettings settings) {
         this(settings, 7);
     }
 
-    Fixture(BalancerSettings settings, long seed) {
+    BalancerFixture(BalancerSettings settings, long seed) {
         balancer = new LoadBalancer(settings, seed, host);
     }
 
@@ -59,27 +59,27 @@
                 new EndpointRules(0.3, 8000, 3, 1000, 1000, 10_000));
     }
 
-    static Fixture of(int balancers, int own, int tier) {
-        return new Fixture(settings(balancers, own, tier, true));
+    static BalancerFixture of(int balancers, int own, int tier) {
+        return new BalancerFixture(settings(balancers, own, tier, true));
     }
 
-    static Endpoint server(String id) {
+    static Endpoint endpoint(String id) {
         return new Endpoint(id, 0, 0, 0, 0, EndpointStatus.READY, 1);
     }
 
-    static Endpoint server(String id, int cell, double startedMs, EndpointStatus state) {
+    static Endpoint endpoint(String id, int cell, double startedMs, EndpointStatus state) {
         return new Endpoint(id, 0, 0, cell, startedMs, state, 1);
     }
 
-    static List<Endpoint> servers(int count) {
+    static List<Endpoint> endpoints(int count) {
         List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            list.add(server("s" + i));
+            list.add(endpoint("s" + i));
         }
         return list;
     }
 
-    Fixture list(List<Endpoint> servers) {
+    BalancerFixture list(List<Endpoint> servers) {
         balancer.onEndpointList(now, EndpointListKind.FULL, servers);
         return this;
     }
@@ -98,37 +98,37 @@
         return id;
     }
 
-    void finish(Recorder.Sent sent, AttemptOutcome outcome, double tookMs) {
+    void finish(RecordingActions.Sent sent, AttemptOutcome outcome, double tookMs) {
         balancer.onAttemptFinished(
                 now,
                 new AttemptResult(
-                        sent.request(),
+                        sent.requestId(),
                         sent.attempt(),
-                        sent.server(),
+                        sent.endpointId(),
                         outcome,
                         tookMs,
                         outcome == AttemptOutcome.OK,
                         LoadReport.NONE));
     }
 
-    /** Has a server fail two calls in a row, which is more than chance, and tells which. */
+    /** Has an endpoint fail two calls in a row, which is more than chance, and tells which. */
     String failTwice(AttemptOutcome outcome) {
-        request(REPEATABLE);
-        Recorder.Sent first = host.last();
+        request(IDEMPOTENT);
+        RecordingActions.Sent first = host.last();
         finish(first, outcome, 2);
         do {
             now += 300;
-            request(REPEATABLE);
-        } while (!host.last().server().equals(first.server()));
+            request(IDEMPOTENT);
+        } while (!host.last().endpointId().equals(first.endpointId()));
         finish(host.last(), outcome, 2);
-        return first.server();
+        return first.endpointId();
     }
 
-    /** The ranks that the design gives to a server's first slot, worked out apart from the module. */
+    /** The ranks that the design gives to an endpoint's first slot, worked out apart from the load balancer. */
     static long hash(String id) {
         int h = 0x811c9dc5;
-        for (char c : id.toCharArray()) {
-            h = (h ^ c) * 0x01000193;
+        for (int i = 0; i < id.length(); i++) {
+            h = (h ^ id.charAt(i)) * 0x01000193;
         }
         h ^= h >>> 16;
         h *= 0x7feb352d;
--- a/sidecar/src/test/java/martenlatch/policy/DecisionSequence.java
+++ b/sidecar/src/test/java/martenlatch/policy/DecisionSequence.java
@@ -29,6 +29,8 @@
 
 /** A seeded sequence of events for one load balancer, with endpoints that answer, stall, fail, drain and return. */
 final class DecisionSequence implements BalancerActions {
+    private static final List<EndpointStatus> STATUSES = List.of(EndpointStatus.values());
+    private static final List<Behavior> BEHAVIORS = List.of(Behavior.values());
 
     private static final int CLASSES = 4;
     private static final double CONNECT_TIMEOUT_MS = 200;
@@ -156,7 +158,7 @@
         } else if (what < 90) {
             balancer.onSettingsChanged(now, settings(random.nextInt(3)));
         } else {
-            behaviors.put("s" + random.nextInt(fleet + 3), Behavior.values()[random.nextInt(Behavior.values().length)]);
+            behaviors.put("s" + random.nextInt(fleet + 3), BEHAVIORS.get(random.nextInt(BEHAVIORS.size())));
             request();
         }
     }
@@ -177,7 +179,7 @@
             double started = random.nextInt(4) == 0 ? now - random.nextInt(4000) : 0;
             EndpointStatus state = kind == EndpointListKind.FULL || random.nextInt(3) > 0
                     ? EndpointStatus.READY
-                    : EndpointStatus.values()[random.nextInt(3)];
+                    : STATUSES.get(random.nextInt(3));
             double weight = random.nextInt(5) == 0 ? 3 : 1;
             list.add(new Endpoint("s" + number, number % 3 == 0 ? 1 : 0, 0, number % 4, started, state, weight));
         }
--- a/sidecar/src/test/java/martenlatch/policy/RandomEventsTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/RandomEventsTest.java
@@ -25,8 +25,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Random events, and a host that checks the rules from outside, without the module's own state. */
+/** Random events, and a host that checks the rules from outside, without the load balancer's own state. */
 class RandomEventsTest {
+    private static final List<AttemptOutcome> OUTCOMES = List.of(AttemptOutcome.values());
+    private static final List<EndpointStatus> STATUSES = List.of(EndpointStatus.values());
 
     /** A request as the host sees it. */
     private static final class Seen {
@@ -142,7 +144,7 @@
     }
 
     private static BalancerSettings settings(Random random) {
-        return Fixture.settings(
+        return BalancerFixture.settings(
                 1 + random.nextInt(40),
                 0,
                 random.nextInt(2),
@@ -164,7 +166,7 @@
         for (int step = 0; step < 4000; step++) {
             judge.now += random.nextInt(12);
             fireTimers(judge, balancer);
-            endOverdue(judge, balancer, open, random);
+            endOverdue(judge, balancer, open);
             int what = random.nextInt(20);
             if (what == 0 || step == 0) {
                 changeList(judge, balancer, random, step == 0);
@@ -188,14 +190,14 @@
                 balancer.onClientDisconnected(judge.now, id);
             } else if (!open.isEmpty()) {
                 String id = open.get(random.nextInt(open.size()));
-                end(judge, balancer, id, random, AttemptOutcome.values()[random.nextInt(8)]);
+                end(judge, balancer, id, OUTCOMES.get(random.nextInt(8)));
             }
             open.removeIf(id -> judge.seen.get(id).over && judge.seen.get(id).out() == 0);
         }
         for (int i = 0; i < 400; i++) {
             judge.now += 50;
             fireTimers(judge, balancer);
-            endOverdue(judge, balancer, open, random);
+            endOverdue(judge, balancer, open);
             open.removeIf(id -> judge.seen.get(id).over && judge.seen.get(id).out() == 0);
         }
         assertTrue(judge.seen.values().stream().allMatch(c -> c.over), "a request was lost");
@@ -215,21 +217,21 @@
     }
 
     /** The host cuts attempts off at the client's deadline, within the slack that the judge allows. */
-    private static void endOverdue(Judge judge, LoadBalancer balancer, List<String> open, Random random) {
+    private static void endOverdue(Judge judge, LoadBalancer balancer, List<String> open) {
         for (String id : List.copyOf(open)) {
             Seen call = judge.seen.get(id);
             if (call.deadlineMs <= judge.now + 15) {
                 double now = judge.now;
                 judge.now = Math.min(now, call.deadlineMs);
                 while (call.out() > 0) {
-                    end(judge, balancer, id, random, AttemptOutcome.TIMED_OUT);
+                    end(judge, balancer, id, AttemptOutcome.TIMED_OUT);
                 }
                 judge.now = now;
             }
         }
     }
 
-    private static void end(Judge judge, LoadBalancer balancer, String id, Random random, AttemptOutcome outcome) {
+    private static void end(Judge judge, LoadBalancer balancer, String id, AttemptOutcome outcome) {
         Seen call = judge.seen.get(id);
         int attempt = call.ends.indexOf(null);
         if (attempt < 0) {
@@ -256,7 +258,7 @@
         List<Endpoint> changes = new ArrayList<>();
         for (int i = 0; i < (whole ? 12 : 2); i++) {
             String id = "s" + (whole ? i : random.nextInt(15));
-            EndpointStatus state = whole ? EndpointStatus.READY : EndpointStatus.values()[random.nextInt(3)];
+            EndpointStatus state = whole ? EndpointStatus.READY : STATUSES.get(random.nextInt(3));
             double started = random.nextInt(4) == 0 ? judge.now - random.nextInt(9000) : 0;
             int number = Integer.parseInt(id.substring(1));
             Endpoint server = new Endpoint(id, number % 2, 0, number % 4, started, state, 1);
--- a/sidecar/src/test/java/martenlatch/policy/Recorder.java
+++ b/sidecar/src/test/java/martenlatch/policy/RecordingActions.java
@@ -8,10 +8,10 @@
 import martenlatch.policy.api.OverloadReport;
 
 /** A host that carries nothing out and remembers what it was told. */
-final class Recorder implements BalancerActions {
+final class RecordingActions implements BalancerActions {
 
     /** One attempt that was sent. */
-    record Sent(String request, int attempt, String server, double timeoutMs) {}
+    record Sent(String requestId, int attempt, String endpointId, double timeoutMs) {}
 
     final List<Sent> sent = new ArrayList<>();
     final List<String> refused = new ArrayList<>();
--- a/sidecar/src/test/java/martenlatch/simulator/SimulatorAdapterTest.java
+++ b/sidecar/src/test/java/martenlatch/simulator/SimulatorAdapterTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The adapter on literal lines of the wire. */
-class BenchLinkTest {
+class SimulatorAdapterTest {
 
     private static final String PARAMS = """
         {"azs":["a"],"classes":[
