--- a/sidecar/src/main/java/martenlatch/front/http/Frontend.java
+++ b/sidecar/src/main/java/martenlatch/front/http/Frontend.java
@@ -64,7 +64,7 @@
     /** Headers that concern one connection only. */
     private static final List<CharSequence> HOP_BY_HOP = List.of(
             HttpHeaderNames.CONNECTION,
-            HttpHeaderNames.PROXY_CONNECTION,
+            "proxy-connection",
             "keep-alive",
             HttpHeaderNames.TE,
             HttpHeaderNames.TRAILER,
--- a/sidecar/src/main/java/martenlatch/request/EndpointResponse.java
+++ b/sidecar/src/main/java/martenlatch/request/EndpointResponse.java
@@ -12,6 +12,7 @@
  * @param body empty where a proxy passes it on by itself, or where there is a remaining body
  * @param remainingBody what is passed on as it comes, or null where the body is complete
  */
+@SuppressWarnings("ArrayRecordComponent") // bodies are passed on without a copy, and responses are not compared
 public record EndpointResponse(
         int status,
         boolean notExecuted,
