--- a/sidecar/src/test/java/martenlatch/policy/ConcurrencyLimiterTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/ConcurrencyLimiterTest.java
@@ -153,7 +153,7 @@
         assertTrue(f.host.sent.size() > sent, "and all is well again once they are not");
     }
 
-    /** Guards against many balancers that grow at once: together they add one call a endpoint and round. */
+    /** Guards against many balancers that grow at once: together they add one call an endpoint and round. */
     @Test
     void theLimitGrowsByThisBalancersPartOnly() {
         BalancerFixture few = BalancerFixture.of(10, 0, 0).list(BalancerFixture.endpoints(10));
--- a/sidecar/src/test/java/martenlatch/policy/EmbeddingExampleTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/EmbeddingExampleTest.java
@@ -51,7 +51,7 @@
                         new Endpoint("10.0.0.1:80", 0, 0, 0, 0, EndpointStatus.READY, 1),
                         new Endpoint("10.0.0.2:80", 0, 0, 0, 0, EndpointStatus.READY, 1)));
         balancer.onRequest(now, new Request("r1", 0, 0, now + 1000, false));
-        // The balancer has called sidecar.send("r1", endpoint, timeoutMs): carry it out, then tell the end.
+        // The balancer has called sidecar.forward("r1", endpointId, timeoutMs): carry it out, then report the result.
         balancer.onAttemptFinished(
                 now + 12, new AttemptResult("r1", 0, "10.0.0.1:80", AttemptOutcome.OK, 12, true, LoadReport.NONE));
         // README: end
--- a/sidecar/src/test/java/martenlatch/policy/EndpointRegistryTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/EndpointRegistryTest.java
@@ -43,7 +43,7 @@
 
     /** Guards against one that is disabled to be repaired and comes back with the old verdict on it. */
     @Test
-    void aEndpointThatIsPutBackIsAsGoodAsNew() {
+    void anEndpointThatIsPutBackIsAsGoodAsNew() {
         BalancerFixture f = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(3));
         String bad = f.failTwice(AttemptOutcome.CONNECT_ERROR);
         f.balancer.onEndpointsDisabled(f.now, Set.of(bad));
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void aEndpointMissingFromAFullListIsGone() {
+    void anEndpointMissingFromAFullListIsGone() {
         BalancerFixture f = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(2));
         f.list(List.of(BalancerFixture.endpoint("s1")));
         f.request(BalancerFixture.IDEMPOTENT);
--- a/sidecar/src/test/java/martenlatch/policy/OutlierDetectorTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/OutlierDetectorTest.java
@@ -69,7 +69,7 @@
 
     /** A connect that fails again before anything was answered speaks against the endpoint after all. */
     @Test
-    void aEndpointThatOnlyFailsConnectsIsEjected() {
+    void anEndpointThatOnlyFailsConnectsIsEjected() {
         BalancerFixture f = BalancerFixture.of(1, 0, 1);
         RecordingActions.Sent left = allAnsweredButOne(f, 3);
         connectFails(f, left);
@@ -106,7 +106,7 @@
 
     /** Guards against ejection by chance, where a few of all answers are spoilt whichever endpoint gives them. */
     @Test
-    void anOddFailureAmongManyAnswersPutsNoEndpointEjects() {
+    void anOddFailureAmongManyAnswersEjectsNoEndpoint() {
         BalancerFixture f = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(1));
         for (int i = 0; i < 100; i++) {
             f.request(BalancerFixture.NON_IDEMPOTENT);
@@ -141,7 +141,7 @@
 
     /** Guards against a hung endpoint that clears its record without ever answering. */
     @Test
-    void onlyAnswersLetAEndpointRecover() {
+    void onlyAnswersLetAnEndpointRecover() {
         BalancerFixture f = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(6));
         String bad = f.failTwice(AttemptOutcome.RESET);
         f.now += 600;
--- a/sidecar/src/test/java/martenlatch/policy/SlotPoolTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/SlotPoolTest.java
@@ -87,9 +87,9 @@
         return firsts;
     }
 
-    /** Guards against one neighbour that gets all calls of a endpoint that is full, slow or warming (h68f2a6). */
+    /** Guards against one neighbour that gets all calls of an endpoint that is full, slow or warming (h68f2a6). */
     @Test
-    void callsThatLeaveAEndpointAreSpreadOverSeveralOthers() {
+    void callsThatLeaveAnEndpointAreSpreadOverSeveralOthers() {
         List<String> before = firstServers(BalancerFixture.endpoints(8), Set.of());
         List<String> after = firstServers(BalancerFixture.endpoints(8), Set.of("s2"));
         Set<String> next = new HashSet<>();
@@ -123,7 +123,7 @@
 
     /** Guards against a crowded or slow endpoint that keeps its callers because it is their lowest rank. */
     @Test
-    void aEndpointThatAnswersSlowlyGivesUpEvenItsLowestRanks() {
+    void anEndpointThatAnswersSlowlyGivesUpEvenItsLowestRanks() {
         BalancerFixture f = BalancerFixture.of(50, 0, 1).list(BalancerFixture.endpoints(10));
         f.request(BalancerFixture.IDEMPOTENT);
         String favourite = f.host.last().endpointId();
@@ -138,7 +138,7 @@
         assertEquals(0, uses, "calls it still got");
     }
 
-    /** Guards against many balancers flooding a endpoint that has just started: one call each is too much. */
+    /** Guards against many balancers flooding an endpoint that has just started: one call each is too much. */
     @Test
     void aColdEndpointGetsNoMoreThanTheWarmPartOfItsArc() {
         int balancers = 100;
