--- a/sidecar/src/main/java/martenlatch/policy/AdmissionController.java
+++ b/sidecar/src/main/java/martenlatch/policy/AdmissionController.java
@@ -17,10 +17,8 @@
     private final ConcurrencyLimiter limiter;
     private List<TokenBucket> quotas = List.of();
     private double quotaRejectedMs = Double.NEGATIVE_INFINITY; // when a call within its quota was last rejected
-    /** When an attempt last ended, and how long it took. */
-    private double lastEndMs;
-
-    private double lastDurationMs;
+    private double lastEndMs; // when an attempt last ended
+    private double lastDurationMs; // how long that attempt took
 
     AdmissionController(BalancerState state, ConcurrencyLimiter limiter) {
         this.state = state;
--- a/sidecar/src/main/java/martenlatch/policy/BalancerState.java
+++ b/sidecar/src/main/java/martenlatch/policy/BalancerState.java
@@ -11,16 +11,12 @@
     final Map<String, EndpointState> endpoints = new LinkedHashMap<>();
 
     BalancerSettings settings; // the settings for requests from now on
-    /** Endpoints that take new requests: all of them, and those in the balancer's own zone. */
-    int readyCount;
-
-    int readyInOwnZone;
+    int readyCount; // endpoints that take new requests
+    int readyInOwnZone; // those of them that are in the balancer's own zone
     double meanWeight = 1; // mean weight of the ready endpoints
     int probationCount; // endpoints on probation
-    /** Attempts in flight at all endpoints, and their recent peak, which decays. */
-    int inFlight;
-
-    double peakInFlight;
+    int inFlight; // attempts in flight at all endpoints
+    double peakInFlight; // their recent peak, which decays
     final OverloadCounters counters = new OverloadCounters(); // what the next report to the operators tells
 
     boolean isRemote(EndpointState endpoint) {
@@ -33,10 +29,15 @@
         return settings.weighted() && weight > 0 ? weight / meanWeight : 1;
     }
 
-    /** The share of its full capacity that an endpoint surely has: below 1 in slow start. */
+    /** The share of its full capacity that an endpoint surely has: in slow start it grows linearly up to 1. */
     double warmCapacity(double nowMs, EndpointState endpoint) {
-        double startedMs = endpoint.effective.startedMs();
-        return startedMs <= 0 ? 1 : settings.rules().slowStartCapacity(nowMs - startedMs);
+        EndpointRules rules = settings.rules();
+        double ageMs = nowMs - endpoint.effective.startedMs();
+        if (endpoint.effective.startedMs() <= 0 || rules.slowStartMs() <= 0 || ageMs >= rules.slowStartMs()) {
+            return 1;
+        }
+        double initialShare = rules.slowStartInitialShare();
+        return initialShare + (1 - initialShare) * Math.max(0, ageMs) / rules.slowStartMs();
     }
 
     /** With more than half of all endpoints on probation the cause is shared: ejecting them would leave none. */
--- a/sidecar/src/main/java/martenlatch/policy/ConcurrencyLimiter.java
+++ b/sidecar/src/main/java/martenlatch/policy/ConcurrencyLimiter.java
@@ -9,14 +9,10 @@
     static final double INITIAL_CALLS_PER_ENDPOINT = 4; // over all balancers: two for each of two cores
     private static final double MIN_CALLS_PER_ENDPOINT = 0.5; // over all balancers: recovery has to show
     private static final double TARGET_PRESSURE = 0.2; // share of the time from base time to objective
-    /** The part of that target left where the limit is small, and the limit from which all of it counts. */
-    private static final double MIN_TARGET_SHARE = 0.5;
-
-    private static final double AMPLE_LIMIT = 3;
-    /** Weight of a new outcome in the pressure, and the factor on the limit at each cut. */
-    private static final double PRESSURE_GAIN = 1.0 / 16;
-
-    private static final double CUT = 0.85;
+    private static final double MIN_TARGET_SHARE = 0.5; // the part of that target left where the limit is small
+    private static final double AMPLE_LIMIT = 3; // the limit from which all of the target counts
+    private static final double PRESSURE_GAIN = 1.0 / 16; // weight of a new outcome in the pressure
+    private static final double CUT = 0.85; // factor on the limit at each cut
     private static final double HANG_GAPS = 4; // an endpoint silent for so many of its usual gaps hangs
 
     private final BalancerState state;
--- a/sidecar/src/main/java/martenlatch/policy/EndpointState.java
+++ b/sidecar/src/main/java/martenlatch/policy/EndpointState.java
@@ -17,17 +17,13 @@
 
     Endpoint effective;
     boolean removed; // no longer known: attempts still in flight only give back what they hold
-    /** One bit for each of its slots in the pool, and its next slot outside the pool, if it may have one. */
-    long heldSlots;
-
-    Slot spareSlot;
+    long heldSlots; // one bit for each of its slots in the pool
+    Slot spareSlot; // its next slot outside the pool, if it may have one
     int inFlight;
     int consecutiveFailures;
     double failureRate; // moving average of failures among its outcomes
-    /** When it last answered this balancer, and the usual gap between two answers; 0 if unknown. */
-    double lastAnswerMs;
-
-    double answerGapMs;
+    double lastAnswerMs; // when it last answered this balancer; 0 if unknown
+    double answerGapMs; // the usual gap between two answers; 0 if unknown
     double crowding; // moving average of the crowding shown by its answers, on the scale of the limiter's pressure
     double pausedUntilMs; // no new slot is offered before this time
     /** A connect has failed while other connections to it worked, and nothing was answered since. */
--- a/sidecar/src/main/java/martenlatch/policy/LoadBalancer.java
+++ b/sidecar/src/main/java/martenlatch/policy/LoadBalancer.java
@@ -15,14 +15,10 @@
 
     private static final double MAX_SLOWNESS = 8; // as a multiple of the typical time
     private static final double TYPICAL_GAIN = 1.0 / 32; // weight of a sample in the typical answer time
-    /** The share of answers that exceed the tail time of a class, and how fast the tail time is learned. */
-    private static final double TAIL_SHARE = 0.03;
-
-    private static final double TAIL_GAIN = 0.1;
-    /** Answers averaged for one sample of the base time of a class, and the most that it rises at each sample. */
-    private static final int BASE_SAMPLES = 16;
-
-    private static final double BASE_RISE = 1.02;
+    private static final double TAIL_SHARE = 0.03; // of the answers exceeds the tail time of a class
+    private static final double TAIL_GAIN = 0.1; // how fast the tail time is learned
+    private static final int BASE_SAMPLES = 16; // answers averaged for one sample of the base time of a class
+    private static final double BASE_RISE = 1.02; // the largest factor on the base time at each sample
     private static final double FIRST_POLL_SHARE = 0.5; // of the poll interval, after a watch that ended
     private static final int MAX_POLL_INTERVALS = 3; // between polls after failures; one more is for the call
 
--- a/sidecar/src/main/java/martenlatch/policy/LocalityRouting.java
+++ b/sidecar/src/main/java/martenlatch/policy/LocalityRouting.java
@@ -5,10 +5,8 @@
 
     private static final double SPILL_OVER_MULTIPLE = 3; // of the own zone's slots that the usual calls need
     private static final double CROSSING_MARGIN = 6; // multiple of the crossing price at which locality gives way
-    /** Factor on locality at each refill while it gives way, and what it regains at each other refill. */
-    private static final double LOCALITY_CUT = 0.7;
-
-    private static final double LOCALITY_REGAIN = 0.02;
+    private static final double LOCALITY_CUT = 0.7; // factor on locality at each refill while it gives way
+    private static final double LOCALITY_REGAIN = 0.02; // what locality regains at each other refill
     private static final double CROWDING_GAIN = 1.0 / 16; // weight of a sample in the crowding of the zones
     private static final double USUAL_CALLS_PAUSES = 200; // refill pauses over which the usual calls are learned
 
@@ -19,10 +17,8 @@
 
     private double ownZoneCrowding;
     private double otherZonesCrowding;
-    /** Base time of the calls taken since the last refill, and the calls in flight that this usually makes. */
-    private double demandMs;
-
-    private double usualInFlight;
+    private double demandMs; // base time of the calls taken since the last refill
+    private double usualInFlight; // the calls in flight that this usually makes
     private double lastUpdateMs;
     double remoteRankPenalty; // by how much slots of other zones are ranked behind those of the own zone
 
--- a/sidecar/src/main/java/martenlatch/policy/RetryPolicy.java
+++ b/sidecar/src/main/java/martenlatch/policy/RetryPolicy.java
@@ -49,12 +49,19 @@
     static boolean isInDeduplicationScope(PendingCall call, EndpointState endpoint) {
         Endpoint first = call.mayHaveExecuted.slot().endpoint.effective;
         return !call.requestClass.usesIdempotencyKey()
-                || call.requestClass.deduplicationScope().covers(first, endpoint.effective);
+                || switch (call.requestClass.deduplicationScope()) {
+                    case ALL -> true;
+                    case ZONE -> first.zone() == endpoint.effective.zone();
+                    case CELL -> first.cell() == endpoint.effective.cell();
+                };
     }
 
     /** Whether a client may be told that repeating the call does no harm. */
     static boolean mayReject(PendingCall call) {
-        return (call.mayHaveExecuted == null && call.inFlight == 0) || call.requestClass.isRepeatableAnywhere();
+        boolean isDeduplicatedAnywhere = call.requestClass.usesIdempotencyKey()
+                && call.requestClass.deduplicationScope() == DeduplicationScope.ALL;
+        boolean mayRepeat = call.requestClass.isIdempotent() || isDeduplicatedAnywhere;
+        return (call.mayHaveExecuted == null && call.inFlight == 0) || mayRepeat;
     }
 
     /** The time-out of the next attempt: an endpoint that hangs must not use up the time of another attempt. */
--- a/sidecar/src/main/java/martenlatch/policy/SlotPool.java
+++ b/sidecar/src/main/java/martenlatch/policy/SlotPool.java
@@ -13,11 +13,9 @@
 
     private static final double PEAK_DECAY = 0.996; // factor on the remembered peak at each refill
     private static final int MAX_SLOTS_PER_ENDPOINT = 62; // the width of the bit mask
-    /** Weight of a new connect in the share that fails, the factor on it at each refill, its worth in rounds. */
-    private static final double CONNECT_FAILURE_GAIN = 1.0 / 4;
-
-    private static final double CONNECT_FAILURE_DECAY = 0.99;
-    private static final double CONNECT_FAILURE_ROUNDS = 4;
+    private static final double CONNECT_FAILURE_GAIN = 1.0 / 4; // weight of a new connect in the share that fails
+    private static final double CONNECT_FAILURE_DECAY = 0.99; // factor on that share at each refill
+    private static final double CONNECT_FAILURE_ROUNDS = 4; // rounds of ranks that such a share of 1 moves back
     private static final double MIN_COST = 0.6; // a lower one would rest on too few samples
     private static final double COST_CHANGE = 1.1; // factor by which a cost changes before ranks do
     private static final double COST_STEP_BACK = 0.5; // rounds of ranks that a multiple of the cost moves back
--- a/sidecar/src/main/java/martenlatch/policy/api/EndpointRules.java
+++ b/sidecar/src/main/java/martenlatch/policy/api/EndpointRules.java
@@ -30,12 +30,4 @@
         Checks.requireNotNegative("rules.drainGrace", drainGraceMs);
         Checks.requirePositive("rules.askWithin", pollIntervalMs);
     }
-
-    /** The share of its capacity that an endpoint of this age surely has: it grows linearly up to 1. */
-    public double slowStartCapacity(double ageMs) {
-        if (slowStartMs <= 0 || ageMs >= slowStartMs) {
-            return 1;
-        }
-        return slowStartInitialShare + (1 - slowStartInitialShare) * Math.max(0, ageMs) / slowStartMs;
-    }
 }
--- a/sidecar/src/main/java/martenlatch/policy/api/RequestClass.java
+++ b/sidecar/src/main/java/martenlatch/policy/api/RequestClass.java
@@ -50,11 +50,6 @@
         return idempotency == Idempotency.IDEMPOTENCY_KEY;
     }
 
-    /** Whether a repeat at any endpoint does no harm, as far as a client may be told. */
-    public boolean isRepeatableAnywhere() {
-        return isIdempotent() || (usesIdempotencyKey() && deduplicationScope == DeduplicationScope.ALL);
-    }
-
     /** Whether a request must never be executed twice. */
     public boolean mustNotRepeat() {
         return idempotency == Idempotency.NON_IDEMPOTENT;
