--- a/tools/src/main/java/martenlatch/world/Discovery.java
+++ b/tools/src/main/java/martenlatch/world/Discovery.java
@@ -148,7 +148,7 @@
 
     /** How it answers from now on; watches that wait end with silence, or are answered in that manner. */
     public void manner(Manner next) {
-        loop.execute(() -> {
+        EventLoops.runAndWait(loop, () -> {
             manner = next;
             tell();
         });
@@ -156,28 +156,27 @@
 
     /** Calls wait for their turn from now on. */
     public void queue(CallQueue next) {
-        loop.execute(() -> queue = next);
+        EventLoops.runAndWait(loop, () -> queue = next);
     }
 
     /** Who hears of changes to the list, whoever is told of them. */
     public void listen(Teller hearer) {
-        loop.submit(() -> changes = hearer).syncUninterruptibly();
+        EventLoops.runAndWait(loop, () -> changes = hearer);
     }
 
     /** Everything that it tells comes so much later from now on. */
     public void late(double ms) {
-        loop.execute(() -> lateMs = ms);
+        EventLoops.runAndWait(loop, () -> lateMs = ms);
     }
 
     /** Lists an endpoint in a state of the protocol: in_service, terminating or terminated. */
     void put(Endpoint endpoint, String state) {
         long startedMs = endpoint.startedMs();
-        loop.submit(() -> {
-                    entries.put(endpoint.id(), new Entry(endpoint, state, startedMs, ++version));
-                    changes.changed(endpoint, state);
-                    tell();
-                })
-                .syncUninterruptibly();
+        EventLoops.runAndWait(loop, () -> {
+            entries.put(endpoint.id(), new Entry(endpoint, state, startedMs, ++version));
+            changes.changed(endpoint, state);
+            tell();
+        });
     }
 
     /** The whole list as it is now, as its JSON. */
--- a/tools/src/main/java/martenlatch/world/Endpoint.java
+++ b/tools/src/main/java/martenlatch/world/Endpoint.java
@@ -123,32 +123,31 @@
 
     /** What it does from now on. */
     public void trouble(Trouble next) {
-        loop.execute(() -> trouble = next);
+        EventLoops.runAndWait(loop, () -> trouble = next);
     }
 
     /** Answers nothing for so long, then all at once; it goes on taking requests and working on them. */
     public void stall(double ms) {
-        loop.execute(() -> stalledUntil = System.nanoTime() + (long) (ms * NANOS_IN_MS));
+        EventLoops.runAndWait(loop, () -> stalledUntil = System.nanoTime() + (long) (ms * NANOS_IN_MS));
     }
 
     /** It has been told to drain: after the grace nothing new may come. */
     void drain() {
-        loop.execute(() -> drainedAt = System.nanoTime());
+        EventLoops.runAndWait(loop, () -> drainedAt = System.nanoTime());
     }
 
     /** Its process dies: connections are reset, what it worked on is lost, new ones are refused. */
     void die() {
-        loop.submit(() -> {
-                    life++;
-                    working = 0;
-                    queue.clear();
-                    listener.close();
-                    connections.forEach(one -> {
-                        one.config().setOption(ChannelOption.SO_LINGER, 0);
-                        one.close();
-                    });
-                })
-                .syncUninterruptibly();
+        EventLoops.runAndWait(loop, () -> {
+            life++;
+            working = 0;
+            queue.clear();
+            listener.close();
+            connections.forEach(one -> {
+                one.config().setOption(ChannelOption.SO_LINGER, 0);
+                one.close();
+            });
+        });
     }
 
     /** It starts again at its address, cold; if it still lives it dies first. */
@@ -158,13 +157,12 @@
         }
         listener.closeFuture().syncUninterruptibly();
         startedMs = System.currentTimeMillis();
-        loop.submit(() -> {
-                    trouble = Trouble.NONE;
-                    stalledUntil = System.nanoTime();
-                    drainedAt = Long.MAX_VALUE;
-                    warmAt = System.nanoTime() + (long) (settings.coldMs() * NANOS_IN_MS);
-                })
-                .syncUninterruptibly();
+        EventLoops.runAndWait(loop, () -> {
+            trouble = Trouble.NONE;
+            stalledUntil = System.nanoTime();
+            drainedAt = Long.MAX_VALUE;
+            warmAt = System.nanoTime() + (long) (settings.coldMs() * NANOS_IN_MS);
+        });
         listen(address.getPort());
     }
 
--- a/tools/src/main/java/martenlatch/world/World.java
+++ b/tools/src/main/java/martenlatch/world/World.java
@@ -85,6 +85,11 @@
         discovery.put(endpoints.get(number), "in_service");
     }
 
+    /** Runs a task on each event loop, for tests that hold the loops up. */
+    void runOnAllLoops(Runnable task) {
+        group.forEach(loop -> loop.execute(task));
+    }
+
     @Override
     public void close() {
         endpoints.forEach(Endpoint::close);
--- a/tools/src/test/java/martenlatch/world/WorldTest.java
+++ b/tools/src/test/java/martenlatch/world/WorldTest.java
@@ -17,6 +17,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -176,6 +177,45 @@
         assertTrue(list("?index=2&wait=1").body().contains("\"servers\":[]"));
     }
 
+    @Test
+    void changesOfDiscoveryAndEndpointsAreInForceWhenTheirCallsReturn() throws Exception {
+        world = new World(SMALL, 0);
+        Endpoint endpoint = world.endpoints().get(0);
+        assertReturnsOnlyInForce(() -> world.discovery().manner(Discovery.Manner.WRONG));
+        assertReturnsOnlyInForce(() -> world.discovery().late(1));
+        assertReturnsOnlyInForce(() -> world.discovery().queue(new CallQueue(0, 0)));
+        assertReturnsOnlyInForce(() -> endpoint.trouble(Trouble.ERRORS));
+        assertReturnsOnlyInForce(() -> endpoint.stall(1));
+        assertReturnsOnlyInForce(endpoint::drain);
+    }
+
+    /** Holds up all event loops while the change is made: the call must wait for them. */
+    private void assertReturnsOnlyInForce(Runnable change) throws InterruptedException {
+        CountDownLatch held = new CountDownLatch(SMALL.threads() + 1);
+        CountDownLatch release = new CountDownLatch(1);
+        world.runOnAllLoops(() -> {
+            held.countDown();
+            awaitUninterruptibly(release);
+        });
+        assertTrue(held.await(20, TimeUnit.SECONDS));
+        Thread changing = new Thread(change);
+        changing.start();
+        await(() -> changing.getState() == Thread.State.WAITING || changing.getState() == Thread.State.TERMINATED);
+        boolean waits = changing.isAlive();
+        release.countDown();
+        changing.join(20_000);
+        assertTrue(waits, "returned before the change was in force");
+        assertFalse(changing.isAlive(), "did not return");
+    }
+
+    private static void awaitUninterruptibly(CountDownLatch latch) {
+        try {
+            latch.await();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
     @Test
     void aFileTellsWhatHappensAndWhen() throws Exception {
         WorldFile file = WorldFile.read(Files.writeString(folder.resolve("w.toml"), """
