--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -17,7 +17,7 @@
     -jar sidecar/target/martenlatch.jar serve > sidecar/target/archive.log 2>&1 &
 pid=$!
 tries=0
-while ! grep -q "serves at" sidecar/target/archive.log && [ $tries -lt 100 ]; do
+while ! grep -q "serving on" sidecar/target/archive.log && [ $tries -lt 100 ]; do
     tries=$((tries + 1))
     sleep 0.1
 done
--- a/extproc/src/main/java/martenlatch/extproc/Floor.java
+++ b/extproc/src/main/java/martenlatch/extproc/BaselineServer.java
@@ -4,15 +4,16 @@
 import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingRequest;
 import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingResponse;
 import io.grpc.stub.StreamObserver;
-import martenlatch.front.extproc.Replies;
+import martenlatch.frontend.extproc.EndpointDestination;
+import martenlatch.frontend.extproc.ProcessingResponses;
 
 /**
- * A processor that decides nothing and answers every message with a constant: what the stack under the real
- * one costs, for measurements beside it.
+ * A processor that decides nothing and answers every message with a constant: it shows what the gRPC stack costs, for
+ * measurements beside the real processor.
  */
-final class Floor extends ExternalProcessorGrpc.ExternalProcessorImplBase {
+final class BaselineServer extends ExternalProcessorGrpc.ExternalProcessorImplBase {
 
-    private static final ProcessingResponse SEND = new Replies.Destination("127.0.0.1:1").decision(1000);
+    private static final ProcessingResponse DECISION = new EndpointDestination("127.0.0.1:1").decision(1000);
 
     @Override
     public StreamObserver<ProcessingRequest> process(StreamObserver<ProcessingResponse> out) {
@@ -20,16 +21,16 @@
             @Override
             public void onNext(ProcessingRequest message) {
                 if (message.hasRequestHeaders()) {
-                    out.onNext(SEND);
+                    out.onNext(DECISION);
                 } else {
-                    out.onNext(Replies.PASS);
+                    out.onNext(ProcessingResponses.PASS);
                     out.onCompleted();
                 }
             }
 
             @Override
             public void onError(Throwable cause) {
-                // The stream has ended; there is nothing to let go of.
+                // The stream has ended, and nothing has to be released.
                 return;
             }
 
--- a/extproc/src/main/java/martenlatch/extproc/ExtProcServer.java
+++ b/extproc/src/main/java/martenlatch/extproc/ExtProcServer.java
@@ -18,10 +18,10 @@
 import java.util.concurrent.TimeUnit;
 import martenlatch.discovery.DiscoveryClient;
 import martenlatch.discovery.PollTiming;
-import martenlatch.front.extproc.EndpointAddresses;
-import martenlatch.front.extproc.ExtProcSettings;
-import martenlatch.front.extproc.Processor;
-import martenlatch.net.LoopTime;
+import martenlatch.frontend.extproc.EndpointAddresses;
+import martenlatch.frontend.extproc.ExtProcSettings;
+import martenlatch.frontend.extproc.Processor;
+import martenlatch.net.EventLoopScheduler;
 import martenlatch.policy.api.RequestClass;
 import martenlatch.request.RateLimitedLogger;
 import martenlatch.request.RequestObserver;
@@ -32,12 +32,12 @@
 /** One external processor: its parts on one event loop, which is the only thread that touches any of them. */
 final class ExtProcServer {
 
-    /** A head of 8 KiB, as the HTTP front takes it, with what stands round it. */
-    private static final int MOST_MESSAGE = 32 * 1024;
-    /** What a stream's own metadata may take: a proxy adds little to it. */
-    private static final int MOST_METADATA = 8 * 1024;
-    /** Messages are small: a window of this size holds many, and a peer can't make us hold more. */
-    private static final int WINDOW = 256 * 1024;
+    /** A head of 8 KiB, as the HTTP frontend accepts it, with its envelope. */
+    private static final int MAX_MESSAGE_BYTES = 32 * 1024;
+    /** The metadata of a stream: a proxy adds little to it. */
+    private static final int MAX_METADATA_BYTES = 8 * 1024;
+    /** Messages are small: a window of this size holds many, and bounds what a peer can make this process hold. */
+    private static final int FLOW_CONTROL_WINDOW_BYTES = 256 * 1024;
 
     private static final int EMPTY_POLL_MS = 10;
 
@@ -47,9 +47,10 @@
     private final EventLoop loop;
     private Processor processor;
     private DiscoveryClient discovery;
-    private RequestTracker exchange;
+    private RequestTracker requestTracker;
     private Server server;
-    private double longestMs;
+    /** The longest deadline of any request class. */
+    private double maxDeadlineMs;
 
     private ExtProcServer(Path siteFile, PrintStream log) {
         this.siteFile = siteFile;
@@ -58,65 +59,66 @@
         loop = (EventLoop) group.next();
     }
 
-    /** Reads both files and listens; what goes wrong is an exception whose message says so plainly. */
+    /** Reads both files, warms up and listens. */
     static ExtProcServer start(Path siteFile, Path ownFile, PrintStream log) throws IOException {
         SiteConfig config = SiteConfig.read(siteFile);
-        ExtProcSettings own = ExtProcSettings.read(ownFile).checkedWith(config.settings());
-        ExtProcServer made = new ExtProcServer(siteFile, log);
-        made.loop.submit(() -> made.build(config, own)).syncUninterruptibly();
+        ExtProcSettings settings = ExtProcSettings.read(ownFile).requireValidWith(config.settings());
+        ExtProcServer server = new ExtProcServer(siteFile, log);
+        server.loop.submit(() -> server.build(config, settings)).syncUninterruptibly();
         try {
-            long began = System.nanoTime();
-            Warmup.run(config, own, made.loop);
-            log.println("martenlatch: warm after " + (System.nanoTime() - began) / 1_000_000 + " ms");
-            made.server = listen(own, made.processor, made.loop);
+            long startedNanos = System.nanoTime();
+            Warmup.run(config, settings, server.loop);
+            log.println("martenlatch: warm-up finished after "
+                    + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos) + " ms");
+            server.server = listen(settings, server.processor, server.loop);
         } catch (IOException e) {
-            made.stop();
-            throw new IOException("cannot listen on " + own.listen() + ": " + e.getMessage(), e);
+            server.stop();
+            throw new IOException("cannot listen on " + settings.listen() + ": " + e.getMessage(), e);
         }
-        log.println("martenlatch: external processor listens on " + made.address());
-        return made;
+        log.println("martenlatch: external processor listens on " + server.address());
+        return server;
     }
 
-    private void build(SiteConfig config, ExtProcSettings own) {
-        Scheduler time = new LoopTime(loop);
-        for (RequestClass kind : config.settings().classes()) {
-            longestMs = Math.max(longestMs, kind.deadlineMs());
+    private void build(SiteConfig config, ExtProcSettings settings) {
+        Scheduler scheduler = new EventLoopScheduler(loop);
+        for (RequestClass requestClass : config.settings().classes()) {
+            maxDeadlineMs = Math.max(maxDeadlineMs, requestClass.deadlineMs());
         }
-        RateLimitedLogger complaints = new RateLimitedLogger(time, log);
+        RateLimitedLogger logger = new RateLimitedLogger(scheduler, log);
         EndpointAddresses addresses = new EndpointAddresses();
         SplittableRandom random = new SplittableRandom(config.seed());
         discovery = new DiscoveryClient(
                 loop,
-                time,
+                scheduler,
                 config.discovery(),
                 config.names(),
-                complaints,
+                logger,
                 () -> PollTiming.next(config.settings(), random));
-        exchange = new RequestTracker(
-                time,
-                complaints,
+        requestTracker = new RequestTracker(
+                scheduler,
+                logger,
                 addresses,
                 discovery::start,
                 config.settings(),
                 config.seed(),
                 config.known(),
                 RequestObserver.NONE);
-        discovery.setListener(exchange, config.known().version());
-        processor = new Processor(time, loop, complaints, exchange, addresses, own, config.settings());
+        discovery.setListener(requestTracker, config.known().version());
+        processor = new Processor(scheduler, loop, logger, requestTracker, addresses, settings, config.settings());
     }
 
-    /** A gRPC server on the one event loop: calls run on it as they are read, with no hand-over. */
-    static Server listen(ExtProcSettings own, BindableService processor, EventLoop loop) throws IOException {
-        return NettyServerBuilder.forAddress(own.listen())
+    /** Starts a gRPC server on the one event loop: calls run on it as they are read, without a hand-over. */
+    static Server listen(ExtProcSettings settings, BindableService processor, EventLoop loop) throws IOException {
+        return NettyServerBuilder.forAddress(settings.listen())
                 .channelType(NioServerSocketChannel.class)
                 .bossEventLoopGroup(loop)
                 .workerEventLoopGroup(loop)
                 .directExecutor()
                 .withChildOption(ChannelOption.TCP_NODELAY, true)
-                .maxInboundMessageSize(MOST_MESSAGE)
-                .maxInboundMetadataSize(MOST_METADATA)
-                .maxConcurrentCallsPerConnection(own.mostStreams())
-                .initialFlowControlWindow(WINDOW)
+                .maxInboundMessageSize(MAX_MESSAGE_BYTES)
+                .maxInboundMetadataSize(MAX_METADATA_BYTES)
+                .maxConcurrentCallsPerConnection(settings.maxStreams())
+                .initialFlowControlWindow(FLOW_CONTROL_WINDOW_BYTES)
                 .addService(processor)
                 .build()
                 .start();
@@ -126,8 +128,8 @@
         return (InetSocketAddress) server.getListenSockets().get(0);
     }
 
-    RequestTracker exchange() {
-        return exchange;
+    RequestTracker requestTracker() {
+        return requestTracker;
     }
 
     Processor processor() {
@@ -138,47 +140,47 @@
         return loop;
     }
 
-    /** Reads the site's configuration again and moves to the discovery that it names. */
+    /** Reads the site's configuration again, and moves to the discovery that it names. */
     void reload() {
         loop.execute(() -> {
             try {
                 InetSocketAddress named = SiteConfig.read(siteFile).discovery();
-                log.println("martenlatch: configuration read again: discovery is at " + named);
+                log.println("martenlatch: configuration reloaded: discovery at " + named);
                 discovery.moveTo(named);
             } catch (IOException | RuntimeException e) {
-                log.println("martenlatch: the configuration stays as it was: " + e.getMessage());
+                log.println("martenlatch: configuration not reloaded: " + e.getMessage());
             }
         });
     }
 
     /**
-     * Lets proxies go elsewhere and waits for what is open: their connections are told to take no new streams
-     * (GOAWAY), and every request is over by the longest deadline.
+     * Sends proxies away (GOAWAY: their connections take no new streams) and waits for open streams; every request is
+     * over by the longest deadline.
      */
     void drain() {
         log.println("martenlatch: draining");
-        CountDownLatch empty = new CountDownLatch(1);
-        loop.execute(() -> processor.drain(longestMs));
+        CountDownLatch drained = new CountDownLatch(1);
+        loop.execute(() -> processor.drain(maxDeadlineMs));
         server.shutdown();
         loop.scheduleWithFixedDelay(
                 () -> {
                     if (processor.openStreams() == 0) {
-                        empty.countDown();
+                        drained.countDown();
                     }
                 },
                 EMPTY_POLL_MS,
                 EMPTY_POLL_MS,
                 TimeUnit.MILLISECONDS);
-        boolean done = false;
+        boolean complete = false;
         try {
-            done = empty.await((long) longestMs, TimeUnit.MILLISECONDS);
+            complete = drained.await((long) maxDeadlineMs, TimeUnit.MILLISECONDS);
             server.shutdownNow();
-            // What it still wants to write is on its way by then.
+            // Messages that it still has to write are sent by then.
             server.awaitTermination(1, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        log.println(done ? "martenlatch: drained" : "martenlatch: not all consultations were over in time");
+        log.println(complete ? "martenlatch: drained" : "martenlatch: drain timed out: some streams are still open");
         stop();
     }
 
--- a/extproc/src/main/java/martenlatch/extproc/Main.java
+++ b/extproc/src/main/java/martenlatch/extproc/Main.java
@@ -8,10 +8,11 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
-import martenlatch.config.Fields;
-import martenlatch.front.extproc.ExtProcSettings;
-import martenlatch.net.LoopTime;
-import martenlatch.world.ConsultationLoad;
+import martenlatch.config.ConfigurationException;
+import martenlatch.config.SocketAddresses;
+import martenlatch.frontend.extproc.ExtProcSettings;
+import martenlatch.net.EventLoopScheduler;
+import martenlatch.world.ProcessingStreamLoad;
 import martenlatch.world.StandInProxy;
 import sun.misc.Signal;
 
@@ -30,7 +31,7 @@
 
     private Main() {}
 
-    /** Runs a command; what cannot be used is one plain line and a status above 0. */
+    /** Runs a command; a failure is one line on standard error and an exit status above 0. */
     public static void main(String[] args) {
         int status = run(args, System.getenv("GW_CONFIG"), System.err);
         if (status != 0) {
@@ -43,16 +44,16 @@
             if (args.length == 2 && args[0].equals("extproc")) {
                 extproc(configFile, Path.of(args[1]), errors);
             } else if (args.length == 3 && args[0].equals("proxy")) {
-                proxy(Fields.address("LISTEN", args[1]), Fields.address("PROCESSOR", args[2]), errors);
+                proxy(SocketAddresses.parse("LISTEN", args[1]), SocketAddresses.parse("PROCESSOR", args[2]), errors);
             } else if (args.length == 2 && args[0].equals("floor")) {
-                ExtProcServer.listen(ExtProcSettings.read(Path.of(args[1])), new Floor(), loop());
+                ExtProcServer.listen(ExtProcSettings.read(Path.of(args[1])), new BaselineServer(), loop());
             } else if (args.length == 6 && args[0].equals("load")) {
-                ConsultationLoad.run(
-                        Fields.address("PROCESSOR", args[1]),
-                        whole("RATE", args[2], 0),
-                        whole("STREAMS", args[3], 1),
+                ProcessingStreamLoad.run(
+                        SocketAddresses.parse("PROCESSOR", args[1]),
+                        wholeNumber("RATE", args[2], 0),
+                        wholeNumber("STREAMS", args[3], 1),
                         args[4],
-                        whole("SECONDS", args[5], 1),
+                        wholeNumber("SECONDS", args[5], 1),
                         System.out);
             } else {
                 errors.println(USAGE);
@@ -75,24 +76,25 @@
         return (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     }
 
-    private static int whole(String field, String text, int least) {
+    private static int wholeNumber(String field, String text, int min) {
         try {
             int value = Integer.parseInt(text);
-            if (value >= least && value <= 1_000_000) {
+            if (value >= min && value <= 1_000_000) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            throw Fields.bad(field, text);
+            throw ConfigurationException.unusable(field, text);
         }
-        throw Fields.bad(field, text);
+        throw ConfigurationException.unusable(field, text);
     }
 
     private static void extproc(String configFile, Path settings, PrintStream log) throws IOException {
-        // Before all else: until there is a handler, SIGHUP ends the program.
+        // First of all: until there is a handler, SIGHUP ends the process.
         CompletableFuture<ExtProcServer> running = new CompletableFuture<>();
         Signal.handle(new Signal("HUP"), signal -> running.thenAccept(ExtProcServer::reload));
         if (configFile == null || configFile.isBlank()) {
-            throw new IllegalArgumentException("GW_CONFIG must name the configuration file but is " + configFile);
+            throw new ConfigurationException(
+                    "GW_CONFIG", "GW_CONFIG must name the configuration file but is " + configFile);
         }
         ExtProcServer server = ExtProcServer.start(Path.of(configFile), settings, log);
         Runtime.getRuntime()
@@ -110,7 +112,7 @@
         EventLoop loop = loop();
         var bound = new StandInProxy(
                         loop,
-                        new LoopTime(loop),
+                        new EventLoopScheduler(loop),
                         processor,
                         new StandInProxy.Options(100, 250, 3, StandInProxy.WhenAway.FAIL, null),
                         StandInProxy.Conduct.GOOD)
--- a/extproc/src/main/java/martenlatch/extproc/Warmup.java
+++ b/extproc/src/main/java/martenlatch/extproc/Warmup.java
@@ -20,10 +20,10 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import martenlatch.front.extproc.EndpointAddresses;
-import martenlatch.front.extproc.ExtProcSettings;
-import martenlatch.front.extproc.Processor;
-import martenlatch.net.LoopTime;
+import martenlatch.frontend.extproc.EndpointAddresses;
+import martenlatch.frontend.extproc.ExtProcSettings;
+import martenlatch.frontend.extproc.Processor;
+import martenlatch.net.EventLoopScheduler;
 import martenlatch.policy.api.BalancerSettings;
 import martenlatch.policy.api.Endpoint;
 import martenlatch.policy.api.EndpointStatus;
@@ -36,37 +36,37 @@
 import martenlatch.site.SiteConfig;
 
 /**
- * Runs made-up consultations through a second set of the parts, on a port of its own, before proxies are let
- * in: the first ones load the classes, and would take longer than a proxy waits. No endpoint hears of it.
+ * Runs synthetic streams through a second set of the parts, on a port of its own, before proxies are accepted: the
+ * first streams load the classes, and would take longer than a proxy waits. No endpoint is involved.
  */
 final class Warmup {
 
-    /** Enough for every class to be loaded and the compiler to have begun. */
-    private static final int ROUNDS = 200;
-    /** A busy machine must not keep a processor from starting. */
-    private static final int MOST_MS = 5000;
+    /** Enough for every class to be loaded and the compiler to have started. */
+    private static final int STREAMS = 200;
+    /** The longest warm-up, in milliseconds: a busy machine must not keep a processor from starting. */
+    private static final int MAX_MS = 5000;
 
     private static final int DEADLINE_MS = 1000;
 
     private final ExternalProcessorGrpc.ExternalProcessorStub stub;
-    private final List<RequestClass> kinds;
+    private final List<RequestClass> classes;
     private final String tenant;
     private final CountDownLatch done = new CountDownLatch(1);
-    private int rounds;
+    private int finishedStreams;
 
     private Warmup(ManagedChannel channel, BalancerSettings site) {
         stub = ExternalProcessorGrpc.newStub(channel);
-        kinds = site.classes();
+        classes = site.classes();
         tenant = site.tenants().isEmpty() ? "" : site.tenants().get(0).name();
     }
 
     /** Returns when it is warm, or after some seconds; not to be called on the event loop. */
-    static void run(SiteConfig config, ExtProcSettings own, EventLoop loop) throws IOException {
-        InetSocketAddress ephemeral = new InetSocketAddress(own.listen().getAddress(), 0);
-        Processor processor = loop.submit(() -> parts(config, own, loop))
+    static void run(SiteConfig config, ExtProcSettings settings, EventLoop loop) throws IOException {
+        InetSocketAddress ephemeral = new InetSocketAddress(settings.listen().getAddress(), 0);
+        Processor processor = loop.submit(() -> createProcessor(config, settings, loop))
                 .syncUninterruptibly()
                 .getNow();
-        Server server = ExtProcServer.listen(own.at(ephemeral), processor, loop);
+        Server server = ExtProcServer.listen(settings.withListen(ephemeral), processor, loop);
         ManagedChannel channel = NettyChannelBuilder.forAddress(
                         server.getListenSockets().get(0))
                 .usePlaintext()
@@ -76,8 +76,8 @@
                 .build();
         try {
             Warmup warmup = new Warmup(channel, config.settings());
-            loop.execute(warmup::ask);
-            warmup.done.await(MOST_MS, TimeUnit.MILLISECONDS);
+            loop.execute(warmup::openStream);
+            warmup.done.await(MAX_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -86,33 +86,33 @@
         }
     }
 
-    private static Processor parts(SiteConfig config, ExtProcSettings own, EventLoop loop) {
-        Scheduler time = new LoopTime(loop);
-        RateLimitedLogger silent = new RateLimitedLogger(time, new PrintStream(OutputStream.nullOutputStream()));
+    private static Processor createProcessor(SiteConfig config, ExtProcSettings settings, EventLoop loop) {
+        Scheduler scheduler = new EventLoopScheduler(loop);
+        RateLimitedLogger silent = new RateLimitedLogger(scheduler, new PrintStream(OutputStream.nullOutputStream()));
         EndpointAddresses addresses = new EndpointAddresses();
         EndpointList list = new EndpointList(
                 0,
                 true,
                 List.of(new EndpointList.Entry(
                         new Endpoint("warm-up", config.settings().ownZone(), 0, 0, 0, EndpointStatus.READY, 1),
-                        own.listen())));
-        RequestTracker exchange = new RequestTracker(
-                time, silent, addresses, () -> {}, config.settings(), config.seed(), list, RequestObserver.NONE);
-        return new Processor(time, loop, silent, exchange, addresses, own, config.settings());
+                        settings.listen())));
+        RequestTracker requestTracker = new RequestTracker(
+                scheduler, silent, addresses, () -> {}, config.settings(), config.seed(), list, RequestObserver.NONE);
+        return new Processor(scheduler, loop, silent, requestTracker, addresses, settings, config.settings());
     }
 
-    private void ask() {
-        RequestClass kind = kinds.get(rounds % kinds.size());
-        HeaderMap.Builder heads = HeaderMap.newBuilder()
+    private void openStream() {
+        RequestClass requestClass = classes.get(finishedStreams % classes.size());
+        HeaderMap.Builder headers = HeaderMap.newBuilder()
                 .addHeaders(header(":method", "GET"))
-                .addHeaders(header("x-request-id", "warm-up-" + rounds))
-                .addHeaders(header("x-class", kind.name()))
+                .addHeaders(header("x-request-id", "warm-up-" + finishedStreams))
+                .addHeaders(header("x-class", requestClass.name()))
                 .addHeaders(header("x-tenant", tenant))
                 .addHeaders(header("x-deadline-ms", Integer.toString(DEADLINE_MS)));
-        Answers answers = new Answers();
-        answers.out = stub.process(answers);
-        answers.out.onNext(ProcessingRequest.newBuilder()
-                .setRequestHeaders(HttpHeaders.newBuilder().setHeaders(heads))
+        Responses responses = new Responses();
+        responses.requests = stub.process(responses);
+        responses.requests.onNext(ProcessingRequest.newBuilder()
+                .setRequestHeaders(HttpHeaders.newBuilder().setHeaders(headers))
                 .build());
     }
 
@@ -123,13 +123,13 @@
                 .build();
     }
 
-    private final class Answers implements StreamObserver<ProcessingResponse> {
-        private StreamObserver<ProcessingRequest> out;
+    private final class Responses implements StreamObserver<ProcessingResponse> {
+        private StreamObserver<ProcessingRequest> requests;
 
         @Override
         public void onNext(ProcessingResponse message) {
             if (message.hasRequestHeaders()) {
-                out.onNext(ProcessingRequest.newBuilder()
+                requests.onNext(ProcessingRequest.newBuilder()
                         .setResponseHeaders(HttpHeaders.newBuilder()
                                 .setHeaders(HeaderMap.newBuilder().addHeaders(header(":status", "200"))))
                         .build());
@@ -143,8 +143,8 @@
 
         @Override
         public void onCompleted() {
-            if (++rounds < ROUNDS) {
-                ask();
+            if (++finishedStreams < STREAMS) {
+                openStream();
             } else {
                 done.countDown();
             }
--- a/extproc/src/main/java/martenlatch/extproc/package-info.java
+++ b/extproc/src/main/java/martenlatch/extproc/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One external processor put together: configuration, start, warm-up, reload and drain, its command line, and
- * the empty processor that it is measured beside. It may use every room; none uses it.
+ * One external processor: start, warm-up, reload and drain, its command line, and the baseline that it is measured
+ * against. It may use every package; none uses it.
  */
 package martenlatch.extproc;
--- a/extproc/src/main/java/martenlatch/front/extproc/EndpointAddresses.java
+++ b/extproc/src/main/java/martenlatch/frontend/extproc/EndpointAddresses.java
@@ -1,4 +1,4 @@
-package martenlatch.front.extproc;
+package martenlatch.frontend.extproc;
 
 import java.net.InetSocketAddress;
 import java.util.HashMap;
@@ -9,10 +9,10 @@
 import martenlatch.request.EndpointConnections;
 import martenlatch.request.EndpointList;
 
-/** Where proxies find the endpoints that may get something new. */
+/** The addresses of the endpoints that take new requests, as proxies are told. */
 public final class EndpointAddresses implements EndpointConnections {
 
-    private final Map<String, Replies.Destination> ready = new HashMap<>();
+    private final Map<String, EndpointDestination> ready = new HashMap<>();
 
     @Override
     public void update(EndpointList list) {
@@ -23,32 +23,32 @@
         }
         for (EndpointList.Entry entry : list.entries()) {
             if (entry.endpoint().status() == EndpointStatus.READY) {
-                ready.put(entry.endpoint().id(), new Replies.Destination(text(entry.address())));
+                ready.put(entry.endpoint().id(), new EndpointDestination(format(entry.address())));
             } else {
                 ready.remove(entry.endpoint().id());
             }
         }
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String format(InetSocketAddress address) {
         String host = address.getAddress().getHostAddress();
         return (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":" + address.getPort();
     }
 
-    /** How an endpoint is named, or null if nothing new may go there. */
-    Replies.Destination of(String server) {
-        return ready.get(server);
+    /** The destination of an endpoint, or null if it takes nothing new. */
+    EndpointDestination find(String endpointId) {
+        return ready.get(endpointId);
     }
 
     @Override
     public void withdrawAttempts() {
-        // What proxies were told to send is theirs: they say whether they have.
+        // Attempts are the proxies': they report whether they were sent.
         return;
     }
 
     @Override
-    public void closeIdleConnections(String server) {
-        // The proxies' connections are their own; they close them when they are idle.
+    public void closeIdleConnections(String endpointId) {
+        // Connections are the proxies', which close them when they are idle.
         return;
     }
 }
--- a/extproc/src/main/java/martenlatch/front/extproc/HeaderView.java
+++ b/extproc/src/main/java/martenlatch/frontend/extproc/HeaderView.java
@@ -1,16 +1,16 @@
-package martenlatch.front.extproc;
+package martenlatch.frontend.extproc;
 
 import io.envoyproxy.envoy.config.core.v3.HeaderValue;
 import io.envoyproxy.envoy.service.ext_proc.v3.HttpHeaders;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import martenlatch.front.CallReader;
+import martenlatch.frontend.RequestHead;
 
 /**
  * The headers of a message, as all fronts read them. A proxy fills in a value as text or as bytes. Names are
  * taken out once: a call is read by a dozen look-ups, and the message's own list is slow to go through.
  */
-final class HeaderView implements CallReader.Head {
+final class HeaderView implements RequestHead {
 
     private final List<HeaderValue> headers;
     private final String[] names;
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public boolean repeated(String name) {
+    public boolean isRepeated(String name) {
         int at = find(name, 0);
         return at >= 0 && find(name, at + 1) >= 0;
     }
--- a/extproc/src/main/java/martenlatch/world/ConsultationLoad.java
+++ b/extproc/src/main/java/martenlatch/world/ProcessingStreamLoad.java
@@ -32,7 +32,7 @@
  * from the intended time to the decision), or as fast as so many streams at once allow. Each consultation is
  * a stream of two messages each way. Bounded in time and in streams that are open at once.
  */
-public final class ConsultationLoad {
+public final class ProcessingStreamLoad {
 
     private static final int CONNECTIONS = 4;
     /** More open streams than this are not waited for: the processor is far behind. */
@@ -60,7 +60,7 @@
     private final String run = Long.toHexString(ThreadLocalRandom.current().nextLong());
     private long count;
 
-    private ConsultationLoad(InetSocketAddress processor) {
+    private ProcessingStreamLoad(InetSocketAddress processor) {
         for (int i = 0; i < CONNECTIONS; i++) {
             ManagedChannel channel = NettyChannelBuilder.forAddress(processor)
                     .usePlaintext()
@@ -83,7 +83,7 @@
     public static void run(
             InetSocketAddress processor, int perSecond, int streams, String kind, int seconds, PrintStream out)
             throws InterruptedException {
-        ConsultationLoad load = new ConsultationLoad(processor);
+        ProcessingStreamLoad load = new ProcessingStreamLoad(processor);
         try {
             load.phase(0, WARM_STREAMS, kind, WARM_S);
             load.decisions.reset();
--- a/extproc/src/test/java/martenlatch/ExtProcRoomsTest.java
+++ b/extproc/src/test/java/martenlatch/ExtProcRoomsTest.java
@@ -21,13 +21,13 @@
                 .consideringOnlyDependenciesInLayers()
                 .layer("extproc")
                 .definedBy("martenlatch.extproc..")
-                .layer("front.extproc")
-                .definedBy("martenlatch.front.extproc..")
+                .layer("frontend.extproc")
+                .definedBy("martenlatch.frontend.extproc..")
                 .layer("world")
                 .definedBy("martenlatch.world..")
                 .whereLayer("extproc")
                 .mayNotBeAccessedByAnyLayer()
-                .whereLayer("front.extproc")
+                .whereLayer("frontend.extproc")
                 .mayOnlyBeAccessedByLayers("extproc")
                 .whereLayer("world")
                 .mayOnlyBeAccessedByLayers("extproc")
@@ -38,13 +38,13 @@
     void theFrontSendsNothingAndReadsNoSite() {
         noClasses()
                 .that()
-                .resideInAPackage("martenlatch.front.extproc..")
+                .resideInAPackage("martenlatch.frontend.extproc..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
                         "martenlatch.sidecar..",
                         "martenlatch.site..",
-                        "martenlatch.front.http..",
+                        "martenlatch.frontend.http..",
                         "martenlatch.upstream..",
                         "martenlatch.discovery..",
                         "martenlatch.cli..")
@@ -59,7 +59,7 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
-                        "martenlatch.front..",
+                        "martenlatch.frontend..",
                         "martenlatch.policy..",
                         "martenlatch.upstream..",
                         "martenlatch.sidecar..")
--- a/extproc/src/test/java/martenlatch/extproc/Lab.java
+++ b/extproc/src/test/java/martenlatch/extproc/BothModesFixture.java
@@ -41,11 +41,11 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import martenlatch.front.extproc.EndpointAddresses;
-import martenlatch.front.extproc.ExtProcSettings;
-import martenlatch.front.extproc.ManualTime;
-import martenlatch.front.extproc.Processor;
-import martenlatch.front.http.Frontend;
+import martenlatch.frontend.extproc.EndpointAddresses;
+import martenlatch.frontend.extproc.ExtProcSettings;
+import martenlatch.frontend.extproc.ManualScheduler;
+import martenlatch.frontend.extproc.Processor;
+import martenlatch.frontend.http.Frontend;
 import martenlatch.policy.api.AttemptOutcome;
 import martenlatch.policy.api.BalancerSettings;
 import martenlatch.policy.api.EndpointStatus;
@@ -65,7 +65,7 @@
  * clock stands still while anything is on its way: a step is the next thing that is due, and the one after it
  * comes when every request is either at an endpoint or answered at its client. All is on one event loop.
  */
-final class Lab implements Closeable {
+final class BothModesFixture implements Closeable {
 
     /** Who stands between clients and endpoints. */
     enum Mode {
@@ -94,7 +94,7 @@
     private final BalancerSettings settings;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
-    private final ManualTime time = new ManualTime();
+    private final ManualScheduler time = new ManualScheduler();
     private final double began = time.now();
     /** All decisions and what became of them, then what was seen of them from outside. */
     final List<String> decisions = new ArrayList<>();
@@ -121,7 +121,7 @@
     private double load = 1;
 
     /** Plays nothing yet; {@code twist} stands between the host and where endpoints are. */
-    Lab(
+    BothModesFixture(
             Mode mode,
             long seed,
             int requests,
@@ -197,7 +197,7 @@
     }
 
     /** Plays the script to its end. */
-    Lab play() throws Exception {
+    BothModesFixture play() throws Exception {
         while (loop.submit(() -> front == null || front.getPort() == 0).get()) {
             Thread.sleep(1);
         }
--- a/extproc/src/test/java/martenlatch/extproc/BothModesTest.java
+++ b/extproc/src/test/java/martenlatch/extproc/BothModesTest.java
@@ -74,9 +74,10 @@
                 new EndpointRules(0.3, 1500, 3, 1000, 500, 10_000));
     }
 
-    private static Lab play(Lab.Mode mode, int requests, int tries, UnaryOperator<EndpointConnections> twist)
+    private static BothModesFixture play(
+            BothModesFixture.Mode mode, int requests, int tries, UnaryOperator<EndpointConnections> twist)
             throws Exception {
-        try (Lab lab = new Lab(mode, 23, requests, settings(tries), twist)) {
+        try (BothModesFixture lab = new BothModesFixture(mode, 23, requests, settings(tries), twist)) {
             return lab.play();
         }
     }
@@ -96,8 +97,8 @@
 
     @Test
     void everyDecisionIsTheSame() throws Exception {
-        Lab http = play(Lab.Mode.HTTP, REQUESTS, 3, table -> table);
-        Lab proxied = play(Lab.Mode.EXTERNAL_PROCESSOR, REQUESTS, 3, table -> table);
+        BothModesFixture http = play(BothModesFixture.Mode.HTTP, REQUESTS, 3, table -> table);
+        BothModesFixture proxied = play(BothModesFixture.Mode.EXTERNAL_PROCESSOR, REQUESTS, 3, table -> table);
         assertSame(http.decisions, proxied.decisions);
         assertSame(
                 http.receipts.stream().sorted().toList(),
@@ -135,16 +136,16 @@
     /** The comparison can fail: one attempt fewer, in one of the modes. */
     @Test
     void anotherDecisionIsSeen() throws Exception {
-        Lab http = play(Lab.Mode.HTTP, CONTROL_REQUESTS, 3, table -> table);
-        Lab proxied = play(Lab.Mode.EXTERNAL_PROCESSOR, CONTROL_REQUESTS, 2, table -> table);
+        BothModesFixture http = play(BothModesFixture.Mode.HTTP, CONTROL_REQUESTS, 3, table -> table);
+        BothModesFixture proxied = play(BothModesFixture.Mode.EXTERNAL_PROCESSOR, CONTROL_REQUESTS, 2, table -> table);
         assertNotEquals(http.decisions, proxied.decisions);
     }
 
     /** It can fail where only the outside shows it: two endpoints stand under each other's names. */
     @Test
     void anotherEndpointIsSeen() throws Exception {
-        Lab http = play(Lab.Mode.HTTP, CONTROL_REQUESTS, 3, table -> table);
-        Lab proxied = play(Lab.Mode.EXTERNAL_PROCESSOR, CONTROL_REQUESTS, 3, Swapped::new);
+        BothModesFixture http = play(BothModesFixture.Mode.HTTP, CONTROL_REQUESTS, 3, table -> table);
+        BothModesFixture proxied = play(BothModesFixture.Mode.EXTERNAL_PROCESSOR, CONTROL_REQUESTS, 3, Swapped::new);
         assertNotEquals(
                 http.receipts.stream().sorted().toList(),
                 proxied.receipts.stream().sorted().toList());
--- a/extproc/src/test/java/martenlatch/extproc/ExtProcServerTest.java
+++ b/extproc/src/test/java/martenlatch/extproc/ExtProcServerTest.java
@@ -1,7 +1,7 @@
 package martenlatch.extproc;
 
-import static martenlatch.front.extproc.Desk.ORDER;
-import static martenlatch.front.extproc.Desk.READ;
+import static martenlatch.frontend.extproc.ExtProcFixture.ORDER;
+import static martenlatch.frontend.extproc.ExtProcFixture.READ;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -39,8 +39,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BooleanSupplier;
-import martenlatch.front.extproc.Desk;
-import martenlatch.net.LoopTime;
+import martenlatch.config.SocketAddresses;
+import martenlatch.frontend.extproc.ExtProcFixture;
+import martenlatch.net.EventLoopScheduler;
 import martenlatch.policy.api.Endpoint;
 import martenlatch.policy.api.EndpointStatus;
 import martenlatch.policy.api.RequestClass;
@@ -128,7 +129,7 @@
 
     private int calls() {
         return server.loop()
-                .submit(server.processor()::pendingCalls)
+                .submit(server.processor()::pendingRequests)
                 .syncUninterruptibly()
                 .getNow();
     }
@@ -152,7 +153,7 @@
         }
 
         Peer ask(String id, RequestClass kind, int attempt) {
-            out.onNext(Desk.request(Desk.heads(id, kind, attempt)));
+            out.onNext(ExtProcFixture.request(ExtProcFixture.heads(id, kind, attempt)));
             return this;
         }
 
@@ -216,7 +217,7 @@
     private void assertServes(String id) throws InterruptedException {
         Peer good = Peer.open(proxy()).ask(id, ORDER, 1);
         assertTrue(good.told().startsWith("10.0.0.1:"));
-        good.say(Desk.response(200, 0));
+        good.say(ExtProcFixture.response(200, 0));
         assertEquals("RESPONSE_HEADERS", good.told());
         assertEquals("OK", good.told());
     }
@@ -344,14 +345,10 @@
         EventLoop loop = (EventLoop) group.next();
         StandInProxy proxy = new StandInProxy(
                 loop,
-                new LoopTime(loop),
+                new EventLoopScheduler(loop),
                 server.address(),
                 new StandInProxy.Options(
-                        100,
-                        250,
-                        3,
-                        whenAway,
-                        fallback == null ? null : martenlatch.config.Fields.address("fallback", fallback)),
+                        100, 250, 3, whenAway, fallback == null ? null : SocketAddresses.parse("fallback", fallback)),
                 conduct);
         closing.add(proxy::close);
         return (InetSocketAddress) proxy.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -442,8 +439,10 @@
                 false,
                 List.of(new EndpointList.Entry(
                         new Endpoint("s0", 0, 0, 0, 0, EndpointStatus.DRAINING, 1),
-                        martenlatch.config.Fields.address("leaving", leaving.address()))));
-        server.loop().submit(() -> server.exchange().onEndpointList(drain)).syncUninterruptibly();
+                        SocketAddresses.parse("leaving", leaving.address()))));
+        server.loop()
+                .submit(() -> server.requestTracker().onEndpointList(drain))
+                .syncUninterruptibly();
         long told = System.nanoTime();
         for (Thread client : clients) {
             client.join(PATIENCE_MS);
@@ -545,7 +544,7 @@
         Thread drain = new Thread(server::drain);
         drain.start();
         await("it drains", () -> log.toString(StandardCharsets.UTF_8).contains("draining"));
-        open.say(Desk.response(200, 0));
+        open.say(ExtProcFixture.response(200, 0));
         assertEquals("RESPONSE_HEADERS", open.told());
         drain.join(PATIENCE_MS);
         assertTrue(log.toString(StandardCharsets.UTF_8).contains("martenlatch: drained"), log.toString());
@@ -566,7 +565,7 @@
             server.reload();
             next.accept().close();
         }
-        open.say(Desk.response(200, 0));
+        open.say(ExtProcFixture.response(200, 0));
         assertEquals("RESPONSE_HEADERS", open.told());
         Files.writeString(site, "{");
         server.reload();
@@ -606,10 +605,10 @@
         assertEquals(
                 "RESOURCE_EXHAUSTED",
                 Peer.open(proxy)
-                        .say(Desk.request(
-                                Desk.heads("r", ORDER, 1).addHeaders(Desk.value("x-long", "x".repeat(64 * 1024)))))
+                        .say(ExtProcFixture.request(ExtProcFixture.heads("r", ORDER, 1)
+                                .addHeaders(ExtProcFixture.value("x-long", "x".repeat(64 * 1024)))))
                         .told());
-        other.say(Desk.response(200, 0));
+        other.say(ExtProcFixture.response(200, 0));
         assertEquals("RESPONSE_HEADERS", other.told());
         await("nothing is held", () -> streams() == 0 && calls() == 0);
     }
--- a/extproc/src/test/java/martenlatch/front/extproc/Desk.java
+++ b/extproc/src/test/java/martenlatch/frontend/extproc/ExtProcFixture.java
@@ -1,4 +1,4 @@
-package martenlatch.front.extproc;
+package martenlatch.frontend.extproc;
 
 import com.google.protobuf.ByteString;
 import com.google.protobuf.Struct;
@@ -35,7 +35,7 @@
 import martenlatch.request.RequestTracker;
 
 /** A processor with no sockets, on a clock that the test moves, and the streams that consult it. */
-public final class Desk {
+public final class ExtProcFixture {
 
     public static final ExtProcSettings OWN =
             new ExtProcSettings(new InetSocketAddress("127.0.0.1", 0), 200, 2000, 300, 10_000, 1000, 100, 250);
@@ -61,7 +61,7 @@
             new AttemptLimits(3, false, true, 2000, 200),
             new EndpointRules(0.3, 8000, 3, 1000, 500, 10_000));
 
-    final ManualTime time = new ManualTime();
+    final ManualScheduler time = new ManualScheduler();
     final ByteArrayOutputStream log = new ByteArrayOutputStream();
     final EndpointAddresses addresses = new EndpointAddresses();
     final ExtProcSettings own;
@@ -69,11 +69,11 @@
     RequestTracker exchange;
     Processor processor;
 
-    Desk(Endpoint... servers) {
+    ExtProcFixture(Endpoint... servers) {
         this(OWN, servers);
     }
 
-    Desk(ExtProcSettings own, Endpoint... servers) {
+    ExtProcFixture(ExtProcSettings own, Endpoint... servers) {
         this.own = own;
         restart(servers);
     }
--- a/extproc/src/test/java/martenlatch/front/extproc/ExtProcSettingsTest.java
+++ b/extproc/src/test/java/martenlatch/frontend/extproc/ExtProcSettingsTest.java
@@ -1,4 +1,4 @@
-package martenlatch.front.extproc;
+package martenlatch.frontend.extproc;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -25,15 +25,15 @@
         Path file = Files.writeString(folder.resolve("x.toml"), changed);
         return assertThrows(
                         IllegalArgumentException.class,
-                        () -> ExtProcSettings.read(file).checkedWith(Desk.SITE))
+                        () -> ExtProcSettings.read(file).requireValidWith(ExtProcFixture.SITE))
                 .getMessage();
     }
 
     @Test
     void theShippedFileHolds() throws IOException {
-        ExtProcSettings read = ExtProcSettings.read(SHIPPED).checkedWith(Desk.SITE);
+        ExtProcSettings read = ExtProcSettings.read(SHIPPED).requireValidWith(ExtProcFixture.SITE);
         assertEquals(9901, read.listen().getPort());
-        assertEquals(2000, read.mostStreams());
+        assertEquals(2000, read.maxStreams());
         assertEquals(250, read.connectTimeoutMs());
     }
 
--- a/extproc/src/test/java/martenlatch/front/extproc/SilentStreamsTest.java
+++ b/extproc/src/test/java/martenlatch/frontend/extproc/IdleStreamMonitorTest.java
@@ -1,4 +1,4 @@
-package martenlatch.front.extproc;
+package martenlatch.frontend.extproc;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,17 +11,17 @@
 import org.junit.jupiter.api.Test;
 
 /** One timer for all silent streams ends each of them at its own time, and no other. */
-class SilentStreamsTest {
+class IdleStreamMonitorTest {
 
     private static final double LIMIT_MS = 100;
 
-    private final ManualTime time = new ManualTime();
+    private final ManualScheduler time = new ManualScheduler();
     private final double began = time.now();
-    private final SilentStreams streams = new SilentStreams(time, LIMIT_MS);
+    private final IdleStreamMonitor streams = new IdleStreamMonitor(time, LIMIT_MS);
     private final List<String> ended = new ArrayList<>();
 
-    private SilentStreams.Place place(String name) {
-        return new SilentStreams.Place(() -> ended.add(name + "@" + Math.round(time.now() - began)));
+    private IdleStreamMonitor.Entry place(String name) {
+        return new IdleStreamMonitor.Entry(() -> ended.add(name + "@" + Math.round(time.now() - began)));
     }
 
     @Test
@@ -38,7 +38,7 @@
 
     @Test
     void oneThatHasSpokenIsLeftAloneAndTheNextStillEndsInTime() {
-        SilentStreams.Place first = place("first");
+        IdleStreamMonitor.Entry first = place("first");
         streams.watch(first);
         time.advance(30);
         streams.watch(place("second"));
@@ -50,7 +50,7 @@
 
     @Test
     void oneThatIsWatchedAgainCountsFromThen() {
-        SilentStreams.Place place = place("s");
+        IdleStreamMonitor.Entry place = place("s");
         streams.watch(place);
         time.advance(60);
         streams.watch(place);
@@ -62,8 +62,8 @@
 
     @Test
     void anEndMayEndOrWatchOthers() {
-        SilentStreams.Place other = place("other");
-        streams.watch(new SilentStreams.Place(() -> {
+        IdleStreamMonitor.Entry other = place("other");
+        streams.watch(new IdleStreamMonitor.Entry(() -> {
             ended.add("first");
             streams.forget(other);
             streams.watch(place("new"));
@@ -77,11 +77,11 @@
     void randomOnesEndAsWithATimerForEach() {
         SplittableRandom random = new SplittableRandom(20261201);
         Map<Integer, Double> due = new HashMap<>();
-        Map<Integer, SilentStreams.Place> places = new HashMap<>();
+        Map<Integer, IdleStreamMonitor.Entry> places = new HashMap<>();
         for (int step = 0; step < 20_000; step++) {
             int one = random.nextInt(50);
             places.computeIfAbsent(
-                    one, n -> new SilentStreams.Place(() -> assertEquals(due.remove(n), time.now(), 1e-6)));
+                    one, n -> new IdleStreamMonitor.Entry(() -> assertEquals(due.remove(n), time.now(), 1e-6)));
             if (random.nextInt(3) == 0) {
                 streams.forget(places.get(one));
                 due.remove(one);
--- a/extproc/src/test/java/martenlatch/front/extproc/ManualTime.java
+++ b/extproc/src/test/java/martenlatch/frontend/extproc/ManualScheduler.java
@@ -1,11 +1,11 @@
-package martenlatch.front.extproc;
+package martenlatch.frontend.extproc;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
 import martenlatch.request.Scheduler;
 
 /** A clock that a test moves. All of it happens on one thread, which is the test's to choose. */
-public final class ManualTime implements Scheduler {
+public final class ManualScheduler implements Scheduler {
 
     private record Due(double at, long number, Runnable task) {}
 
--- a/extproc/src/test/java/martenlatch/front/extproc/ProcessorTest.java
+++ b/extproc/src/test/java/martenlatch/frontend/extproc/ProcessorTest.java
@@ -1,8 +1,8 @@
-package martenlatch.front.extproc;
+package martenlatch.frontend.extproc;
 
-import static martenlatch.front.extproc.Desk.ORDER;
-import static martenlatch.front.extproc.Desk.READ;
-import static martenlatch.front.extproc.Desk.SAVE;
+import static martenlatch.frontend.extproc.ExtProcFixture.ORDER;
+import static martenlatch.frontend.extproc.ExtProcFixture.READ;
+import static martenlatch.frontend.extproc.ExtProcFixture.SAVE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -29,35 +29,36 @@
 /** What proxies are told, message by message. */
 class ProcessorTest {
 
-    private final Desk desk = new Desk(Desk.server(0), Desk.server(1), Desk.server(2));
-    private final List<Desk.Stream> streams = new ArrayList<>();
+    private final ExtProcFixture fixture =
+            new ExtProcFixture(ExtProcFixture.server(0), ExtProcFixture.server(1), ExtProcFixture.server(2));
+    private final List<ExtProcFixture.Stream> streams = new ArrayList<>();
 
-    private Desk.Stream consult(String id, RequestClass kind, int attempt) {
-        streams.add(desk.consult(id, kind, attempt));
+    private ExtProcFixture.Stream consult(String id, RequestClass kind, int attempt) {
+        streams.add(fixture.consult(id, kind, attempt));
         return streams.get(streams.size() - 1);
     }
 
     /** Whatever happened: when every proxy has left and all time is over, nothing is held. */
     @AfterEach
     void nothingIsLeft() {
-        streams.forEach(Desk.Stream::breakOff);
-        desk.settle();
-        desk.time.advance(60_000);
+        streams.forEach(ExtProcFixture.Stream::breakOff);
+        fixture.settle();
+        fixture.time.advance(60_000);
         assertEquals(
                 List.of(0, 0, 0, 0),
                 List.of(
-                        desk.processor.openStreams(),
-                        desk.processor.pendingCalls(),
-                        desk.exchange.pendingRequests(),
-                        desk.processor.remembered()));
-        assertEquals(0, desk.time.waiting());
+                        fixture.processor.openStreams(),
+                        fixture.processor.pendingRequests(),
+                        fixture.exchange.pendingRequests(),
+                        fixture.processor.rememberedRequests()));
+        assertEquals(0, fixture.time.waiting());
     }
 
     // ---- the ordinary way ----
 
     @Test
     void aDecisionNamesEndpointDeadlineAndTimeOut() {
-        Desk.Stream stream = consult("r", ORDER, 1);
+        ExtProcFixture.Stream stream = consult("r", ORDER, 1);
         assertTrue(stream.endpoint().matches("10\\.0\\.0\\.1:[123]"), stream.endpoint());
         // The rest of the client's 1000 ms is kept for the final answer.
         assertEquals("960", stream.header("x-deadline-ms"));
@@ -70,15 +71,15 @@
                         .getStructValue()
                         .getFieldsOrThrow("x-gateway-destination-endpoint")
                         .getStringValue());
-        stream.say(Desk.response(200, 0));
+        stream.say(ExtProcFixture.response(200, 0));
         assertTrue(stream.isPassedOn());
         assertEquals(1, stream.ends);
     }
 
     @Test
     void aRefusalSaysWhenToComeBackInWholeSeconds() {
-        desk.restart();
-        Desk.Stream stream = consult("r", ORDER, 1);
+        fixture.restart();
+        ExtProcFixture.Stream stream = consult("r", ORDER, 1);
         assertEquals(503, stream.status());
         assertEquals("1", stream.header("retry-after"), "500 ms");
         assertEquals(1, stream.ends);
@@ -86,13 +87,16 @@
 
     @Test
     void anUnsafeRequestThatMayHaveRunFails() {
-        assertEquals(500, consult("r", ORDER, 1).say(Desk.response(500, 0)).status());
+        assertEquals(
+                500, consult("r", ORDER, 1).say(ExtProcFixture.response(500, 0)).status());
     }
 
     @ParameterizedTest
     @ValueSource(ints = {503, 429})
     void aRefusalOfTheEndpointsOwnIsNotProofOfAnything(int status) {
-        assertEquals(500, consult("r", ORDER, 1).say(Desk.response(status, 0)).status());
+        assertEquals(
+                500,
+                consult("r", ORDER, 1).say(ExtProcFixture.response(status, 0)).status());
     }
 
     /** Guards against a proxy that comes for a keyed repeat when the endpoints have forgotten the first. */
@@ -100,11 +104,11 @@
     void aKeyedRepeatIsNotHandedOutAfterItsWindow() {
         for (boolean late : new boolean[] {false, true}) {
             String id = "late " + late;
-            Desk.Stream first = consult(id, SAVE, 1);
-            desk.time.advance(SAVE.deduplicationWindowMs() * 0.85);
-            first.say(Desk.response(500, 0));
-            desk.time.advance(SAVE.deduplicationWindowMs() * (late ? 0.15 : 0.05));
-            Desk.Stream second = consult(id, SAVE, 2);
+            ExtProcFixture.Stream first = consult(id, SAVE, 1);
+            fixture.time.advance(SAVE.deduplicationWindowMs() * 0.85);
+            first.say(ExtProcFixture.response(500, 0));
+            fixture.time.advance(SAVE.deduplicationWindowMs() * (late ? 0.15 : 0.05));
+            ExtProcFixture.Stream second = consult(id, SAVE, 2);
             if (late) {
                 assertEquals(500, second.status());
             } else {
@@ -117,32 +121,34 @@
     void aTimeOutOfTheProxysIsAGatewayTimeOut() {
         assertEquals(
                 504,
-                consult("r", ORDER, 1).say(Desk.response(504, Desk.TIMED_OUT)).status());
+                consult("r", ORDER, 1)
+                        .say(ExtProcFixture.response(504, ExtProcFixture.TIMED_OUT))
+                        .status());
     }
 
     @Test
     void aRequestTurnedAwayForWhatItIsGoesOnAsItIs() {
-        assertTrue(consult("r", ORDER, 1).say(Desk.response(404, 0)).isPassedOn());
+        assertTrue(consult("r", ORDER, 1).say(ExtProcFixture.response(404, 0)).isPassedOn());
     }
 
     @ParameterizedTest
     @CsvSource({"503,0,1", "504,0,1", "503,32,0"})
     void anUnsafeRequestThatNeverRanIsTriedAgainElsewhere(int status, int flags, String notRun) {
-        Desk.Stream first = consult("r", ORDER, 1);
-        first.say(Desk.response(status, flags, "x-not-run", notRun));
+        ExtProcFixture.Stream first = consult("r", ORDER, 1);
+        first.say(ExtProcFixture.response(status, flags, "x-not-run", notRun));
         assertEquals("1", first.header("x-martenlatch-retry"));
         assertEquals("503", first.header(":status"), "true if nobody comes back");
         assertEquals(1, first.ends);
-        Desk.Stream second = consult("r", ORDER, 2);
+        ExtProcFixture.Stream second = consult("r", ORDER, 2);
         assertNotNull(second.endpoint());
         assertNotEquals(first.endpoint(), second.endpoint());
-        assertTrue(second.say(Desk.response(200, 0)).isPassedOn());
+        assertTrue(second.say(ExtProcFixture.response(200, 0)).isPassedOn());
     }
 
     @Test
     void aReadThatMayHaveRunIsTriedAgainUnderAStatusThatSaysSo() {
-        Desk.Stream first = consult("r", READ, 1);
-        first.say(Desk.response(503, Desk.BROKEN));
+        ExtProcFixture.Stream first = consult("r", READ, 1);
+        first.say(ExtProcFixture.response(503, ExtProcFixture.BROKEN));
         assertEquals("1", first.header("x-martenlatch-retry"));
         assertEquals("500", first.header(":status"), "no refusal: it may have run");
         assertNotNull(consult("r", READ, 2).endpoint());
@@ -151,68 +157,71 @@
     /** Guards against a slot held for a proxy that never comes back. */
     @Test
     void anOfferNobodyComesForIsWithdrawn() {
-        consult("r", READ, 1).say(Desk.response(500, 0));
-        assertEquals(1, desk.processor.pendingCalls());
-        desk.time.advance(Desk.OWN.nextMs() + 1);
-        assertEquals(0, desk.processor.pendingCalls());
-        assertEquals(0, desk.exchange.pendingRequests());
+        consult("r", READ, 1).say(ExtProcFixture.response(500, 0));
+        assertEquals(1, fixture.processor.pendingRequests());
+        fixture.time.advance(ExtProcFixture.OWN.nextStreamMs() + 1);
+        assertEquals(0, fixture.processor.pendingRequests());
+        assertEquals(0, fixture.exchange.pendingRequests());
     }
 
     @Test
     void aKeyedRequestIsTriedAgainInItsGroupOnly() {
-        Desk.Stream first = consult("r", SAVE, 1).say(Desk.response(500, 0));
+        ExtProcFixture.Stream first = consult("r", SAVE, 1).say(ExtProcFixture.response(500, 0));
         assertEquals("1", first.header("x-martenlatch-retry"));
-        Desk.Stream second = consult("r", SAVE, 2);
+        ExtProcFixture.Stream second = consult("r", SAVE, 2);
         assertEquals(first.endpoint(), second.endpoint(), "every server here is a cell of its own");
-        desk.time.advance(SAVE.deduplicationWindowMs());
-        assertEquals(500, second.say(Desk.response(500, 0)).status(), "its window is over");
+        fixture.time.advance(SAVE.deduplicationWindowMs());
+        assertEquals(500, second.say(ExtProcFixture.response(500, 0)).status(), "its window is over");
     }
 
     // ---- the module's own time-out ----
 
     @Test
     void aVerdictThatCameFirstIsToldWhenTheProxyComes() {
-        Desk.Stream stream = consult("r", ORDER, 1);
-        desk.time.advance(1000);
+        ExtProcFixture.Stream stream = consult("r", ORDER, 1);
+        fixture.time.advance(1000);
         assertEquals(1, stream.told.size(), "nothing may be said unasked");
-        assertEquals(504, stream.say(Desk.response(504, Desk.TIMED_OUT)).status());
+        assertEquals(
+                504,
+                stream.say(ExtProcFixture.response(504, ExtProcFixture.TIMED_OUT))
+                        .status());
     }
 
     @Test
     void anAnswerThatComesJustAfterTheTimeOutIsPassedOn() {
-        Desk.Stream stream = consult("r", ORDER, 1);
-        desk.time.advance(1000);
-        assertTrue(stream.say(Desk.response(200, 0)).isPassedOn());
+        ExtProcFixture.Stream stream = consult("r", ORDER, 1);
+        fixture.time.advance(1000);
+        assertTrue(stream.say(ExtProcFixture.response(200, 0)).isPassedOn());
         assertEquals(500, consult("r", ORDER, 2).status(), "it has run");
     }
 
     @Test
     void aLateAnswerToAReadWithdrawsWhatWasOfferedSince() {
-        Desk.Stream stream = consult("r", READ, 1);
+        ExtProcFixture.Stream stream = consult("r", READ, 1);
         double wait = Double.parseDouble(stream.header("x-envoy-upstream-rq-timeout-ms"));
         assertTrue(wait < 1000, "patience with a read is short: " + wait);
-        desk.time.advance(wait);
-        assertEquals(1, desk.processor.pendingCalls(), "the next attempt waits for its consultation");
-        assertTrue(stream.say(Desk.response(200, 0)).isPassedOn());
-        assertEquals(0, desk.exchange.pendingRequests());
+        fixture.time.advance(wait);
+        assertEquals(1, fixture.processor.pendingRequests(), "the next attempt waits for its consultation");
+        assertTrue(stream.say(ExtProcFixture.response(200, 0)).isPassedOn());
+        assertEquals(0, fixture.exchange.pendingRequests());
     }
 
     @Test
     void aProxyThatNeverTellsIsCutOff() {
-        Desk.Stream stream = consult("r", ORDER, 1);
-        desk.time.advance(1000 + Desk.OWN.silenceMs() + 1);
+        ExtProcFixture.Stream stream = consult("r", ORDER, 1);
+        fixture.time.advance(1000 + ExtProcFixture.OWN.idleTimeoutMs() + 1);
         assertEquals(Status.Code.DEADLINE_EXCEEDED, stream.error.getCode());
-        assertEquals(0, desk.processor.openStreams());
+        assertEquals(0, fixture.processor.openStreams());
     }
 
     // ---- hard cases 1 and 3: the proxy's time-outs, and streams that break ----
 
     @Test
     void aDecisionWrittenJustBeforeTheProxysTimeOutMayHaveRun() {
-        Desk.Stream first = consult("r", ORDER, 1);
+        ExtProcFixture.Stream first = consult("r", ORDER, 1);
         assertNotNull(first.endpoint());
         first.breakOff();
-        Desk.Stream again = consult("r", ORDER, 2);
+        ExtProcFixture.Stream again = consult("r", ORDER, 2);
         assertNull(again.endpoint());
         assertEquals(500, again.status(), "a failure, and no refusal");
     }
@@ -220,12 +229,12 @@
     /** The time-out's reset is read together with the consultation, as after a pause of ours. */
     @Test
     void aDecisionNotWrittenByTheProxysTimeOutNeverRan() {
-        Desk.Stream first = desk.open().say(Desk.request(Desk.heads("r", ORDER, 1)));
+        ExtProcFixture.Stream first = fixture.open().say(ExtProcFixture.request(ExtProcFixture.heads("r", ORDER, 1)));
         first.breakOff();
-        Desk.Stream again = consult("r", ORDER, 2);
+        ExtProcFixture.Stream again = consult("r", ORDER, 2);
         assertEquals(0, first.told.size());
         assertNotNull(again.endpoint());
-        Desk.Stream skipped = desk.open().say(Desk.request(Desk.heads("s", ORDER, 1)));
+        ExtProcFixture.Stream skipped = fixture.open().say(ExtProcFixture.request(ExtProcFixture.heads("s", ORDER, 1)));
         skipped.breakOff();
         assertEquals(500, consult("s", ORDER, 3).status(), "of the second attempt nothing is known");
     }
@@ -233,45 +242,45 @@
     /** Guards against a proxy that comes back later than an offer waits for it. */
     @Test
     void anUnsafeRequestWhoseOfferWasWithdrawnIsStillKnownNotToHaveRun() {
-        consult("r", ORDER, 1).say(Desk.response(503, Desk.NOT_CONNECTED));
-        desk.time.advance(Desk.OWN.nextMs() + 1);
+        consult("r", ORDER, 1).say(ExtProcFixture.response(503, ExtProcFixture.NOT_CONNECTED));
+        fixture.time.advance(ExtProcFixture.OWN.nextStreamMs() + 1);
         assertNotNull(consult("r", ORDER, 2).endpoint());
     }
 
     @Test
     void aBrokenStreamOfAReadIsTriedAgainAndBlamesNoEndpoint() {
         for (int i = 0; i < 8; i++) {
-            Desk.Stream first = consult("r" + i, READ, 1);
+            ExtProcFixture.Stream first = consult("r" + i, READ, 1);
             first.breakOff();
             assertNotNull(consult("r" + i, READ, 2).endpoint());
         }
-        assertEquals("", desk.log.toString());
+        assertEquals("", fixture.log.toString());
     }
 
     /** Guards against endpoints on trial because a proxy died with all its streams. */
     @Test
     void aProxysDeathPutsNoEndpointOnTrial() {
         Map<String, Integer> before = spread("a");
-        List<Desk.Stream> dying = new ArrayList<>();
+        List<ExtProcFixture.Stream> dying = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             dying.add(consult("dying" + i, READ, 1));
         }
-        dying.forEach(Desk.Stream::breakOff);
-        desk.time.advance(Desk.OWN.nextMs() + 1);
+        dying.forEach(ExtProcFixture.Stream::breakOff);
+        fixture.time.advance(ExtProcFixture.OWN.nextStreamMs() + 1);
         assertEquals(before, spread("b"));
     }
 
     /** Which endpoints a few requests at once go to. */
     private Map<String, Integer> spread(String prefix) {
         Map<String, Integer> counts = new TreeMap<>();
-        List<Desk.Stream> open = new ArrayList<>();
+        List<ExtProcFixture.Stream> open = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             open.add(consult(prefix + i, READ, 1));
             counts.merge(open.get(i).endpoint(), 1, Integer::sum);
         }
-        for (Desk.Stream stream : open) {
-            desk.time.advance(5);
-            stream.say(Desk.response(200, 0));
+        for (ExtProcFixture.Stream stream : open) {
+            fixture.time.advance(5);
+            stream.say(ExtProcFixture.response(200, 0));
         }
         return counts;
     }
@@ -281,26 +290,28 @@
     @ParameterizedTest
     @CsvSource({"0", "1"})
     void twoStreamsForOneRequestGetOneDecision(int attempt) {
-        Desk.Stream one = desk.open().say(Desk.request(Desk.heads("r", ORDER, attempt)));
-        Desk.Stream other = desk.open().say(Desk.request(Desk.heads("r", ORDER, attempt)));
-        desk.settle();
+        ExtProcFixture.Stream one =
+                fixture.open().say(ExtProcFixture.request(ExtProcFixture.heads("r", ORDER, attempt)));
+        ExtProcFixture.Stream other =
+                fixture.open().say(ExtProcFixture.request(ExtProcFixture.heads("r", ORDER, attempt)));
+        fixture.settle();
         assertNotNull(one.endpoint());
         assertEquals(409, other.status());
-        assertTrue(one.say(Desk.response(200, 0)).isPassedOn());
+        assertTrue(one.say(ExtProcFixture.response(200, 0)).isPassedOn());
         assertEquals(500, consult("r", ORDER, attempt).status(), "it has run");
     }
 
     @Test
     void aHigherCountTakesTheRequestOverAndTheOldStreamIsToldNothingOfIt() {
-        Desk.Stream one = consult("r", READ, 1);
-        Desk.Stream other = consult("r", READ, 2);
+        ExtProcFixture.Stream one = consult("r", READ, 1);
+        ExtProcFixture.Stream other = consult("r", READ, 2);
         assertNotNull(other.endpoint());
-        assertEquals(500, one.say(Desk.response(500, 0)).status());
-        assertEquals(1, desk.processor.pendingCalls());
-        assertTrue(other.say(Desk.response(200, 0)).isPassedOn());
-        Desk.Stream unsafe = consult("u", ORDER, 1);
+        assertEquals(500, one.say(ExtProcFixture.response(500, 0)).status());
+        assertEquals(1, fixture.processor.pendingRequests());
+        assertTrue(other.say(ExtProcFixture.response(200, 0)).isPassedOn());
+        ExtProcFixture.Stream unsafe = consult("u", ORDER, 1);
         assertEquals(500, consult("u", ORDER, 2).status());
-        assertTrue(unsafe.say(Desk.response(200, 0)).isPassedOn(), "the one that did run");
+        assertTrue(unsafe.say(ExtProcFixture.response(200, 0)).isPassedOn(), "the one that did run");
     }
 
     // ---- hard case 4: our restart ----
@@ -309,9 +320,9 @@
     void afterOurRestartALaterAttemptMayHaveRun() {
         consult("r", ORDER, 1);
         consult("s", READ, 1);
-        streams.forEach(Desk.Stream::breakOff);
-        desk.time.advance(5000);
-        desk.restart(Desk.server(0));
+        streams.forEach(ExtProcFixture.Stream::breakOff);
+        fixture.time.advance(5000);
+        fixture.restart(ExtProcFixture.server(0));
         assertEquals(500, consult("r", ORDER, 2).status());
         assertNotNull(consult("s", READ, 2).endpoint());
         assertEquals(500, consult("k", SAVE, 2).status(), "its cell is not known any more");
@@ -322,19 +333,20 @@
 
     @Test
     void anOfferToAnEndpointThatDrainsSinceGoesElsewhere() {
-        consult("r", ORDER, 1).say(Desk.response(503, Desk.NOT_CONNECTED));
+        consult("r", ORDER, 1).say(ExtProcFixture.response(503, ExtProcFixture.NOT_CONNECTED));
         // Where the offer goes nobody but the module knows: all that it may be drain.
-        desk.change(
-                Desk.server(0, EndpointStatus.DRAINING),
-                Desk.server(1, EndpointStatus.DRAINING),
-                Desk.server(2, EndpointStatus.DRAINING));
+        fixture.change(
+                ExtProcFixture.server(0, EndpointStatus.DRAINING),
+                ExtProcFixture.server(1, EndpointStatus.DRAINING),
+                ExtProcFixture.server(2, EndpointStatus.DRAINING));
         assertEquals(503, consult("r", ORDER, 2).status());
-        assertEquals(0, desk.processor.pendingCalls());
+        assertEquals(0, fixture.processor.pendingRequests());
     }
 
     @Test
     void nothingIsDecidedForADrainingEndpoint() {
-        desk.change(Desk.server(0, EndpointStatus.DRAINING), Desk.server(1, EndpointStatus.GONE));
+        fixture.change(
+                ExtProcFixture.server(0, EndpointStatus.DRAINING), ExtProcFixture.server(1, EndpointStatus.GONE));
         for (int i = 0; i < 5; i++) {
             assertEquals("10.0.0.1:3", consult("r" + i, READ, 1).endpoint());
         }
@@ -347,15 +359,16 @@
     void aColdEndpointIsSparedByAllProxiesTogether() {
         int apart = 0;
         for (int proxy = 0; proxy < 4; proxy++) {
-            Desk own = new Desk(Desk.server(0), Desk.server(1), Desk.server(2));
+            ExtProcFixture own =
+                    new ExtProcFixture(ExtProcFixture.server(0), ExtProcFixture.server(1), ExtProcFixture.server(2));
             apart += coldOf(own, 4);
         }
         assertEquals(4, apart, "a module for each proxy: one call of each");
-        assertEquals(1, coldOf(desk, 16), "one module for them all: one call in all");
+        assertEquals(1, coldOf(fixture, 16), "one module for them all: one call in all");
     }
 
     /** How many of so many calls at once, each of another proxy, go to an endpoint just started. */
-    private int coldOf(Desk at, int calls) {
+    private int coldOf(ExtProcFixture at, int calls) {
         at.change(new Endpoint("s3", 0, 0, 3, at.time.now(), EndpointStatus.READY, 1));
         int cold = 0;
         for (int i = 0; i < calls; i++) {
@@ -370,15 +383,15 @@
     @Test
     void aClientThatGoesAwayFreesItsPlaceSoon() {
         consult("r", READ, 1).breakOff();
-        assertEquals(1, desk.exchange.pendingRequests());
-        desk.time.advance(Desk.OWN.nextMs() + 1);
-        assertEquals(0, desk.exchange.pendingRequests());
-        assertEquals(0, desk.processor.pendingCalls());
+        assertEquals(1, fixture.exchange.pendingRequests());
+        fixture.time.advance(ExtProcFixture.OWN.nextStreamMs() + 1);
+        assertEquals(0, fixture.exchange.pendingRequests());
+        assertEquals(0, fixture.processor.pendingRequests());
     }
 
     @Test
     void whileDrainingDeadlinesAreCut() {
-        desk.processor.drain(400);
+        fixture.processor.drain(400);
         assertEquals("400", consult("r", ORDER, 1).header("x-deadline-ms"));
     }
 
@@ -393,12 +406,12 @@
         "x-envoy-attempt-count,-1,400"
     })
     void badHeadsAreAnsweredAtOnce(String name, String value, int status) {
-        HeaderMap.Builder heads = HeaderMap.newBuilder().addHeaders(Desk.value(name, value));
-        Desk.heads("r", ORDER, 0).getHeadersList().stream()
+        HeaderMap.Builder heads = HeaderMap.newBuilder().addHeaders(ExtProcFixture.value(name, value));
+        ExtProcFixture.heads("r", ORDER, 0).getHeadersList().stream()
                 .filter(header -> !header.getKey().equals(name))
                 .forEach(heads::addHeaders);
-        Desk.Stream stream = desk.open().say(Desk.request(heads));
-        desk.settle();
+        ExtProcFixture.Stream stream = fixture.open().say(ExtProcFixture.request(heads));
+        fixture.settle();
         assertEquals(status, stream.status());
         assertEquals(1, stream.ends);
     }
@@ -411,23 +424,25 @@
 
     @Test
     void aHeaderOfTwoValuesIsNotReadInOneWay() {
-        Desk.Stream stream = desk.open()
-                .say(Desk.request(Desk.heads("r", ORDER, 1).addHeaders(Desk.value("X-Request-Id", "other"))));
-        desk.settle();
+        ExtProcFixture.Stream stream = fixture.open()
+                .say(ExtProcFixture.request(
+                        ExtProcFixture.heads("r", ORDER, 1).addHeaders(ExtProcFixture.value("X-Request-Id", "other"))));
+        fixture.settle();
         assertEquals(400, stream.status());
     }
 
     @Test
     void messagesOutOfOrderEndTheStreamAndNothingElse() {
-        Desk.Stream other = consult("other", ORDER, 1);
+        ExtProcFixture.Stream other = consult("other", ORDER, 1);
         assertEquals(
                 Status.Code.INVALID_ARGUMENT,
-                desk.open().say(Desk.response(200, 0)).error.getCode());
-        Desk.Stream twice = consult("r", READ, 1).say(Desk.request(Desk.heads("r", READ, 1)));
+                fixture.open().say(ExtProcFixture.response(200, 0)).error.getCode());
+        ExtProcFixture.Stream twice =
+                consult("r", READ, 1).say(ExtProcFixture.request(ExtProcFixture.heads("r", READ, 1)));
         assertEquals(Status.Code.INVALID_ARGUMENT, twice.error.getCode());
         assertEquals(
                 Status.Code.INVALID_ARGUMENT,
-                desk.open()
+                fixture.open()
                         .say(ProcessingRequest.newBuilder()
                                 .setRequestBody(HttpBody.getDefaultInstance())
                                 .build())
@@ -435,33 +450,33 @@
                         .getCode());
         assertEquals(
                 Status.Code.INVALID_ARGUMENT,
-                desk.open().say(ProcessingRequest.getDefaultInstance()).error.getCode());
+                fixture.open().say(ProcessingRequest.getDefaultInstance()).error.getCode());
         assertEquals(
                 Status.Code.FAILED_PRECONDITION,
-                desk.open()
-                        .say(Desk.request(Desk.heads("o", READ, 1)).toBuilder()
+                fixture.open()
+                        .say(ExtProcFixture.request(ExtProcFixture.heads("o", READ, 1)).toBuilder()
                                 .setObservabilityMode(true)
                                 .build())
                         .error
                         .getCode());
-        assertTrue(other.say(Desk.response(200, 0)).isPassedOn());
+        assertTrue(other.say(ExtProcFixture.response(200, 0)).isPassedOn());
     }
 
     @Test
     void aStreamThatSaysNothingIsCutOff() {
-        Desk.Stream stream = desk.open();
-        desk.time.advance(Desk.OWN.silenceMs() - 1);
+        ExtProcFixture.Stream stream = fixture.open();
+        fixture.time.advance(ExtProcFixture.OWN.idleTimeoutMs() - 1);
         assertNull(stream.error);
-        desk.time.advance(1);
+        fixture.time.advance(1);
         assertEquals(Status.Code.DEADLINE_EXCEEDED, stream.error.getCode());
     }
 
     @Test
     void streamsOverTheBoundAreTurnedAwayAndRoomIsThereAgainAfterwards() {
         for (int i = 0; i < 10_000; i++) {
-            streams.add(desk.open());
+            streams.add(fixture.open());
         }
-        assertEquals(Desk.OWN.mostStreams(), desk.processor.openStreams());
+        assertEquals(ExtProcFixture.OWN.maxStreams(), fixture.processor.openStreams());
         assertEquals(Status.Code.RESOURCE_EXHAUSTED, streams.get(9999).error.getCode());
         streams.get(0).breakOff();
         assertNotNull(consult("r", READ, 1).endpoint());
@@ -469,15 +484,15 @@
 
     @Test
     void aFullMemoryRefusesWhatIsNew() {
-        for (int i = 0; i < Desk.OWN.rememberMost(); i++) {
-            desk.time.advance(1);
-            consult("r" + i, ORDER, 1).say(Desk.response(200, 0));
+        for (int i = 0; i < ExtProcFixture.OWN.maxRememberedRequests(); i++) {
+            fixture.time.advance(1);
+            consult("r" + i, ORDER, 1).say(ExtProcFixture.response(200, 0));
         }
-        Desk.Stream refused = consult("new", READ, 1);
+        ExtProcFixture.Stream refused = consult("new", READ, 1);
         assertEquals(503, refused.status());
         assertEquals("1", refused.header("retry-after"));
         assertEquals(500, consult("r0", ORDER, 2).status(), "it is not forgotten for that");
-        desk.time.advance(Desk.OWN.rememberMs());
+        fixture.time.advance(ExtProcFixture.OWN.rememberMs());
         assertNotNull(consult("new", READ, 1).endpoint());
     }
 }
--- a/extproc/src/test/java/martenlatch/front/extproc/ProxyOutcomeTest.java
+++ b/extproc/src/test/java/martenlatch/frontend/extproc/ProxyOutcomeTest.java
@@ -1,4 +1,4 @@
-package martenlatch.front.extproc;
+package martenlatch.frontend.extproc;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/extproc/src/test/java/martenlatch/front/extproc/RandomConsultationsTest.java
+++ b/extproc/src/test/java/martenlatch/frontend/extproc/RandomProcessingStreamsTest.java
@@ -1,4 +1,4 @@
-package martenlatch.front.extproc;
+package martenlatch.frontend.extproc;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,11 +19,12 @@
  * that restarts: no unsafe request runs twice, no keyed one outside its group and window, each consultation
  * ends once, and nothing is left.
  */
-class RandomConsultationsTest {
+class RandomProcessingStreamsTest {
 
     private static final int SEQUENCES = 3000;
     private static final int STEPS = 60;
-    private static final List<RequestClass> KINDS = List.of(Desk.READ, Desk.ORDER, Desk.SAVE, Desk.PUT);
+    private static final List<RequestClass> KINDS =
+            List.of(ExtProcFixture.READ, ExtProcFixture.ORDER, ExtProcFixture.SAVE, ExtProcFixture.PUT);
 
     /** A request as the world outside sees it. */
     private static final class Asked {
@@ -40,7 +41,7 @@
     }
 
     /** A decision that a proxy has and has not carried out. */
-    private record Held(Asked asked, Desk.Stream stream, String endpoint, double until) {}
+    private record Held(Asked asked, ExtProcFixture.Stream stream, String endpoint, double until) {}
 
     @Test
     void theRulesHold() {
@@ -74,9 +75,9 @@
     /** One seed's play. */
     private static final class Sequence {
         private final SplittableRandom random;
-        private final Desk desk = new Desk(servers());
+        private final ExtProcFixture fixture = new ExtProcFixture(servers());
         private final List<Asked> requests = new ArrayList<>();
-        private final List<Desk.Stream> streams = new ArrayList<>();
+        private final List<ExtProcFixture.Stream> streams = new ArrayList<>();
         private final List<Held> held = new ArrayList<>();
         /** What was sent, and what came of it is not told yet. */
         private final List<Held> sent = new ArrayList<>();
@@ -96,7 +97,9 @@
         }
 
         private static Endpoint[] servers() {
-            return new Endpoint[] {Desk.server(0), Desk.server(1), Desk.server(2), Desk.server(3)};
+            return new Endpoint[] {
+                ExtProcFixture.server(0), ExtProcFixture.server(1), ExtProcFixture.server(2), ExtProcFixture.server(3)
+            };
         }
 
         private void play() {
@@ -107,12 +110,12 @@
                     case 5, 6 -> carryOut();
                     case 7, 8 -> tell();
                     case 9 -> breakOff();
-                    case 10 -> desk.time.advance(random.nextInt(random.nextInt(10) == 0 ? 3000 : 120));
+                    case 10 -> fixture.time.advance(random.nextInt(random.nextInt(10) == 0 ? 3000 : 120));
                     default -> {
                         if (restarts && random.nextInt(20) == 0) {
                             restart();
                         } else if (random.nextInt(2) == 0) {
-                            desk.settle();
+                            fixture.settle();
                         }
                     }
                 }
@@ -138,28 +141,28 @@
                 say(asked);
             }
             if (random.nextInt(4) > 0) {
-                desk.settle();
+                fixture.settle();
             }
             collect();
         }
 
-        private final Map<Desk.Stream, Asked> asking = new HashMap<>();
+        private final Map<ExtProcFixture.Stream, Asked> asking = new HashMap<>();
 
         private void say(Asked asked) {
-            Desk.Stream stream = desk.open();
+            ExtProcFixture.Stream stream = fixture.open();
             streams.add(stream);
-            stream.say(Desk.request(Desk.heads(asked.id, asked.kind, asked.attempt)));
+            stream.say(ExtProcFixture.request(ExtProcFixture.heads(asked.id, asked.kind, asked.attempt)));
             asking.put(stream, asked);
         }
 
         /** Takes up the decisions that have come. */
         private void collect() {
-            for (Desk.Stream stream : List.copyOf(asking.keySet())) {
+            for (ExtProcFixture.Stream stream : List.copyOf(asking.keySet())) {
                 if (!stream.told.isEmpty()) {
                     Asked asked = asking.remove(stream);
                     if (stream.endpoint() != null) {
                         note("decided");
-                        held.add(new Held(asked, stream, stream.endpoint(), desk.time.now() + 350));
+                        held.add(new Held(asked, stream, stream.endpoint(), fixture.time.now() + 350));
                     } else {
                         note("status " + stream.status());
                     }
@@ -179,7 +182,7 @@
         /** A proxy sends; it does so within the time that a decision may be old, stream or no stream. */
         private void carryOut() {
             collect();
-            held.removeIf(one -> one.until() < desk.time.now());
+            held.removeIf(one -> one.until() < fixture.time.now());
             if (held.isEmpty()) {
                 return;
             }
@@ -190,7 +193,7 @@
             note("ran");
             Asked asked = one.asked();
             asked.ranAt.add(one.endpoint());
-            asked.ranWhen.add(desk.time.now());
+            asked.ranWhen.add(fixture.time.now());
             if (asked.kind.idempotency() == Idempotency.NON_IDEMPOTENT) {
                 assertEquals(1, asked.ranAt.size(), asked.id + " ran at " + asked.ranAt);
             } else if (asked.kind.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
@@ -198,7 +201,7 @@
                     assertEquals(1, asked.ranAt.stream().distinct().count(), "a cell each: " + asked.ranAt);
                 }
                 assertTrue(
-                        desk.time.now() - asked.ranWhen.get(0) <= asked.kind.deduplicationWindowMs() + 350,
+                        fixture.time.now() - asked.ranWhen.get(0) <= asked.kind.deduplicationWindowMs() + 350,
                         asked.id + " at " + asked.ranWhen);
             }
             sent.add(one);
@@ -212,18 +215,18 @@
             }
             List<Held> from = ran ? sent : held;
             Held one = from.remove(random.nextInt(from.size()));
-            Desk.Stream stream = one.stream();
+            ExtProcFixture.Stream stream = one.stream();
             if (stream.isCancelled() || stream.ends > 0) {
                 return;
             }
             stream.say(
                     !ran
-                            ? Desk.response(503, Desk.NOT_CONNECTED)
+                            ? ExtProcFixture.response(503, ExtProcFixture.NOT_CONNECTED)
                             : switch (random.nextInt(5)) {
-                                case 0 -> Desk.response(500, 0);
-                                case 1 -> Desk.response(503, Desk.BROKEN);
-                                case 2 -> Desk.response(504, Desk.TIMED_OUT);
-                                default -> Desk.response(200, 0);
+                                case 0 -> ExtProcFixture.response(500, 0);
+                                case 1 -> ExtProcFixture.response(503, ExtProcFixture.BROKEN);
+                                case 2 -> ExtProcFixture.response(504, ExtProcFixture.TIMED_OUT);
+                                default -> ExtProcFixture.response(200, 0);
                             });
             if (stream.error == null) {
                 note(stream.isPassedOn() ? "passed" : stream.status() > 0 ? "status " + stream.status() : "retriable");
@@ -242,29 +245,29 @@
         /** All streams break, and what was not decided by then never will be. */
         private void restart() {
             note("restart");
-            streams.forEach(Desk.Stream::breakOff);
+            streams.forEach(ExtProcFixture.Stream::breakOff);
             collect();
-            desk.restart(servers());
+            fixture.restart(servers());
         }
 
         private void leave() {
-            desk.settle();
-            streams.forEach(Desk.Stream::breakOff);
-            for (Desk.Stream stream : streams) {
+            fixture.settle();
+            streams.forEach(ExtProcFixture.Stream::breakOff);
+            for (ExtProcFixture.Stream stream : streams) {
                 assertEquals(
                         stream.isCancelled() ? 0 : 1,
                         stream.ends,
                         "ended " + stream.ends + " times, broken off: " + stream.isCancelled());
             }
-            desk.time.advance(30_000);
+            fixture.time.advance(30_000);
             assertEquals(
                     List.of(0, 0, 0, 0),
                     List.of(
-                            desk.processor.openStreams(),
-                            desk.processor.pendingCalls(),
-                            desk.exchange.pendingRequests(),
-                            desk.processor.remembered()));
-            assertEquals(0, desk.time.waiting());
+                            fixture.processor.openStreams(),
+                            fixture.processor.pendingRequests(),
+                            fixture.exchange.pendingRequests(),
+                            fixture.processor.rememberedRequests()));
+            assertEquals(0, fixture.time.waiting());
         }
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/cli/PeersCommand.java
+++ b/fleet/src/main/java/martenlatch/fleet/cli/PeersCommand.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
-import martenlatch.fleet.peers.PeerMeasure;
+import martenlatch.fleet.gossip.PeerMeasure;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
--- a/fleet/src/main/java/martenlatch/fleet/peers/Heartbeats.java
+++ b/fleet/src/main/java/martenlatch/fleet/gossip/Heartbeats.java
@@ -1,7 +1,7 @@
-package martenlatch.fleet.peers;
+package martenlatch.fleet.gossip;
 
 import java.nio.ByteBuffer;
-import martenlatch.peers.PeerState;
+import martenlatch.gossip.PeerState;
 
 /**
  * Baselines: everybody tells everybody once a second that it lives. Plain, a peer is faulty when it was not
--- a/fleet/src/main/java/martenlatch/fleet/peers/Membership.java
+++ b/fleet/src/main/java/martenlatch/fleet/gossip/Membership.java
@@ -1,6 +1,6 @@
-package martenlatch.fleet.peers;
+package martenlatch.fleet.gossip;
 
-import martenlatch.peers.PeerState;
+import martenlatch.gossip.PeerState;
 
 /** One way to know who lives, as one member runs it. Times are milliseconds since 1970. */
 interface Membership {
--- a/fleet/src/main/java/martenlatch/fleet/peers/PeerCase.java
+++ b/fleet/src/main/java/martenlatch/fleet/gossip/PeerCase.java
@@ -1,4 +1,4 @@
-package martenlatch.fleet.peers;
+package martenlatch.fleet.gossip;
 
 import java.util.Arrays;
 import java.util.List;
--- a/fleet/src/main/java/martenlatch/fleet/peers/PeerMeasure.java
+++ b/fleet/src/main/java/martenlatch/fleet/gossip/PeerMeasure.java
@@ -1,4 +1,4 @@
-package martenlatch.fleet.peers;
+package martenlatch.fleet.gossip;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import martenlatch.peers.PeerState;
+import martenlatch.gossip.PeerState;
 import org.HdrHistogram.Histogram;
 
 /** Plays cases with each way to know who lives, on the same seeds, and says what came of them. */
 public final class PeerMeasure {
 
     private static final Map<String, Membership.Maker> WAYS = new TreeMap<>(Map.of(
-            "ours", Ours::new,
+            "ours", GossipUnderTest::new,
             "swim", (self, told, zone, seed, wire) -> new PlainSwim(self, told, seed, wire),
             "heartbeats", (self, told, zone, seed, wire) -> new Heartbeats(false, self, told, seed, wire),
             "phi-accrual", (self, told, zone, seed, wire) -> new Heartbeats(true, self, told, seed, wire)));
--- a/fleet/src/main/java/martenlatch/fleet/peers/PeerSim.java
+++ b/fleet/src/main/java/martenlatch/fleet/gossip/PeerSim.java
@@ -1,4 +1,4 @@
-package martenlatch.fleet.peers;
+package martenlatch.fleet.gossip;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -10,7 +10,7 @@
 import martenlatch.fleet.link.Conduct;
 import martenlatch.fleet.link.LinkModel;
 import martenlatch.fleet.sim.VirtualTime;
-import martenlatch.peers.PeerState;
+import martenlatch.gossip.PeerState;
 
 /**
  * A fleet of members in simulated time, each on its own, with links between them that have a conduct for each
--- a/fleet/src/main/java/martenlatch/fleet/peers/PlainSwim.java
+++ b/fleet/src/main/java/martenlatch/fleet/gossip/PlainSwim.java
@@ -1,4 +1,4 @@
-package martenlatch.fleet.peers;
+package martenlatch.fleet.gossip;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import martenlatch.peers.PeerState;
+import martenlatch.gossip.PeerState;
 
 /**
  * A baseline: SWIM with suspicion and round-robin probes (Das, Gupta, Motivala, DSN 2002, sections 3 and 4),
--- a/fleet/src/main/java/martenlatch/fleet/peers/package-info.java
+++ b/fleet/src/main/java/martenlatch/fleet/gossip/package-info.java
@@ -3,4 +3,4 @@
  * and plain SWIM, over links with conduct, with pauses, kills and restarts. It uses links' models, simulated
  * time and the sidecar's room peers, and no socket.
  */
-package martenlatch.fleet.peers;
+package martenlatch.fleet.gossip;
--- a/fleet/src/main/java/martenlatch/fleet/launch/SidecarProcess.java
+++ b/fleet/src/main/java/martenlatch/fleet/launch/SidecarProcess.java
@@ -41,8 +41,8 @@
         NOT_STOPPED
     }
 
-    private static final String LISTENS = "martenlatch: listens at /";
-    private static final String SERVES = "martenlatch: serves at ";
+    private static final String LISTENS = "martenlatch: listening on /";
+    private static final String SERVES = "martenlatch: serving on ";
     private static final int STATE_POLLS = 100;
 
     private final String name;
--- a/fleet/src/test/java/martenlatch/fleet/peers/PeerSimTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/gossip/PeerSimTest.java
@@ -1,4 +1,4 @@
-package martenlatch.fleet.peers;
+package martenlatch.fleet.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import martenlatch.fleet.link.Conduct;
-import martenlatch.peers.PeerState;
-import martenlatch.peers.PeerView;
+import martenlatch.gossip.PeerState;
+import martenlatch.gossip.PeerView;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -32,7 +32,7 @@
             names = {"MUTE_ONE", "KILL", "LOSS_50"})
     void nobodyThatRunsIsCalledFaulty(PeerCase what) {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            PeerSim sim = what.play(members(seed), seed, Ours::new);
+            PeerSim sim = what.play(members(seed), seed, GossipUnderTest::new);
             assertEquals(0, sim.wronglyFaulty(), what + " with seed " + seed);
             assertWhole(sim, what + " with seed " + seed);
         }
@@ -54,7 +54,7 @@
     void whoCannotBeHeardIsBackWhenItCan(PeerCase what) {
         int wrong = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
-            PeerSim sim = what.play(members(seed), seed, Ours::new);
+            PeerSim sim = what.play(members(seed), seed, GossipUnderTest::new);
             assertWhole(sim, what + " with seed " + seed);
             wrong += what == PeerCase.LOSS_50 ? sim.wronglyFaulty() : 0;
         }
@@ -65,7 +65,7 @@
     void aDeathIsKnownToAllSoon() {
         for (int seed = 1; seed <= SEEDS; seed++) {
             int members = members(seed);
-            PeerSim sim = PeerCase.KILL.play(members, seed, Ours::new);
+            PeerSim sim = PeerCase.KILL.play(members, seed, GossipUnderTest::new);
             int dead = PeerCase.one(members);
             Map<Integer, Double> at = new HashMap<>();
             sim.changes().stream()
@@ -83,7 +83,7 @@
             names = {"PAUSE_HALF_SECOND", "PAUSE_2S", "PAUSE_10S", "PAUSE_THIRD_2S", "PAUSE_THIRD_10S"})
     void whoWakesIsBackWithinTwoSeconds(PeerCase what) {
         for (int seed = 1; seed <= SEEDS / 4; seed++) {
-            PeerSim sim = new PeerSim(members(seed), 2, seed, Ours::new);
+            PeerSim sim = new PeerSim(members(seed), 2, seed, GossipUnderTest::new);
             sim.startAll(1000);
             sim.runUntil(PeerCase.SETTLE_MS);
             what.into(sim);
@@ -100,7 +100,7 @@
     void whoWakesAccusesNobody() {
         int accused = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
-            PeerSim sim = new PeerSim(members(seed), 2, seed, Ours::new);
+            PeerSim sim = new PeerSim(members(seed), 2, seed, GossipUnderTest::new);
             sim.startAll(1000);
             sim.links((from, to) -> new Conduct(0, 0, 0.1, 0, 0, Double.POSITIVE_INFINITY, 0, false));
             sim.runUntil(PeerCase.SETTLE_MS);
@@ -121,7 +121,7 @@
     @Test
     void aDeadLifeStaysDead() {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            PeerSim sim = PeerCase.KILL.play(members(seed), seed, Ours::new);
+            PeerSim sim = PeerCase.KILL.play(members(seed), seed, GossipUnderTest::new);
             int dead = PeerCase.one(sim.size());
             List<PeerSim.Change> after = new ArrayList<>();
             Map<Integer, Boolean> faulty = new HashMap<>();
@@ -140,13 +140,13 @@
     /** In a split each half knows itself for sure, and does not take the other for dead. */
     @Test
     void aSplitIsSeenAsOne() {
-        PeerSim sim = new PeerSim(12, 2, 3, Ours::new);
+        PeerSim sim = new PeerSim(12, 2, 3, GossipUnderTest::new);
         sim.startAll(1000);
         sim.runUntil(PeerCase.SETTLE_MS);
         PeerCase.SPLIT_60S.into(sim);
         sim.runUntil(PeerCase.SETTLE_MS + 15_000);
         for (int i = 0; i < 12; i++) {
-            PeerView view = ((Ours) sim.member(i)).view(sim.clock());
+            PeerView view = ((GossipUnderTest) sim.member(i)).view(sim.clock());
             assertEquals(6, view.atLeast(), i + " sees " + view);
             assertEquals(12, view.atMost(), i + " sees " + view);
             assertTrue(view.massed() && !view.cutOff(), i + " sees " + view);
@@ -158,12 +158,12 @@
     /** Who hears nobody takes itself to be cut off, and says so; who is heard by all still lives for them. */
     @Test
     void whoHearsNobodyIsCutOff() {
-        PeerSim sim = new PeerSim(12, 2, 4, Ours::new);
+        PeerSim sim = new PeerSim(12, 2, 4, GossipUnderTest::new);
         sim.startAll(1000);
         sim.runUntil(PeerCase.SETTLE_MS);
         PeerCase.DEAF_ONE.into(sim);
         sim.runUntil(PeerCase.SETTLE_MS + 10_000);
-        PeerView view = ((Ours) sim.member(PeerCase.one(12))).view(sim.clock());
+        PeerView view = ((GossipUnderTest) sim.member(PeerCase.one(12))).view(sim.clock());
         assertTrue(view.cutOff(), view.toString());
         assertEquals(1, view.atLeast());
         assertEquals(12, view.atMost());
@@ -173,15 +173,15 @@
     /** A process whose clock was set back starts with a number below that of its life before. */
     @Test
     void aClockSetBackIsOvercome() {
-        PeerSim sim = new PeerSim(10, 2, 6, Ours::new);
+        PeerSim sim = new PeerSim(10, 2, 6, GossipUnderTest::new);
         sim.startAll(1000);
         sim.runUntil(PeerCase.SETTLE_MS);
-        long before = ((Ours) sim.member(3)).peers().incarnation();
+        long before = ((GossipUnderTest) sim.member(3)).peers().incarnation();
         sim.kill(3);
         sim.startWithClock(3, -3600_000);
         sim.runUntil(PeerCase.SETTLE_MS + 5000);
         assertTrue(sim.allBelieve(3, PeerState.ALIVE));
-        assertTrue(((Ours) sim.member(3)).peers().incarnation() > before);
+        assertTrue(((GossipUnderTest) sim.member(3)).peers().incarnation() > before);
     }
 
     /** What a member sends does not grow with the fleet. */
--- a/sidecar/src/main/java/martenlatch/admin/AdminServer.java
+++ b/sidecar/src/main/java/martenlatch/admin/AdminServer.java
@@ -29,34 +29,35 @@
 import martenlatch.net.Buffers;
 
 /**
- * The operators' address: HTTP/1.1, one call a connection. Who says nothing, or half of a call, neither
+ * The operators' address: HTTP/1.1, one call a connection. A client that sends nothing, or half of a call, neither
  * keeps others out nor stays for long.
  */
 public final class AdminServer {
 
-    /** Connections at once; a new one above it ends the oldest that has made no whole call. */
-    public static final int MOST = 16;
-    /** Operators are owed an answer within a second: a call is whole by then, or gets an error. */
-    private static final int WHOLE_MS = 800;
+    /** The largest number of connections; a new one above it closes the oldest without a complete call. */
+    public static final int MAX_CONNECTIONS = 16;
+    /** Operators get a response within a second: a call is complete by then, or gets an error. */
+    private static final int CALL_TIMEOUT_MS = 800;
 
-    private static final int MOST_BODY = 4096;
-    private static final int MOST_LINE = 2048;
-    private static final int MOST_HEAD = 4096;
+    private static final int MAX_BODY_BYTES = 4096;
+    private static final int MAX_LINE_BYTES = 2048;
+    private static final int MAX_HEADER_BYTES = 4096;
 
     private final EventLoop loop;
-    private final Operations operations;
-    /** Those that have made no whole call yet, the oldest first. */
-    private final Set<Channel> silent = new LinkedHashSet<>();
+    private final AdminOperations operations;
+    /** Connections without a complete call yet, the oldest first. */
+    private final Set<Channel> incomplete = new LinkedHashSet<>();
 
     private int open;
     private Channel listener;
 
-    public AdminServer(EventLoop loop, Operations operations) {
+    /** Creates a server that does not listen yet. */
+    public AdminServer(EventLoop loop, AdminOperations operations) {
         this.loop = loop;
         this.operations = operations;
     }
 
-    /** Listens for calls. */
+    /** Listens for calls; the future tells whether that was possible. */
     public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop)
@@ -69,9 +70,9 @@
                     protected void initChannel(SocketChannel accepted) {
                         accepted.pipeline()
                                 .addLast(
-                                        new HttpServerCodec(MOST_LINE, MOST_HEAD, MOST_BODY),
-                                        new HttpObjectAggregator(MOST_BODY, true),
-                                        new Call());
+                                        new HttpServerCodec(MAX_LINE_BYTES, MAX_HEADER_BYTES, MAX_BODY_BYTES),
+                                        new HttpObjectAggregator(MAX_BODY_BYTES, true),
+                                        new CallHandler());
                     }
                 })
                 .bind(address);
@@ -79,47 +80,47 @@
         return bound;
     }
 
-    /** Takes in no more calls. */
+    /** Accepts no more calls. */
     public void close() {
         if (listener != null) {
             listener.close();
         }
     }
 
-    private final class Call extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         private boolean answered;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             open++;
-            silent.add(ctx.channel());
-            if (open > MOST) {
-                silent.iterator().next().close();
+            incomplete.add(ctx.channel());
+            if (open > MAX_CONNECTIONS) {
+                incomplete.iterator().next().close();
             }
             loop.schedule(
                     () -> {
-                        if (silent.contains(ctx.channel())) {
-                            answer(ctx, Operations.Reply.no(408, "no whole call in time"));
+                        if (incomplete.contains(ctx.channel())) {
+                            respond(ctx, AdminResponse.error(408, "no whole call in time"));
                         }
                     },
-                    WHOLE_MS,
+                    CALL_TIMEOUT_MS,
                     TimeUnit.MILLISECONDS);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             open--;
-            silent.remove(ctx.channel());
+            incomplete.remove(ctx.channel());
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest call) {
-            if (answered || !silent.remove(ctx.channel())) {
+            if (answered || !incomplete.remove(ctx.channel())) {
                 return;
             }
             if (call.decoderResult().isFailure()) {
-                answer(ctx, Operations.Reply.no(400, "malformed call"));
+                respond(ctx, AdminResponse.error(400, "malformed call"));
                 return;
             }
             int query = call.uri().indexOf('?');
@@ -127,23 +128,23 @@
                     call.method().name(),
                     query < 0 ? call.uri() : call.uri().substring(0, query),
                     ByteBufUtil.getBytes(call.content()),
-                    reply -> answer(ctx, reply));
+                    response -> respond(ctx, response));
         }
 
-        private void answer(ChannelHandlerContext ctx, Operations.Reply reply) {
-            silent.remove(ctx.channel());
+        private void respond(ChannelHandlerContext ctx, AdminResponse response) {
+            incomplete.remove(ctx.channel());
             if (answered) {
                 return;
             }
             answered = true;
-            byte[] body = (reply.json() + "\n").getBytes(StandardCharsets.UTF_8);
-            FullHttpResponse made = new DefaultFullHttpResponse(
-                    HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(body));
-            made.headers()
+            byte[] body = (response.json() + "\n").getBytes(StandardCharsets.UTF_8);
+            FullHttpResponse message = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(response.status()), Unpooled.wrappedBuffer(body));
+            message.headers()
                     .set(HttpHeaderNames.CONTENT_LENGTH, body.length)
                     .set(HttpHeaderNames.CONTENT_TYPE, "application/json")
                     .set(HttpHeaderNames.CONNECTION, "close");
-            ctx.writeAndFlush(made).addListener(ChannelFutureListener.CLOSE);
+            ctx.writeAndFlush(message).addListener(ChannelFutureListener.CLOSE);
         }
 
         @Override
--- a/sidecar/src/main/java/martenlatch/admin/DisabledEndpoints.java
+++ b/sidecar/src/main/java/martenlatch/admin/DisabledEndpoints.java
@@ -12,109 +12,109 @@
 import martenlatch.policy.api.EndpointStatus;
 
 /**
- * Which endpoints the operators have taken out: by calls to this process, and by what another process of
- * the same sidecar has kept in the folder that both share. No I/O: changes to keep are numbered, and
- * whoever looks into the folder says up to which of them it had been written then.
+ * Which endpoints the operators have disabled: by calls to this process, and by what another process of the same
+ * sidecar has stored in the shared folder. No I/O: changes are numbered, and whoever reads the folder tells up to
+ * which of them had been written by then.
  */
 final class DisabledEndpoints {
 
     /** Endpoints remembered after they have left the list, so that a late call still finds them. */
-    private static final int MOST_FORMER = 10_000;
-    /** Endpoints out at once: far more than anyone takes out by hand, and a bound for the folder. */
-    static final int MOST_OUT = 10_000;
+    private static final int MAX_FORMER = 10_000;
+    /** Endpoints disabled at once: far more than anyone disables by hand, and a bound for the folder. */
+    static final int MAX_DISABLED = 10_000;
 
     /** What becomes of a call. */
-    enum Verdict {
-        /** It is done, and the change is to be kept. */
+    enum Result {
+        /** It is done, and the change is to be stored. */
         DONE,
         /** No list has ever named such an endpoint. */
         UNKNOWN,
-        /** So many are out that no more are taken. */
+        /** So many are disabled that no more are accepted. */
         FULL
     }
 
-    /** A change made here that the folder may not show yet, or never will. */
-    private record Change(long number, boolean out) {}
+    /** A change made in this process that the folder may not show yet, or never will. */
+    private record Change(long number, boolean disabled) {}
+
+    private static final long NEVER_STORED = Long.MAX_VALUE;
 
     private final Set<String> listed = new HashSet<>();
     private final Map<String, Boolean> former = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > MOST_FORMER;
+            return size() > MAX_FORMER;
         }
     };
     private final Map<String, Change> changes = new HashMap<>();
-    private Set<String> out = new TreeSet<>();
-    private long number;
+    private Set<String> disabled = new TreeSet<>();
+    private long latestChange;
 
-    /** A list has come. */
-    void listed(boolean full, List<Endpoint> servers) {
+    /** An endpoint list has been received. */
+    void onEndpointList(boolean full, List<Endpoint> endpoints) {
         if (full) {
             listed.forEach(id -> former.put(id, true));
             listed.clear();
         }
-        for (Endpoint server : servers) {
-            if (server.status() == EndpointStatus.GONE) {
-                if (listed.remove(server.id())) {
-                    former.put(server.id(), true);
-                }
-            } else {
-                listed.add(server.id());
-                former.remove(server.id());
+        for (Endpoint endpoint : endpoints) {
+            if (endpoint.status() != EndpointStatus.GONE) {
+                listed.add(endpoint.id());
+                former.remove(endpoint.id());
+            } else if (listed.remove(endpoint.id())) {
+                former.put(endpoint.id(), true);
             }
         }
     }
 
-    /** Takes an endpoint out, or puts it back; to do so again is no error. */
-    Verdict set(String id, boolean outNow) {
-        if (!listed.contains(id) && !former.containsKey(id) && !out.contains(id)) {
-            return Verdict.UNKNOWN;
+    /** Disables or enables an endpoint; to repeat that is no error. */
+    Result set(String id, boolean disable) {
+        if (!listed.contains(id) && !former.containsKey(id) && !disabled.contains(id)) {
+            return Result.UNKNOWN;
         }
-        if (outNow && !out.contains(id) && out.size() >= MOST_OUT) {
-            return Verdict.FULL;
+        if (disable && !disabled.contains(id) && disabled.size() >= MAX_DISABLED) {
+            return Result.FULL;
         }
-        changes.put(id, new Change(++number, outNow));
-        if (outNow) {
-            out.add(id);
+        changes.put(id, new Change(++latestChange, disable));
+        if (disable) {
+            disabled.add(id);
         } else {
-            out.remove(id);
+            disabled.remove(id);
             former.put(id, true);
         }
-        return Verdict.DONE;
+        return Result.DONE;
     }
 
     /** The number of the latest change. */
-    long latest() {
-        return number;
+    long latestChange() {
+        return latestChange;
     }
 
-    /** A change could not be kept: it holds in this process until the next call for that endpoint. */
-    void notKept(String id, long changeNumber) {
+    /** A change could not be stored: it holds in this process until the next call for that endpoint. */
+    void onNotStored(String id, long changeNumber) {
         changes.computeIfPresent(
-                id, (k, change) -> change.number == changeNumber ? new Change(Long.MAX_VALUE, change.out) : change);
+                id, (k, change) -> change.number == changeNumber ? new Change(NEVER_STORED, change.disabled) : change);
     }
 
     /**
-     * What the folder shows, changes up to {@code upTo} among it; later ones of this process go before it.
-     * True if that makes a difference.
+     * Takes over what the folder shows, with all changes up to {@code upTo} in it; later changes of this process take
+     * precedence. True if that makes a difference.
      */
-    boolean shown(Set<String> kept, long upTo) {
+    boolean onStored(Set<String> stored, long upTo) {
         changes.values().removeIf(change -> change.number <= upTo);
-        Set<String> now = new TreeSet<>(kept);
+        Set<String> next = new TreeSet<>(stored);
         changes.forEach((id, change) -> {
-            if (change.out) {
-                now.add(id);
+            if (change.disabled) {
+                next.add(id);
             } else {
-                now.remove(id);
+                next.remove(id);
             }
         });
-        boolean changed = !now.equals(out);
-        out = now;
+        boolean changed = !next.equals(disabled);
+        disabled = next;
         return changed;
     }
 
-    /** Those that are out, by id. */
-    Set<String> out() {
-        return Collections.unmodifiableSet(out);
+    /** The ids of the disabled endpoints, in order. */
+    Set<String> ids() {
+        return Collections.unmodifiableSet(disabled);
     }
 }
--- a/sidecar/src/main/java/martenlatch/admin/SharedFolder.java
+++ b/sidecar/src/main/java/martenlatch/admin/SharedFolder.java
@@ -19,29 +19,30 @@
 import java.util.Set;
 
 /**
- * The folder that the processes of one sidecar share, the old and the new one during an upgrade. Each thing
- * in it is a file of its own, made or removed in one step, so that a process killed at any point leaves
- * nothing half done:
+ * The folder that the processes of one sidecar share, the old and the new one during an upgrade. Each fact in it is a
+ * file of its own, created or deleted in one step, so that a process killed at any point leaves nothing half done:
  *
  * <ul>
- * <li>{@code out-ID}: the endpoint ID (URL-encoded, as a file's name) is out by hand;</li>
- * <li>{@code serving-N}: a process serves; it holds a lock on the file, which the system releases when it
- * dies.</li>
+ * <li>{@code out-ID}: the endpoint ID (URL-encoded, as a file's name) is disabled;</li>
+ * <li>{@code serving-N}: a process serves; it holds a lock on the file, which the system releases when it dies.</li>
  * </ul>
  *
- * <p>What is out may be read and written by one thread while another calls {@link #serve} and {@link #leave}.
+ * <p>One thread may read and write the disabled endpoints while another calls {@link #markServing} and
+ * {@link #unmarkServing}.
  */
 final class SharedFolder {
 
-    private static final String OUT = "out-";
-    private static final String SERVING = "serving-";
-    private static final String BEGUN = "begun-";
+    private static final String DISABLED_PREFIX = "out-";
+    private static final String SERVING_PREFIX = "serving-";
+    private static final String UNFINISHED_PREFIX = "begun-";
 
     private final Path folder;
-    private Path ownFile;
-    private FileChannel own;
+    /** This process's mark that it serves, and the lock on it; null while it does not. */
+    private Path ownMark;
 
-    /** The folder of one sidecar below {@code parent}; it is made if it is not there. */
+    private FileChannel ownChannel;
+
+    /** Opens the folder of one sidecar below {@code parent}, and creates it if it does not exist. */
     SharedFolder(Path parent, String sidecar) throws IOException {
         folder = Files.createDirectories(parent.resolve("martenlatch-" + encoded(sidecar)));
     }
@@ -50,14 +51,14 @@
         return URLEncoder.encode(name, StandardCharsets.UTF_8);
     }
 
-    /** Keeps that an endpoint is out, or is not any more; to do so again is no error. */
-    void set(String id, boolean out) throws IOException {
-        Path file = folder.resolve(OUT + encoded(id));
-        if (out) {
+    /** Stores that an endpoint is disabled, or is not any more; to repeat that is no error. */
+    void set(String id, boolean disabled) throws IOException {
+        Path file = folder.resolve(DISABLED_PREFIX + encoded(id));
+        if (disabled) {
             try {
                 Files.createFile(file);
             } catch (FileAlreadyExistsException e) {
-                // It is out already: by an earlier call, or by the other process.
+                // It is disabled already: by an earlier call, or by the other process.
                 return;
             }
         } else {
@@ -65,13 +66,13 @@
         }
     }
 
-    /** The endpoints that are out. */
-    Set<String> out() throws IOException {
+    /** The ids of the disabled endpoints. */
+    Set<String> disabledIds() throws IOException {
         Set<String> ids = new HashSet<>();
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, OUT + "*")) {
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, DISABLED_PREFIX + "*")) {
             for (Path file : files) {
-                String name = file.getFileName().toString().substring(OUT.length());
-                if (ids.size() < DisabledEndpoints.MOST_OUT) {
+                String name = file.getFileName().toString().substring(DISABLED_PREFIX.length());
+                if (ids.size() < DisabledEndpoints.MAX_DISABLED) {
                     ids.add(URLDecoder.decode(name, StandardCharsets.UTF_8));
                 }
             }
@@ -81,31 +82,31 @@
         return ids;
     }
 
-    /** From here on others can see that this process serves. */
-    void serve() throws IOException {
+    /** From here on other processes can see that this one serves. */
+    void markServing() throws IOException {
         String name = ProcessHandle.current().pid() + "-" + System.nanoTime();
-        Path begun = folder.resolve(BEGUN + name);
-        own = FileChannel.open(begun, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
-        own.lock();
-        // Locked before it can be seen: nobody takes it for a dead process's in between.
-        ownFile = Files.move(begun, folder.resolve(SERVING + name), StandardCopyOption.ATOMIC_MOVE);
+        Path unfinished = folder.resolve(UNFINISHED_PREFIX + name);
+        ownChannel = FileChannel.open(unfinished, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+        ownChannel.lock();
+        // Locked before it becomes visible: nobody takes it for a dead process's in between.
+        ownMark = Files.move(unfinished, folder.resolve(SERVING_PREFIX + name), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** This process serves no more. */
-    void leave() throws IOException {
-        if (own != null) {
-            Files.deleteIfExists(ownFile);
-            own.close();
-            own = null;
+    /** This process does not serve any more. */
+    void unmarkServing() throws IOException {
+        if (ownChannel != null) {
+            Files.deleteIfExists(ownMark);
+            ownChannel.close();
+            ownChannel = null;
         }
     }
 
     /** Whether another process serves; files of processes that are dead are removed. */
     boolean othersServe() throws IOException {
         boolean found = false;
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, SERVING + "*")) {
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, SERVING_PREFIX + "*")) {
             for (Path file : files) {
-                if (!file.equals(ownFile)) {
+                if (!file.equals(ownMark)) {
                     found |= isLocked(file);
                 }
             }
@@ -124,10 +125,10 @@
             Files.deleteIfExists(file);
             return false;
         } catch (OverlappingFileLockException e) {
-            // Another sidecar in this very process, as in tests.
+            // Held by another sidecar in this same process, as in tests.
             return true;
         } catch (NoSuchFileException e) {
-            // It has left between the look into the folder and this.
+            // Deleted between listing the folder and opening the file.
             return false;
         }
     }
--- a/sidecar/src/main/java/martenlatch/admin/package-info.java
+++ b/sidecar/src/main/java/martenlatch/admin/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What operators tell a running sidecar: endpoints out by hand, clients sent away, and what two processes
- * of one sidecar share on disk. It may use the host's and the policy's words, the settings' checks and
- * Netty; it knows no front.
+ * The operators' HTTP API: endpoints disabled by hand, clients sent away, and what two processes of one sidecar share
+ * on disk. It may use {@code request}, {@code policy.api}, {@code config} and {@code net}, and Netty; it knows no
+ * frontend.
  */
 package martenlatch.admin;
--- a/sidecar/src/main/java/martenlatch/cli/Main.java
+++ b/sidecar/src/main/java/martenlatch/cli/Main.java
@@ -15,29 +15,30 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import martenlatch.sidecar.Sidecar;
+import martenlatch.sidecar.StartOptions;
 import martenlatch.simulator.SimulatorAdapter;
-import martenlatch.simulator.WireException;
+import martenlatch.simulator.SimulatorWireException;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** The command line: {@code serve} is one real sidecar, {@code benchlink} the simulator's adapter. */
+/** The command line: {@code serve} runs a sidecar, {@code benchlink} the adapter to the simulator. */
 public final class Main {
 
-    /** A start that takes longer is not waited for when the program is stopped. */
-    private static final int START_MS = 5000;
+    /** How long a SIGTERM waits for a start that is under way, in milliseconds. */
+    private static final int START_TIMEOUT_MS = 5000;
 
     private static final String USAGE = "usage: java -jar martenlatch.jar serve [--peers]|benchlink";
-    private static final String PEERS = "--peers";
-    private static final Set<String> HELP = Set.of("--help", "-h", "help");
+    private static final String GOSSIP_OPTION = "--peers";
+    private static final Set<String> HELP_OPTIONS = Set.of("--help", "-h", "help");
 
     private Main() {}
 
-    /** Runs the program until it is done; a failure is one plain line and a status above 0. */
+    /** Runs a command; a failure is one line on standard error and an exit status above 0. */
     public static void main(String[] args) throws IOException {
         int status;
-        boolean withPeers = args.length == 2 && args[1].equals(PEERS);
-        if (args.length > 0 && args[0].equals("serve") && (args.length == 1 || withPeers)) {
-            status = serve(System.getenv("GW_CONFIG"), System.getenv("TMPDIR"), withPeers, System.err);
+        boolean gossip = args.length == 2 && args[1].equals(GOSSIP_OPTION);
+        if (args.length > 0 && args[0].equals("serve") && (args.length == 1 || gossip)) {
+            status = serve(System.getenv("GW_CONFIG"), System.getenv("TMPDIR"), gossip, System.err);
         } else {
             try (FileInputStream in = new FileInputStream(FileDescriptor.in);
                     FileOutputStream out = new FileOutputStream(FileDescriptor.out)) {
@@ -49,9 +50,9 @@
         }
     }
 
-    /** The adapter on streams of the caller's; returns the exit status. */
+    /** Runs the adapter to the simulator on these streams; returns the exit status. */
     public static int run(String[] args, InputStream in, OutputStream out, PrintStream errors) throws IOException {
-        if (args.length == 1 && HELP.contains(args[0])) {
+        if (args.length == 1 && HELP_OPTIONS.contains(args[0])) {
             out.write((USAGE + "\n").getBytes(StandardCharsets.UTF_8));
             return 0;
         }
@@ -62,15 +63,15 @@
         try {
             new SimulatorAdapter(in, out, errors).run();
             return 0;
-        } catch (WireException e) {
+        } catch (SimulatorWireException e) {
             errors.println("martenlatch: " + e.getMessage());
             return 1;
         }
     }
 
     /** Starts a sidecar, to run until SIGTERM; returns the exit status of a start that failed. */
-    static int serve(String configFile, String shared, boolean withPeers, PrintStream errors) {
-        // Before all else: until there is a handler, SIGHUP ends the program.
+    static int serve(String configFile, String sharedFolder, boolean gossip, PrintStream errors) {
+        // First of all: until there is a handler, SIGHUP ends the process.
         CompletableFuture<Sidecar> running = new CompletableFuture<>();
         SignalHandler before = Signal.handle(new Signal("HUP"), signal -> running.thenAccept(Sidecar::reload));
         if (before == SignalHandler.SIG_IGN) {
@@ -84,8 +85,8 @@
             if (configFile == null || configFile.isBlank()) {
                 throw new IllegalArgumentException("GW_CONFIG must name the configuration file but is " + configFile);
             }
-            Sidecar sidecar =
-                    Sidecar.start(Path.of(configFile), shared == null ? null : Path.of(shared), withPeers, errors);
+            Path folder = sharedFolder == null ? null : Path.of(sharedFolder);
+            Sidecar sidecar = Sidecar.start(new StartOptions(Path.of(configFile), folder, gossip), errors);
             running.complete(sidecar);
             return 0;
         } catch (IOException | RuntimeException e) {
@@ -100,12 +101,11 @@
 
     private static void drain(CompletableFuture<Sidecar> running) {
         try {
-            running.get(START_MS, TimeUnit.MILLISECONDS).drain();
-            // Halting, once empty, makes a stop by SIGTERM a clean exit.
+            running.get(START_TIMEOUT_MS, TimeUnit.MILLISECONDS).drain();
+            // Halting after the drain makes a stop by SIGTERM a clean exit.
             Runtime.getRuntime().halt(0);
         } catch (InterruptedException | ExecutionException | TimeoutException e) {
-            // It has not come so far as to serve: there is nothing to drain, and the status is that of the
-            // stop.
+            // It does not serve yet: there is nothing to drain, and the exit status is that of the signal.
             return;
         }
     }
--- a/sidecar/src/main/java/martenlatch/cli/package-info.java
+++ b/sidecar/src/main/java/martenlatch/cli/package-info.java
@@ -1,5 +1,2 @@
-/**
- * The command line: which command was asked for, and its exit status.
- * It may use every room, and decides nothing.
- */
+/** The command line: its commands and their exit status. It may use every package, and decides nothing. */
 package martenlatch.cli;
--- a/sidecar/src/main/java/martenlatch/config/Shape.java
+++ b/sidecar/src/main/java/martenlatch/config/FieldPaths.java
@@ -6,13 +6,13 @@
 import java.util.TreeSet;
 
 /**
- * Which fields an object holds, by path ({@code settings.classes[].name}). A list of objects holds the
- * fields that each of them has. With it a file can be told from a part of one: whatever stood in the file
- * before must stand in the next.
+ * The paths of the fields that an object holds, such as {@code settings.classes[].name}. A list of objects holds the
+ * fields that each of them has. They tell a complete file from part of one: every field of the file before must be in
+ * the next.
  */
-public final class Shape {
+public final class FieldPaths {
 
-    private Shape() {}
+    private FieldPaths() {}
 
     /** The paths of all fields, of objects within objects too. */
     public static Set<String> of(Map<?, ?> object) {
@@ -21,9 +21,9 @@
         return paths;
     }
 
-    private static void add(String before, Map<?, ?> object, Set<String> paths) {
+    private static void add(String prefix, Map<?, ?> object, Set<String> paths) {
         object.forEach((name, value) -> {
-            String path = before + name;
+            String path = prefix + name;
             paths.add(path);
             if (value instanceof Map<?, ?> inner) {
                 add(path + ".", inner, paths);
@@ -33,12 +33,12 @@
         });
     }
 
-    private static Set<String> common(String before, List<?> list) {
+    private static Set<String> common(String prefix, List<?> list) {
         Set<String> common = null;
         for (Object element : list) {
             Set<String> own = new TreeSet<>();
             if (element instanceof Map<?, ?> object) {
-                add(before, object, own);
+                add(prefix, object, own);
             }
             if (common == null) {
                 common = own;
@@ -49,15 +49,19 @@
         return common == null ? Set.of() : common;
     }
 
-    /** Throws, with the field's name, where a field of {@code before} is not among those of {@code next}. */
-    public static void check(Set<String> before, Set<String> next) {
+    /**
+     * Requires that every field of {@code before} is among those of {@code next}.
+     *
+     * @throws ConfigurationException for the first one that is missing
+     */
+    public static void requireNoneMissing(Set<String> before, Set<String> next) {
         for (String path : before) {
-            // A list with nothing in it has lost no field.
+            // An empty list has lost no field.
             int element = path.lastIndexOf("[].");
             boolean empty =
                     element >= 0 && next.stream().noneMatch(field -> field.startsWith(path.substring(0, element + 3)));
             if (!empty && !next.contains(path)) {
-                throw Fields.bad(path, null);
+                throw ConfigurationException.unusable(path, null);
             }
         }
     }
--- a/sidecar/src/main/java/martenlatch/config/Fields.java
+++ b/sidecar/src/main/java/martenlatch/config/SocketAddresses.java
@@ -5,13 +5,17 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Checks of single fields; what can't be used is told by name and value. */
-public final class Fields {
+/** Parses addresses such as {@code 10.0.0.4:9000}; host names would need DNS, which is not used. */
+public final class SocketAddresses {
 
-    private Fields() {}
+    private SocketAddresses() {}
 
-    /** Reads {@code 10.0.0.4:9000}; names would need DNS, of which there is none. */
-    public static InetSocketAddress address(String field, Object value) {
+    /**
+     * Parses the address in a field.
+     *
+     * @throws ConfigurationException if it is not an IP address and a port
+     */
+    public static InetSocketAddress parse(String field, Object value) {
         if (value instanceof String text) {
             int colon = text.lastIndexOf(':');
             byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
@@ -20,16 +24,10 @@
                     int port = Integer.parseInt(text.substring(colon + 1));
                     return new InetSocketAddress(InetAddress.getByAddress(ip), port);
                 } catch (UnknownHostException | IllegalArgumentException e) {
-                    throw bad(field, value);
+                    throw ConfigurationException.unusable(field, value);
                 }
             }
         }
-        throw bad(field, value);
-    }
-
-    /** What is to be thrown for a field that is missing (null) or not usable. */
-    public static IllegalArgumentException bad(String field, Object value) {
-        return new IllegalArgumentException(
-                "field " + field + (value == null ? " is missing" : " is not usable: " + value));
+        throw ConfigurationException.unusable(field, value);
     }
 }
--- a/sidecar/src/main/java/martenlatch/config/package-info.java
+++ b/sidecar/src/main/java/martenlatch/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Settings as they are written, made into the policy's words, with checks.
- * It may use the policy and a JSON parser.
+ * Reads settings and single fields of JSON input, with typed errors. It may use {@code policy.api}, a JSON parser and
+ * Netty's address parser.
  */
 package martenlatch.config;
--- a/sidecar/src/main/java/martenlatch/discovery/EndpointListDecoder.java
+++ b/sidecar/src/main/java/martenlatch/discovery/EndpointListDecoder.java
@@ -7,8 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import martenlatch.config.Fields;
-import martenlatch.config.SettingsReader;
+import martenlatch.config.ConfigurationException;
+import martenlatch.config.JsonValues;
+import martenlatch.config.SocketAddresses;
 import martenlatch.policy.api.Endpoint;
 import martenlatch.policy.api.EndpointStatus;
 import martenlatch.request.EndpointList;
@@ -32,7 +33,7 @@
     public static EndpointList parse(byte[] json, Names names) throws IOException {
         try (JsonParser in = JSON.createParser(json)) {
             in.nextToken();
-            if (!(in.currentToken() != null && SettingsReader.value(in) instanceof Map<?, ?> list)) {
+            if (!(in.currentToken() != null && JsonValues.read(in) instanceof Map<?, ?> list)) {
                 throw new IOException("the list of endpoints is no object");
             }
             return of(list, names);
@@ -46,18 +47,18 @@
      */
     public static EndpointList of(Map<?, ?> list, Names names) {
         if (!(list.get("version") instanceof Double version)) {
-            throw Fields.bad("version", list.get("version"));
+            throw ConfigurationException.unusable("version", list.get("version"));
         }
         if (!(list.get("full") instanceof Boolean full)) {
-            throw Fields.bad("full", list.get("full"));
+            throw ConfigurationException.unusable("full", list.get("full"));
         }
         if (!(list.get("servers") instanceof List<?> lines)) {
-            throw Fields.bad("servers", list.get("servers"));
+            throw ConfigurationException.unusable("servers", list.get("servers"));
         }
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (Object line : lines) {
             if (!(line instanceof Map<?, ?> fields)) {
-                throw Fields.bad("servers[]", line);
+                throw ConfigurationException.unusable("servers[]", line);
             }
             entries.add(entry(fields, names));
         }
@@ -66,18 +67,18 @@
 
     private static EndpointList.Entry entry(Map<?, ?> fields, Names names) {
         if (!(fields.get("id") instanceof String id)) {
-            throw Fields.bad("servers[].id", fields.get("id"));
+            throw ConfigurationException.unusable("servers[].id", fields.get("id"));
         }
         EndpointStatus state =
                 switch (String.valueOf(fields.get("state"))) {
                     case "in_service" -> EndpointStatus.READY;
                     case "terminating" -> EndpointStatus.DRAINING;
                     case "terminated" -> EndpointStatus.GONE;
-                    default -> throw Fields.bad("servers[].state", fields.get("state"));
+                    default -> throw ConfigurationException.unusable("servers[].state", fields.get("state"));
                 };
         // Of an endpoint that is gone nothing but its id need be told.
         InetSocketAddress address =
-                state == EndpointStatus.GONE ? null : Fields.address("servers[].addr", fields.get("addr"));
+                state == EndpointStatus.GONE ? null : SocketAddresses.parse("servers[].addr", fields.get("addr"));
         return new EndpointList.Entry(
                 new Endpoint(
                         id,
@@ -98,6 +99,6 @@
         if (value instanceof Double number) {
             return number;
         }
-        throw Fields.bad("servers[]." + name, value);
+        throw ConfigurationException.unusable("servers[]." + name, value);
     }
 }
--- /dev/null
+++ b/sidecar/src/main/java/martenlatch/frontend/http/RequestBodyCollector.java
@@ -0,0 +1,240 @@
+package martenlatch.frontend.http;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.ByteBufUtil;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaderValues;
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpObject;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.LastHttpContent;
+import io.netty.handler.codec.http.TooLongHttpHeaderException;
+import io.netty.handler.codec.http.TooLongHttpLineException;
+import io.netty.util.ReferenceCountUtil;
+import java.util.List;
+import martenlatch.frontend.http.RequestEvent.BodyComplete;
+import martenlatch.frontend.http.RequestEvent.CompleteRequest;
+import martenlatch.frontend.http.RequestEvent.InvalidInput;
+import martenlatch.frontend.http.RequestEvent.StreamedRequest;
+import martenlatch.upstream.StreamedRequestBody;
+
+/**
+ * Turns decoded HTTP objects into {@link RequestEvent}s: complete requests or, where a body is long or there is no
+ * memory to collect it, requests whose body is streamed while it is received.
+ */
+final class RequestBodyCollector extends ChannelInboundHandlerAdapter {
+
+    /** The longest body that is accepted, in bytes. */
+    static final long MAX_BODY_BYTES = 32 * 1024 * 1024;
+
+    private static final InvalidInput TOO_LARGE =
+            new InvalidInput(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
+
+    private final ConnectionGuard guard;
+    private final BodyMemoryBudget memory;
+    private final StreamedRequestBody.Source client;
+    private HttpRequest head;
+    /** Read with the head: one that is forwarded loses the headers that concern this connection alone. */
+    private boolean keepAlive;
+
+    /** What has been collected of the body. */
+    private ByteBuf collected;
+    /** The body that is being streamed, or null, and how much of it was received. */
+    private StreamedRequestBody streamed;
+
+    private long streamedBytes;
+    private boolean owesContinue;
+    private boolean stopped;
+
+    /** Creates a collector that pauses {@code client} when a body arrives faster than it can be forwarded. */
+    RequestBodyCollector(ConnectionGuard guard, BodyMemoryBudget memory, StreamedRequestBody.Source client) {
+        this.guard = guard;
+        this.memory = memory;
+        this.client = client;
+    }
+
+    @Override
+    public void channelRead(ChannelHandlerContext ctx, Object message) {
+        try {
+            if (!stopped
+                    && message instanceof HttpObject part
+                    && part.decoderResult().isFailure()) {
+                reject(ctx, undecodable(part.decoderResult().cause()));
+            }
+            if (!stopped && message instanceof HttpRequest request) {
+                onHead(ctx, request);
+            }
+            if (!stopped && message instanceof HttpContent content) {
+                onContent(ctx, content);
+            }
+        } finally {
+            ReferenceCountUtil.release(message);
+        }
+    }
+
+    private static InvalidInput undecodable(Throwable cause) {
+        boolean tooLong = cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException;
+        return tooLong
+                ? new InvalidInput(HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
+                : new InvalidInput(HttpResponseStatus.BAD_REQUEST, "malformed request");
+    }
+
+    private void onHead(ChannelHandlerContext ctx, HttpRequest request) {
+        String expectation = request.headers().get(HttpHeaderNames.EXPECT);
+        long length = HttpUtil.getContentLength(request, 0L);
+        if (isAmbiguous(request.headers())) {
+            reject(ctx, new InvalidInput(HttpResponseStatus.BAD_REQUEST, "ambiguous framing"));
+        } else if (length > MAX_BODY_BYTES) {
+            reject(ctx, TOO_LARGE);
+        } else if (expectation != null && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expectation)) {
+            reject(ctx, new InvalidInput(HttpResponseStatus.EXPECTATION_FAILED, "unknown expectation"));
+        } else {
+            head = request;
+            keepAlive = HttpUtil.isKeepAlive(request);
+            guard.onHeadComplete();
+            owesContinue = expectation != null;
+            streamedBytes = 0;
+            collected = Unpooled.buffer(0, BodyMemoryBudget.MAX_COLLECTED_BYTES);
+            if (length > BodyMemoryBudget.MAX_COLLECTED_BYTES) {
+                startStreaming(ctx);
+            } else {
+                sendContinue();
+            }
+        }
+    }
+
+    /** Where it is not plain where a body ends, another request may hide in it. */
+    private static boolean isAmbiguous(HttpHeaders headers) {
+        List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
+        if (codings.isEmpty()) {
+            return false;
+        }
+        return codings.size() > 1
+                || headers.contains(HttpHeaderNames.CONTENT_LENGTH)
+                || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0));
+    }
+
+    private void sendContinue() {
+        if (owesContinue) {
+            owesContinue = false;
+            client.onSinkAttached();
+        }
+    }
+
+    private void onContent(ChannelHandlerContext ctx, HttpContent content) {
+        ByteBuf bytes = content.content();
+        if (streamed == null) {
+            int size = collected.readableBytes();
+            if (memory.tryGrow(size, size + bytes.readableBytes())) {
+                collected.writeBytes(bytes);
+            } else {
+                startStreaming(ctx);
+            }
+        }
+        // A request whose body is streamed may have been answered by now.
+        if (stopped) {
+            return;
+        }
+        if (streamed != null && bytes.isReadable()) {
+            streamedBytes += bytes.readableBytes();
+            if (streamedBytes > MAX_BODY_BYTES) {
+                reject(ctx, TOO_LARGE);
+                return;
+            }
+            streamed.offer(bytes.retain());
+        }
+        if (content instanceof LastHttpContent) {
+            onBodyComplete(ctx);
+        }
+    }
+
+    private void onBodyComplete(ChannelHandlerContext ctx) {
+        // Nothing is read after a request that says that it is the last.
+        stopped = !keepAlive;
+        HttpRequest request = head;
+        head = null;
+        if (streamed != null) {
+            StreamedRequestBody complete = streamed;
+            streamed = null;
+            ctx.fireChannelRead(new BodyComplete());
+            complete.complete();
+        } else {
+            byte[] body = ByteBufUtil.getBytes(collected);
+            releaseCollected();
+            ctx.fireChannelRead(new CompleteRequest(request, body));
+        }
+    }
+
+    /** From here on the body is streamed, what has been collected of it first. */
+    private void startStreaming(ChannelHandlerContext ctx) {
+        streamed = new StreamedRequestBody(HttpUtil.getContentLength(head, -1L), new StreamedRequestBody.Source() {
+            @Override
+            public void setPaused(boolean paused) {
+                client.setPaused(paused);
+            }
+
+            @Override
+            public void onSinkAttached() {
+                sendContinue();
+            }
+        });
+        streamedBytes = collected.readableBytes();
+        if (streamedBytes > 0) {
+            streamed.offer(Unpooled.copiedBuffer(collected));
+        }
+        releaseCollectedAndMemory();
+        ctx.fireChannelRead(new StreamedRequest(head, streamed));
+    }
+
+    private void releaseCollectedAndMemory() {
+        if (collected != null) {
+            memory.release(collected.readableBytes());
+        }
+        releaseCollected();
+    }
+
+    private void releaseCollected() {
+        if (collected != null) {
+            collected.release();
+            collected = null;
+        }
+    }
+
+    /** Takes nothing more from this connection. */
+    void stop() {
+        stopped = true;
+        releaseCollectedAndMemory();
+        head = null;
+        if (streamed != null) {
+            StreamedRequestBody aborted = streamed;
+            streamed = null;
+            aborted.abort();
+        }
+    }
+
+    private void reject(ChannelHandlerContext ctx, InvalidInput invalid) {
+        stop();
+        ctx.fireChannelRead(invalid);
+    }
+
+    @Override
+    public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
+        if (event != ConnectionGuard.REQUEST_TIMEOUT) {
+            ctx.fireUserEventTriggered(event);
+        } else if (!stopped) {
+            reject(ctx, new InvalidInput(HttpResponseStatus.REQUEST_TIMEOUT, "no whole request in time"));
+        }
+    }
+
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+        stop();
+        ctx.fireChannelInactive();
+    }
+}
--- a/sidecar/src/main/java/martenlatch/peers/Member.java
+++ b/sidecar/src/main/java/martenlatch/gossip/Member.java
@@ -1,4 +1,4 @@
-package martenlatch.peers;
+package martenlatch.gossip;
 
 import java.util.List;
 import java.util.Set;
@@ -8,12 +8,12 @@
 final class Member {
 
     /** More accusers than this change nothing. */
-    private static final int MOST_ACCUSERS = 8;
+    private static final int MAX_ACCUSERS = 8;
 
-    /** Somebody did not get an answer from it. */
+    /** Some members did not get an answer from the peer. */
     static final class Suspicion {
         private final Set<Integer> accusers = new TreeSet<>();
-        /** We are one of them. */
+        /** This member is one of them. */
         boolean own;
 
         double sinceMs;
@@ -22,12 +22,12 @@
             this.sinceMs = sinceMs;
         }
 
-        /** Whether this one is new among them. */
+        /** Adds an accuser; true if it is new. */
         boolean add(int accuser) {
-            return accusers.size() < MOST_ACCUSERS && accusers.add(accuser);
+            return accusers.size() < MAX_ACCUSERS && accusers.add(accuser);
         }
 
-        /** Those known of, by number. */
+        /** The numbers of the accusers. */
         List<Integer> accusers() {
             return List.copyOf(accusers);
         }
@@ -35,32 +35,33 @@
 
     final int number;
     PeerState state = PeerState.ABSENT;
-    /** Of the life that is known; 0 before any is. */
+    /** The incarnation of the life that is known; 0 before any is. */
     long incarnation;
 
     int zone = -1;
-    /** When we last had a message of this life from it. */
+    /** When a message of this life was last received from the peer. */
     double heardMs = Double.NEGATIVE_INFINITY;
-    /** When a suspicion last came to nothing, and when we last said that we had heard it. */
+    /** When a suspicion last came to nothing. */
     double clearedMs = Double.NEGATIVE_INFINITY;
-
-    double saidMs = Double.NEGATIVE_INFINITY;
+    /** When this member last told others that it had heard the peer. */
+    double toldHeardMs = Double.NEGATIVE_INFINITY;
+    /** Null unless the peer is suspected. */
     Suspicion suspicion;
 
     Member(int number) {
         this.number = number;
     }
 
-    boolean isIn(PeerState one) {
-        return state == one;
+    boolean isIn(PeerState other) {
+        return state == other;
     }
 
-    /** It may answer. */
+    /** Whether the peer may answer. */
     boolean mayLive() {
         return state == PeerState.ALIVE || state == PeerState.SUSPECT;
     }
 
-    /** As an update tells it; none where nothing is known. */
+    /** What is known of the peer, as it is told to others. */
     Message.Update asUpdate() {
         return new Message.Update(
                 number,
--- a/sidecar/src/main/java/martenlatch/peers/MessageCodec.java
+++ b/sidecar/src/main/java/martenlatch/gossip/MessageCodec.java
@@ -1,4 +1,4 @@
-package martenlatch.peers;
+package martenlatch.gossip;
 
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -6,18 +6,18 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.zip.CRC32C;
-import martenlatch.peers.Message.Accusation;
-import martenlatch.peers.Message.Digest;
-import martenlatch.peers.Message.Kind;
-import martenlatch.peers.Message.Update;
-import martenlatch.peers.Message.Word;
+import martenlatch.gossip.Message.Accusation;
+import martenlatch.gossip.Message.Digest;
+import martenlatch.gossip.Message.Kind;
+import martenlatch.gossip.Message.Update;
+import martenlatch.gossip.Message.Word;
 
 /**
- * Messages between peers as datagrams of at most {@link #MOST} bytes, numbers with the highest byte first:
+ * Messages between peers as datagrams of at most {@link #MAX_BYTES} bytes, numbers with the highest byte first:
  *
  * <pre>
  * 0  2  0x4D4C
- * 2  1  version, 1: readers take any and pass over what they do not know
+ * 2  1  version, 1: readers accept any and skip what they do not know
  * 3  1  kind: 1 ping, 2 ack, 3 try, 4 gossip
  * 4  1  tier
  * 5  1  zone
@@ -36,17 +36,17 @@
  */
 final class MessageCodec {
 
-    /** The platform's bound: a longer one voids its run. */
-    static final int MOST = 256;
+    /** The platform's bound on a datagram. */
+    static final int MAX_BYTES = 256;
 
     static final int HEADER = 21;
     static final int UPDATE = 7;
     static final int ACCUSATION = 8;
     static final int DIGEST = 6;
-    /** Of a section. */
+    /** The bytes of a section's head. */
     static final int SECTION = 2;
 
-    static final int MOST_ZONE = 31;
+    static final int MAX_ZONE = 31;
     private static final int MAGIC = 0x4D4C;
     private static final int VERSION = 1;
     private static final int CHECK_AT = 17;
@@ -57,7 +57,7 @@
 
     private MessageCodec() {}
 
-    /** What a message's parts take on the wire. */
+    /** The size of a message with so many entries, in bytes. */
     static int size(int updates, int accusations, int digests) {
         return HEADER
                 + (updates == 0 ? 0 : SECTION + updates * UPDATE)
@@ -70,13 +70,13 @@
                 message.updates().size(),
                 message.accusations().size(),
                 message.digests().size());
-        if (size > MOST) {
-            throw new IllegalArgumentException("a message must have at most " + MOST + " bytes but has " + size);
+        if (size > MAX_BYTES) {
+            throw new IllegalArgumentException("a message must have at most " + MAX_BYTES + " bytes but has " + size);
         }
         ByteBuffer out = ByteBuffer.allocate(size);
         out.putShort((short) MAGIC)
                 .put((byte) VERSION)
-                .put((byte) (message.kind().ordinal() + 1))
+                .put((byte) message.kind().code())
                 .put((byte) message.tier())
                 .put((byte) message.zone())
                 .putShort((short) message.from())
@@ -88,7 +88,7 @@
         section(out, UPDATES, message.updates().size(), UPDATE);
         for (Update one : message.updates()) {
             out.putShort((short) one.number())
-                    .put((byte) ((one.word().ordinal() + 1) << ZONE_BITS | Math.min(MOST_ZONE, one.zone())))
+                    .put((byte) (one.word().code() << ZONE_BITS | Math.min(MAX_ZONE, one.zone())))
                     .putInt((int) one.incarnation());
         }
         section(out, ACCUSATIONS, message.accusations().size(), ACCUSATION);
@@ -118,21 +118,21 @@
         return (int) check.getValue();
     }
 
-    /** Reads a datagram; null for what is none of ours, or was changed on its way. */
+    /** Decodes a datagram; null if it is not a message, or was damaged. */
     static Message decode(byte[] bytes) {
-        if (bytes.length < HEADER || bytes.length > MOST) {
+        if (bytes.length < HEADER || bytes.length > MAX_BYTES) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
         if ((in.getShort() & 0xffff) != MAGIC || in.get() < 1 || in.getInt(CHECK_AT) != check(bytes)) {
             return null;
         }
-        int kind = in.get();
-        if (kind < 1 || kind > Kind.values().length) {
+        Kind kind = Kind.ofCode(in.get());
+        if (kind == null) {
             return null;
         }
         int tier = in.get() & 0xff;
-        int zone = Math.min(MOST_ZONE, in.get() & 0xff);
+        int zone = Math.min(MAX_ZONE, in.get() & 0xff);
         int from = in.getShort() & 0xffff;
         long incarnation = in.getInt() & 0xffffffffL;
         int sequence = in.getShort() & 0xffff;
@@ -154,9 +154,9 @@
                     int number = in.getShort() & 0xffff;
                     int word = in.get() & 0xff;
                     long of = in.getInt() & 0xffffffffL;
-                    int which = (word >> ZONE_BITS) - 1;
-                    if (which >= 0 && which < Word.values().length) {
-                        updates.add(new Update(number, Word.values()[which], word & MOST_ZONE, of));
+                    Word known = Word.ofCode(word >> ZONE_BITS);
+                    if (known != null) {
+                        updates.add(new Update(number, known, word & MAX_ZONE, of));
                     }
                 }
                 while (type == ACCUSATIONS && in.position() + ACCUSATION <= end) {
@@ -171,17 +171,6 @@
         } catch (BufferUnderflowException e) {
             return null;
         }
-        return new Message(
-                Kind.values()[kind - 1],
-                tier,
-                zone,
-                from,
-                incarnation,
-                sequence,
-                target,
-                flags,
-                updates,
-                accusations,
-                digests);
+        return new Message(kind, tier, zone, from, incarnation, sequence, target, flags, updates, accusations, digests);
     }
 }
--- a/sidecar/src/main/java/martenlatch/peers/Probe.java
+++ b/sidecar/src/main/java/martenlatch/gossip/Probe.java
@@ -1,20 +1,21 @@
-package martenlatch.peers;
+package martenlatch.gossip;
 
-/** One try to hear a peer: some pings straight to it, others' help, and an end. */
+/** One probe of a peer: some direct pings, then others' help, then its end. */
 final class Probe {
+
     final int subject;
     final int sequence;
     final double sentMs;
-    /** Its end without an answer speaks against its subject; else it was only to find out. */
+    /** Whether its failure accuses its subject; else it is only to find out. */
     final boolean accuses;
-    /** Messages that we had heard of anybody when it began. */
+    /** The number of messages received from anybody when it began. */
     final long heardBefore;
 
     int pings = 1;
-    /** Parts of the fleet that it compares. */
-    int parts = 1;
+    /** Parts of the member table that it compares. */
+    int comparedParts = 1;
 
-    boolean helped;
+    boolean helpRequested;
 
     Probe(int subject, int sequence, double sentMs, boolean accuses, long heardBefore) {
         this.subject = subject;
--- a/sidecar/src/main/java/martenlatch/net/package-info.java
+++ b/sidecar/src/main/java/martenlatch/net/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What all sockets of the process share.
- * It uses Netty and nothing of the other rooms but the host's words for time.
+ * What all sockets of the process share: buffers, and the clock and timers of the event loop. It may use Netty and
+ * {@code request}'s scheduler.
  */
 package martenlatch.net;
--- /dev/null
+++ b/sidecar/src/main/java/martenlatch/sidecar/ConfigurationReloader.java
@@ -0,0 +1,38 @@
+package martenlatch.sidecar;
+
+import java.io.IOException;
+import java.io.PrintStream;
+import java.nio.file.Path;
+import martenlatch.site.SiteConfig;
+
+/** Reads the configuration file again in service, and applies all of it in one turn of the event loop, or nothing. */
+final class ConfigurationReloader {
+
+    private final Path file;
+    private final CurrentConfiguration configuration;
+    private final SidecarParts parts;
+    private final PrintStream log;
+
+    ConfigurationReloader(Path file, CurrentConfiguration configuration, SidecarParts parts, PrintStream log) {
+        this.file = file;
+        this.configuration = configuration;
+        this.parts = parts;
+        this.log = log;
+    }
+
+    /** To be called on the event loop. */
+    void reload() {
+        try {
+            SiteConfig current = configuration.get();
+            SiteConfig next = current.readAgain(file);
+            parts.applyGossipAddresses(next);
+            boolean settingsChanged = !next.settings().equals(current.settings());
+            log.println("martenlatch: configuration reloaded: discovery at " + next.discovery()
+                    + (settingsChanged ? ", settings changed" : ""));
+            configuration.replace(next);
+            parts.apply(next);
+        } catch (IOException | RuntimeException e) {
+            log.println("martenlatch: configuration not reloaded: " + e.getMessage());
+        }
+    }
+}
--- a/sidecar/src/main/java/martenlatch/sidecar/PeerHost.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/GossipTransport.java
@@ -16,68 +16,70 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import martenlatch.config.ConfigurationException;
+import martenlatch.gossip.GossipMembership;
+import martenlatch.gossip.GossipSettings;
+import martenlatch.gossip.PeerState;
+import martenlatch.gossip.PeerView;
 import martenlatch.net.Buffers;
-import martenlatch.peers.PeerSettings;
-import martenlatch.peers.PeerState;
-import martenlatch.peers.PeerView;
-import martenlatch.peers.Peers;
 import martenlatch.policy.api.BalancerSettings;
 import martenlatch.request.RateLimitedLogger;
 import martenlatch.request.Scheduler;
 import martenlatch.site.PeerAddresses;
 
 /** Membership among the sidecars over UDP, on the sidecar's event loop. */
-final class PeerHost implements Peers.Line {
+final class GossipTransport implements GossipMembership.Environment {
 
-    /** Above what any message of ours has: what is longer is cut, and then no message. */
-    private static final int MOST_DATAGRAM = 512;
+    /** Longer than any message: what is longer is cut, and not a message then. */
+    private static final int MAX_DATAGRAM_BYTES = 512;
 
-    private static final int MOST_ZONE = 31;
+    private static final int MAX_ZONE = 31;
 
     private final EventLoop loop;
-    private final Scheduler time;
-    private final RateLimitedLogger complaints;
-    private final Peers peers;
+    private final Scheduler scheduler;
+    private final RateLimitedLogger logger;
+    private final GossipMembership membership;
     private List<InetSocketAddress> addresses;
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> numbersByAddress = new HashMap<>();
     private DatagramChannel channel;
     private boolean closed;
 
-    PeerHost(
+    GossipTransport(
             EventLoop loop,
-            Scheduler time,
-            RateLimitedLogger complaints,
+            Scheduler scheduler,
+            RateLimitedLogger logger,
             BalancerSettings settings,
-            PeerAddresses told,
+            PeerAddresses peerAddresses,
             long seed) {
         this.loop = loop;
-        this.time = time;
-        this.complaints = complaints;
-        peers = new Peers(
-                PeerSettings.usual(
+        this.scheduler = scheduler;
+        this.logger = logger;
+        membership = new GossipMembership(
+                GossipSettings.withDefaults(
                         settings.ownIndex(),
-                        told.each().size(),
+                        peerAddresses.each().size(),
                         settings.tier(),
-                        Math.min(MOST_ZONE, settings.ownZone())),
+                        Math.min(MAX_ZONE, settings.ownZone())),
                 seed,
                 this);
-        readdress(told.each());
+        applyAddresses(peerAddresses.each());
     }
 
-    /** Others are elsewhere from now on; how many there are must stay. */
-    void readdress(List<InetSocketAddress> next) {
+    /** Takes over the addresses of the others; their number cannot change in service. */
+    void applyAddresses(List<InetSocketAddress> next) {
         if (addresses != null && next.size() != addresses.size()) {
-            throw new IllegalArgumentException(
+            throw new ConfigurationException(
+                    "peers",
                     "field peers must keep its " + addresses.size() + " addresses in service but has " + next.size());
         }
         addresses = List.copyOf(next);
-        numbers.clear();
+        numbersByAddress.clear();
         for (int i = 0; i < addresses.size(); i++) {
-            numbers.put(addresses.get(i), i);
+            numbersByAddress.put(addresses.get(i), i);
         }
     }
 
-    /** Listens; the future tells whether that can be. */
+    /** Listens; the future tells whether that was possible. */
     ChannelFuture listen(InetSocketAddress at) {
         ChannelFuture bound = new Bootstrap()
                 .group(loop)
@@ -85,20 +87,19 @@
                 .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
                 // While one process of this sidecar takes over from another, the newer one hears the others.
                 .option(ChannelOption.SO_REUSEADDR, true)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MOST_DATAGRAM))
+                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES))
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-                        peers.receive(
-                                time.now(),
-                                numbers.getOrDefault(packet.sender(), -1),
+                        membership.receive(
+                                scheduler.now(),
+                                numbersByAddress.getOrDefault(packet.sender(), -1),
                                 ByteBufUtil.getBytes(packet.content()));
                     }
 
                     @Override
                     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                        // The system tells of a datagram sent before that nobody was there to take it.
-                        return;
+                        // The system reports that nobody received a datagram that was sent before.
                     }
                 })
                 .bind(at);
@@ -106,25 +107,25 @@
         return bound;
     }
 
-    /** Makes itself known. */
+    /** Starts the membership protocol. */
     void start() {
-        after(peers.start(time.now()));
+        scheduleTick(membership.start(scheduler.now()));
     }
 
-    private void after(double due) {
-        time.after(due - time.now(), () -> {
+    private void scheduleTick(double dueMs) {
+        scheduler.after(dueMs - scheduler.now(), () -> {
             if (!closed) {
-                after(peers.tick(time.now()));
+                scheduleTick(membership.tick(scheduler.now()));
             }
         });
     }
 
-    /** Says goodbye, and goes on telling it until the process ends. */
+    /** Leaves, and goes on telling that until the process ends. */
     void leave() {
-        peers.leave(time.now());
+        membership.leave(scheduler.now());
     }
 
-    /** Says nothing more. */
+    /** Sends nothing more. */
     void close() {
         closed = true;
         channel.close();
@@ -138,25 +139,26 @@
     }
 
     @Override
-    public void changed(int peer, PeerState before, PeerState now) {
-        boolean told = now == PeerState.FAULTY
+    public void onStateChanged(int peer, PeerState before, PeerState now) {
+        boolean worthLogging = now == PeerState.FAULTY
                 || now == PeerState.LEFT
                 || before == PeerState.FAULTY
                 || before == PeerState.LEFT;
-        if (told) {
-            complaints.log("peer " + peer, before + " -> " + now);
+        if (worthLogging) {
+            logger.log("peer " + peer, before + " -> " + now);
         }
     }
 
-    /** For operators. */
+    /** The view as JSON, for the admin API. */
     String json() {
-        PeerView view = peers.view(time.now());
+        PeerView view = membership.view(scheduler.now());
         StringBuilder json = new StringBuilder("{\"told\":" + view.told() + ",\"at_least\":" + view.atLeast()
                 + ",\"at_most\":" + view.atMost() + ",\"cut_off\":" + view.cutOff() + ",\"massed\":"
-                + view.massed() + ",\"incarnation\":" + peers.incarnation() + ",\"counts\":\"" + peers.counts()
+                + view.massed() + ",\"incarnation\":" + membership.incarnation() + ",\"counts\":\""
+                + membership.metrics()
                 + "\",\"states\":[");
         for (int i = 0; i < view.told(); i++) {
-            json.append(i == 0 ? "\"" : ",\"").append(peers.state(i)).append('"');
+            json.append(i == 0 ? "\"" : ",\"").append(membership.state(i)).append('"');
         }
         return json.append("]}").toString();
     }
--- a/sidecar/src/main/java/martenlatch/sidecar/Warmup.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/Warmup.java
@@ -29,10 +29,10 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import martenlatch.front.CallReader;
-import martenlatch.front.http.Frontend;
+import martenlatch.frontend.RequestParser;
+import martenlatch.frontend.http.Frontend;
 import martenlatch.net.Buffers;
-import martenlatch.net.LoopTime;
+import martenlatch.net.EventLoopScheduler;
 import martenlatch.policy.api.Endpoint;
 import martenlatch.policy.api.EndpointStatus;
 import martenlatch.policy.api.Idempotency;
@@ -43,19 +43,19 @@
 import martenlatch.request.RequestTracker;
 import martenlatch.request.Scheduler;
 import martenlatch.site.SiteConfig;
-import martenlatch.upstream.AnswerReader;
 import martenlatch.upstream.EndpointPool;
+import martenlatch.upstream.ResponseDecoder;
 
 /**
- * Runs made-up requests through a second set of the sidecar's parts, on its own address, so that the code
- * is loaded and compiled before clients come. Nothing of it reaches an endpoint or outlives it.
+ * Sends synthetic requests through a second set of the sidecar's parts, on its own address, so that the code is loaded
+ * and compiled before clients come. Nothing of it reaches an endpoint or outlives the warm-up.
  */
 final class Warmup {
 
-    /** Enough for the compiler to have taken up what every request runs through. */
-    private static final int ROUNDS = 25;
-    /** A busy machine must not keep a sidecar from starting. */
-    private static final int MOST_MS = 3000;
+    /** Enough for the compiler to have compiled what every request runs through. */
+    private static final int REQUESTS = 25;
+    /** The longest warm-up, in milliseconds: a busy machine must not keep a sidecar from starting. */
+    private static final int MAX_MS = 3000;
 
     private final EventLoop loop;
     private final SiteConfig config;
@@ -64,8 +64,8 @@
     private Frontend frontend;
     private Channel endpoint;
     private Channel client;
-    private int rounds;
-    private boolean over;
+    private int answered;
+    private boolean ended;
 
     Warmup(EventLoop loop, SiteConfig config, Runnable done) {
         this.loop = loop;
@@ -74,7 +74,7 @@
     }
 
     void start() {
-        loop.schedule(this::end, MOST_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::end, MAX_MS, TimeUnit.MILLISECONDS);
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -85,14 +85,14 @@
                         accepted.pipeline()
                                 .addLast(
                                         new HttpServerCodec(),
-                                        new HttpObjectAggregator(AnswerReader.MOST_BODY),
+                                        new HttpObjectAggregator(ResponseDecoder.MAX_COLLECTED_BODY_BYTES),
                                         new EndpointHandler());
                     }
                 })
                 .bind(ephemeral());
         endpoint = bound.channel();
         bound.addListener(up -> {
-            if (up.isSuccess() && !over) {
+            if (up.isSuccess() && !ended) {
                 startSidecar((InetSocketAddress) endpoint.localAddress());
             } else {
                 end();
@@ -105,20 +105,20 @@
     }
 
     private void startSidecar(InetSocketAddress at) {
-        Scheduler time = new LoopTime(loop);
-        RateLimitedLogger silent = new RateLimitedLogger(time, new PrintStream(OutputStream.nullOutputStream()));
+        Scheduler scheduler = new EventLoopScheduler(loop);
+        RateLimitedLogger silent = new RateLimitedLogger(scheduler, new PrintStream(OutputStream.nullOutputStream()));
         EndpointList list = new EndpointList(
                 0,
                 true,
                 List.of(new EndpointList.Entry(
                         new Endpoint("warm-up", config.settings().ownZone(), 0, 0, 0, EndpointStatus.READY, 1), at)));
-        pool = new EndpointPool(loop, time, silent, MOST_MS, config.idleCloseMs(), config.sockets());
-        RequestTracker exchange = new RequestTracker(
-                time, silent, pool, () -> {}, config.settings(), config.seed(), list, RequestObserver.NONE);
-        frontend = new Frontend(loop, time, silent, exchange, pool, config.settings(), config.sockets());
+        pool = new EndpointPool(loop, scheduler, silent, MAX_MS, config.idleCloseMs(), config.sockets());
+        RequestTracker requestTracker = new RequestTracker(
+                scheduler, silent, pool, () -> {}, config.settings(), config.seed(), list, RequestObserver.NONE);
+        frontend = new Frontend(loop, scheduler, silent, requestTracker, pool, config.settings(), config.sockets());
         ChannelFuture bound = frontend.listen(ephemeral());
         bound.addListener(up -> {
-            if (up.isSuccess() && !over) {
+            if (up.isSuccess() && !ended) {
                 startClient((InetSocketAddress) bound.channel().localAddress());
             } else {
                 end();
@@ -138,34 +138,34 @@
                         fresh.pipeline()
                                 .addLast(
                                         new HttpClientCodec(),
-                                        new HttpObjectAggregator(AnswerReader.MOST_BODY),
-                                        new Client());
+                                        new HttpObjectAggregator(ResponseDecoder.MAX_COLLECTED_BODY_BYTES),
+                                        new ClientHandler());
                     }
                 })
                 .connect(at);
         client = connecting.channel();
         connecting.addListener(up -> {
             if (up.isSuccess()) {
-                ask();
+                sendRequest();
             } else {
                 end();
             }
         });
     }
 
-    private void ask() {
+    private void sendRequest() {
         List<RequestClass> classes = config.settings().classes();
-        RequestClass kind = classes.get(rounds % classes.size());
-        boolean safe = kind.idempotency() == Idempotency.IDEMPOTENT;
+        RequestClass requestClass = classes.get(answered % classes.size());
+        boolean idempotent = requestClass.idempotency() == Idempotency.IDEMPOTENT;
         FullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
-                safe ? HttpMethod.GET : HttpMethod.POST,
+                idempotent ? HttpMethod.GET : HttpMethod.POST,
                 "/api",
-                safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[128]));
+                idempotent ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[128]));
         request.headers()
-                .set("X-Request-Id", "warm-up-" + rounds)
-                .set("X-Class", kind.name())
-                .set(CallReader.DEADLINE, MOST_MS)
+                .set("X-Request-Id", "warm-up-" + answered)
+                .set("X-Class", requestClass.name())
+                .set(RequestParser.DEADLINE, MAX_MS)
                 .set("Host", "warm-up")
                 .set("Cookie", "key=0")
                 .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
@@ -176,10 +176,10 @@
     }
 
     private void end() {
-        if (over) {
+        if (ended) {
             return;
         }
-        over = true;
+        ended = true;
         endpoint.close();
         if (client != null) {
             client.close();
@@ -195,20 +195,20 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            FullHttpResponse answer = new DefaultFullHttpResponse(
+            FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(new byte[128]));
-            answer.headers()
-                    .set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
-            ctx.writeAndFlush(answer);
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+            ctx.writeAndFlush(response);
         }
     }
 
-    private final class Client extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class ClientHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            if (++rounds < ROUNDS) {
-                ask();
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+            if (++answered < REQUESTS) {
+                sendRequest();
             } else {
                 end();
             }
--- a/sidecar/src/main/java/martenlatch/sidecar/package-info.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One sidecar process put together: configuration, start, warm-up, reload and drain.
- * It may use every room but the command line.
+ * One sidecar process: start-up, warm-up, reload and graceful shutdown; the only place where its parts are wired. It
+ * may use every package but {@code cli}.
  */
 package martenlatch.sidecar;
--- a/sidecar/src/main/java/martenlatch/simulator/SimulatorAdapter.java
+++ b/sidecar/src/main/java/martenlatch/simulator/SimulatorAdapter.java
@@ -2,8 +2,6 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.core.JsonToken;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -19,435 +17,183 @@
 import martenlatch.policy.LoadBalancer;
 import martenlatch.policy.api.AttemptOutcome;
 import martenlatch.policy.api.AttemptResult;
-import martenlatch.policy.api.BalancerActions;
 import martenlatch.policy.api.Endpoint;
 import martenlatch.policy.api.EndpointListKind;
-import martenlatch.policy.api.EndpointStatus;
 import martenlatch.policy.api.LoadReport;
-import martenlatch.policy.api.OverloadReport;
 import martenlatch.policy.api.Request;
+import martenlatch.simulator.Batch.Event;
+import martenlatch.simulator.Batch.Part;
 
 /**
- * Speaks the simulator's wire: reads batches of events, hands each to the balancer of its instance, and
- * writes one reply a batch. Every decision is the balancers' own.
+ * Runs load balancers on the simulator's wire: reads batches of events, hands each event to the balancer of its
+ * instance, and writes one reply a batch. Every decision is the balancers' own.
  */
 public final class SimulatorAdapter {
 
     private static final EndpointListKind[] LIST_KINDS = {
         EndpointListKind.CACHED, EndpointListKind.FULL, EndpointListKind.DELTA, EndpointListKind.FAILED
     };
-    private static final EndpointStatus[] STATES = {EndpointStatus.GONE, EndpointStatus.READY, EndpointStatus.DRAINING};
-    private static final int LISTS = 16;
-
-    private final JsonParser in;
-    private final OutputStream replies;
-    /** The reply in the making: sent whole, so that nothing of a bad batch is acted on. */
-    private final ByteArrayOutputStream reply = new ByteArrayOutputStream(1 << 16);
-
-    private final JsonGenerator out;
-    private final PrintStream complaints;
-    private final Map<String, Instance> instances = new HashMap<>();
+    private static final int LIST_COUNT = 16;
+    private static final int REPLY_BYTES = 1 << 16;
+
+    private final BatchReader reader;
+    private final OutputStream output;
+    /** The reply that is being made: sent as a whole, so that nothing of a bad batch is acted on. */
+    private final ByteArrayOutputStream reply = new ByteArrayOutputStream(REPLY_BYTES);
+
+    private final JsonGenerator generator;
+    private final ActionWriter actions;
+    private final PrintStream errors;
+    private final Map<String, LoadBalancer> balancers = new HashMap<>();
+    /** The endpoint lists that events refer to by number. */
     private final List<List<Endpoint>> lists = new ArrayList<>();
+
     private final Set<String> unknownKinds = new HashSet<>();
-    private long batch = -1;
-    private String current = null;
+    /** The instance whose events are being handled, or null. */
+    private String instance;
 
-    /** An adapter that reads {@code input} and writes {@code output}; warnings go to {@code errors}. */
+    /** Creates an adapter between these streams; warnings are printed to {@code errors}. */
     public SimulatorAdapter(InputStream input, OutputStream output, PrintStream errors) throws IOException {
-        JsonFactory factory = JsonFactory.builder()
-                .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
-                .build();
-        in = factory.createParser(input);
-        replies = output;
-        out = factory.createGenerator(reply).setRootValueSeparator(null);
-        complaints = errors;
-        for (int i = 0; i < LISTS; i++) {
+        reader = new BatchReader(input);
+        this.output = output;
+        this.errors = errors;
+        generator = new JsonFactory().createGenerator(reply).setRootValueSeparator(null);
+        actions = new ActionWriter(generator);
+        for (int i = 0; i < LIST_COUNT; i++) {
             lists.add(List.of());
         }
     }
 
-    /** Answers batches until the input ends. */
+    /**
+     * Replies to batches until the input ends.
+     *
+     * @throws SimulatorWireException if a batch cannot be acted on
+     */
     public void run() throws IOException {
         try {
-            while (in.nextToken() != null) {
-                answer();
+            for (Batch batch = reader.read(); batch != null; batch = reader.read()) {
+                replyTo(batch);
             }
+        } catch (SimulatorWireException e) {
+            throw e;
         } catch (IOException | RuntimeException e) {
-            if (e instanceof WireException) {
-                throw e;
-            }
-            throw new WireException(
-                    "batch " + (batch < 0 ? "(number unread)" : String.valueOf(batch))
-                            + (current == null ? "" : ", instance " + current) + ": " + plain(e),
-                    e);
+            throw new SimulatorWireException(position() + ": " + firstLine(e), e);
         }
     }
 
-    /** A message on one line; a parser's second line only tells where in the input it stood. */
-    private static String plain(Exception e) {
-        String message = e.getMessage() == null ? e.toString() : e.getMessage();
-        return message.lines().findFirst().orElse("");
+    private String position() {
+        String batch = reader.batchNumber() < 0 ? "(number unread)" : String.valueOf(reader.batchNumber());
+        String where = instance != null ? instance : reader.instance();
+        return "batch " + batch + (where == null ? "" : ", instance " + where);
     }
 
-    /** One instance's part of a batch, as read. */
-    private record Part(String instance, List<Event> events) {}
-
-    /** One event with whichever fields it had. */
-    private static final class Event {
-        String kind = "";
-        String id = "";
-        String endpoint = "";
-        String reason = "";
-        double deadline;
-        double took;
-        int type;
-        int tenant;
-        int hop;
-        int mode;
-        int ref;
-        long number;
-        boolean resent;
-        boolean done;
-        double outstanding = -1;
-        List<Endpoint> entries = List.of();
-        Map<String, Object> params = Map.of();
-    }
-
-    /** An instance: its balancer, and where its actions go while its part is answered. */
-    private final class Instance implements BalancerActions {
-        LoadBalancer balancer;
-
-        private void begin(String kind) {
-            try {
-                out.writeStartObject();
-                out.writeStringField("kind", kind);
-            } catch (IOException e) {
-                throw new java.io.UncheckedIOException(e);
-            }
-        }
-
-        private void end() {
-            try {
-                out.writeEndObject();
-            } catch (IOException e) {
-                throw new java.io.UncheckedIOException(e);
-            }
-        }
-
-        private void field(String name, String value) {
-            try {
-                out.writeStringField(name, value);
-            } catch (IOException e) {
-                throw new java.io.UncheckedIOException(e);
-            }
-        }
-
-        private void field(String name, double value) {
-            try {
-                out.writeFieldName(name);
-                if (value == Math.rint(value) && Math.abs(value) < 1e15) {
-                    out.writeNumber((long) value);
-                } else {
-                    out.writeNumber(value);
-                }
-            } catch (IOException e) {
-                throw new java.io.UncheckedIOException(e);
-            }
-        }
-
-        @Override
-        public void forward(String request, String server, double timeoutMs) {
-            begin("HandOff");
-            field("msg-id", request);
-            field("endpoint", server);
-            field("give-up-after-ms", timeoutMs);
-            end();
-        }
-
-        @Override
-        public void reject(String request, double coolDownMs) {
-            begin("NotNow");
-            field("msg-id", request);
-            field("cool-down-ms", coolDownMs);
-            end();
-        }
-
-        @Override
-        public void fail(String request) {
-            begin("Error");
-            field("msg-id", request);
-            end();
-        }
-
-        @Override
-        public void cancelAttempt(String request, int attempt) {
-            begin("DropAttempt");
-            field("msg-id", request);
-            field("hop", attempt);
-            end();
-        }
-
-        @Override
-        public void scheduleTimer(double inMs, long name) {
-            begin("NotifyMe");
-            field("in-ms", inMs);
-            field("name", name);
-            end();
-        }
-
-        @Override
-        public void closeIdleConnections(String server) {
-            begin("Disconnect");
-            field("endpoint", server);
-            end();
-        }
-
-        @Override
-        public void pollEndpointList() {
-            begin("Observe");
-            try {
-                out.writeBooleanField("enable", true);
-            } catch (IOException e) {
-                throw new java.io.UncheckedIOException(e);
-            }
-            end();
-        }
-
-        @Override
-        public void report(OverloadReport report) {
-            begin("Remark");
-            field("line", report.toString());
-            end();
-        }
+    /** The first line of a message; a parser's second line only tells where in the input the error is. */
+    private static String firstLine(Exception e) {
+        String message = e.getMessage() == null ? e.toString() : e.getMessage();
+        return message.lines().findFirst().orElse("");
     }
 
-    /** Reads one batch whole, so that a malformed one is not acted on, then walks its events in order. */
-    private void answer() throws IOException {
-        batch = -1;
-        current = null;
-        expect(in.currentToken(), JsonToken.START_OBJECT, "a batch");
-        double now = Double.NaN;
-        List<Part> parts = null;
-        while (next() != JsonToken.END_OBJECT) {
-            String name = in.currentName();
-            next();
-            switch (name) {
-                case "wall-ms" -> now = in.getDoubleValue();
-                case "batch" -> batch = in.getLongValue();
-                case "parts" -> parts = readParts();
-                default -> in.skipChildren();
-            }
+    private void replyTo(Batch batch) throws IOException {
+        generator.writeStartObject();
+        generator.writeNumberField("batch", batch.number());
+        generator.writeArrayFieldStart("parts");
+        for (Part part : batch.parts()) {
+            replyTo(batch, part);
         }
-        current = null;
-        if (Double.isNaN(now) || parts == null || batch < 0) {
-            throw new IOException("a batch needs wall-ms, batch and parts");
-        }
-        out.writeStartObject();
-        out.writeNumberField("batch", batch);
-        out.writeArrayFieldStart("parts");
-        for (Part part : parts) {
-            current = part.instance();
-            out.writeStartObject();
-            out.writeStringField("i", current);
-            out.writeArrayFieldStart("out");
-            for (Event event : part.events()) {
-                dispatch(now, event);
-            }
-            out.writeEndArray();
-            out.writeEndObject();
-        }
-        out.writeEndArray();
-        out.writeEndObject();
-        out.writeRaw('\n');
-        out.flush();
-        reply.writeTo(replies);
-        replies.flush();
+        generator.writeEndArray();
+        generator.writeEndObject();
+        generator.writeRaw('\n');
+        generator.flush();
+        reply.writeTo(output);
+        output.flush();
         reply.reset();
     }
 
-    private List<Part> readParts() throws IOException {
-        expect(in.currentToken(), JsonToken.START_ARRAY, "parts");
-        List<Part> parts = new ArrayList<>();
-        while (next() != JsonToken.END_ARRAY) {
-            expect(in.currentToken(), JsonToken.START_OBJECT, "a part");
-            String instance = null;
-            List<Event> events = List.of();
-            current = null;
-            while (next() != JsonToken.END_OBJECT) {
-                String name = in.currentName();
-                next();
-                if (name.equals("i")) {
-                    instance = in.getText();
-                    current = instance;
-                } else if (name.equals("in")) {
-                    events = readEvents();
-                } else {
-                    in.skipChildren();
-                }
-            }
-            if (instance == null) {
-                throw new IOException("a part names no instance");
-            }
-            parts.add(new Part(instance, events));
-        }
-        return parts;
-    }
-
-    private List<Event> readEvents() throws IOException {
-        expect(in.currentToken(), JsonToken.START_ARRAY, "events");
-        List<Event> events = new ArrayList<>();
-        while (next() != JsonToken.END_ARRAY) {
-            expect(in.currentToken(), JsonToken.START_OBJECT, "an event");
-            events.add(readEvent());
-        }
-        return events;
-    }
-
-    @SuppressWarnings("unchecked")
-    private Event readEvent() throws IOException {
-        Event e = new Event();
-        while (next() != JsonToken.END_OBJECT) {
-            String name = in.currentName();
-            if (next() == JsonToken.VALUE_NULL) {
-                continue;
-            }
-            switch (name) {
-                case "kind" -> e.kind = in.getText();
-                case "msg-id" -> e.id = in.getText();
-                case "endpoint" -> e.endpoint = in.getText();
-                case "reason" -> e.reason = in.getText();
-                case "drop-dead-ms" -> e.deadline = in.getDoubleValue();
-                case "rtt-ms" -> e.took = in.getDoubleValue();
-                case "type" -> e.type = in.getIntValue();
-                case "tenant" -> e.tenant = in.getIntValue();
-                case "hop" -> e.hop = in.getIntValue();
-                case "mode" -> e.mode = in.getIntValue();
-                case "ref" -> e.ref = in.getIntValue();
-                case "name", "init-seed" -> e.number = in.getNumberValue().longValue();
-                case "resent" -> e.resent = in.getBooleanValue();
-                case "done-flag" -> e.done = in.getBooleanValue();
-                case "stats" -> readLoad(e);
-                case "entries" -> e.entries = readEntries();
-                case "params" -> {
-                    expect(in.currentToken(), JsonToken.START_OBJECT, "params");
-                    e.params = (Map<String, Object>) SettingsReader.value(in);
-                }
-                default -> in.skipChildren();
-            }
-        }
-        return e;
-    }
-
-    private void readLoad(Event e) throws IOException {
-        if (in.currentToken() != JsonToken.START_OBJECT) {
-            in.skipChildren();
-            return;
-        }
-        while (next() != JsonToken.END_OBJECT) {
-            String name = in.currentName();
-            next();
-            switch (name) {
-                case "outstanding" -> e.outstanding = in.getDoubleValue();
-                default -> in.skipChildren();
-            }
-        }
-    }
-
-    private List<Endpoint> readEntries() throws IOException {
-        expect(in.currentToken(), JsonToken.START_ARRAY, "entries");
-        List<Endpoint> entries = new ArrayList<>();
-        while (next() != JsonToken.END_ARRAY) {
-            expect(in.currentToken(), JsonToken.START_OBJECT, "an entry");
-            String id = null;
-            int zone = 0;
-            int kind = 0;
-            int cell = 0;
-            double started = 0;
-            int state = 0;
-            double weight = 1;
-            while (next() != JsonToken.END_OBJECT) {
-                String name = in.currentName();
-                if (next() == JsonToken.VALUE_NULL) {
-                    continue;
-                }
-                switch (name) {
-                    case "endpoint" -> id = in.getText();
-                    case "hall" -> zone = in.getIntValue();
-                    case "sku" -> kind = in.getIntValue();
-                    case "cell" -> cell = in.getIntValue();
-                    case "launched-ms" -> started = in.getDoubleValue();
-                    case "state" -> state = in.getIntValue();
-                    case "share" -> weight = in.getDoubleValue();
-                    default -> in.skipChildren();
-                }
-            }
-            entries.add(new Endpoint(id, zone, kind, cell, started, pick(STATES, state, "state"), weight));
+    private void replyTo(Batch batch, Part part) throws IOException {
+        instance = part.instance();
+        generator.writeStartObject();
+        generator.writeStringField("i", instance);
+        generator.writeArrayFieldStart("out");
+        for (Event event : part.events()) {
+            dispatch(batch, event);
         }
-        return entries;
+        generator.writeEndArray();
+        generator.writeEndObject();
+        instance = null;
     }
 
-    /** Hands one event to the balancer it is for. */
-    private void dispatch(double now, Event e) throws IOException {
-        switch (e.kind) {
-            case "Inventory" -> lists.set(checkRef(e.ref), e.entries);
-            case "Spawn" -> {
-                Instance fresh = new Instance();
-                fresh.balancer = new LoadBalancer(SettingsReader.settings(e.params), e.number, fresh);
-                instances.put(current, fresh);
-            }
+    /** Hands one event to the balancer that it is for. */
+    private void dispatch(Batch batch, Event event) throws IOException {
+        double nowMs = batch.nowMs();
+        switch (event.kind) {
+            case "Inventory" -> lists.set(requireListNumber(event.listNumber), event.endpoints);
+            case "Spawn" ->
+                balancers.put(instance, new LoadBalancer(SettingsReader.read(event.settings), event.number, actions));
             case "Stop" -> {
-                running();
-                instances.remove(current);
-            }
-            case "Endpoints" -> {
-                EndpointListKind kind = pick(LIST_KINDS, e.mode, "mode");
-                running()
-                        .onEndpointList(
-                                now, kind, kind == EndpointListKind.FAILED ? List.of() : lists.get(checkRef(e.ref)));
-            }
-            case "Query" -> running().onRequest(now, new Request(e.id, e.type, e.tenant, e.deadline, e.resent));
-            case "Accepted" -> running().onStreamStarted(now, e.id, e.hop);
-            case "Finished" ->
-                running()
-                        .onAttemptFinished(
-                                now,
-                                new AttemptResult(e.id, e.hop, e.endpoint, outcome(e.reason), e.took, e.done, load(e)));
-            case "CancelledByClient" -> running().onClientDisconnected(now, e.id);
-            case "Fired" -> running().onTimer(now, e.number);
-            case "PingResult", "NeighbourSays" -> running();
-            default -> {
-                if (unknownKinds.add(e.kind)) {
-                    complaints.println("martenlatch: batch " + batch + ", instance " + current + ": events of kind '"
-                            + e.kind + "' are unknown and skipped");
-                }
-            }
-        }
-    }
-
-    private static LoadReport load(Event e) {
-        return e.outstanding < 0 ? LoadReport.NONE : new LoadReport(e.outstanding);
-    }
-
-    private LoadBalancer running() throws IOException {
-        Instance instance = instances.get(current);
-        if (instance == null) {
+                balancer();
+                balancers.remove(instance);
+            }
+            case "Endpoints" -> onEndpointList(nowMs, event);
+            case "Query" ->
+                balancer()
+                        .onRequest(
+                                nowMs,
+                                new Request(
+                                        event.requestId,
+                                        event.requestClass,
+                                        event.tenant,
+                                        event.deadlineMs,
+                                        event.retried));
+            case "Accepted" -> balancer().onStreamStarted(nowMs, event.requestId, event.attempt);
+            case "Finished" -> balancer().onAttemptFinished(nowMs, attemptResult(event));
+            case "CancelledByClient" -> balancer().onClientDisconnected(nowMs, event.requestId);
+            case "Fired" -> balancer().onTimer(nowMs, event.number);
+            case "PingResult", "NeighbourSays" -> balancer();
+            default -> warnOfUnknownKind(batch, event.kind);
+        }
+    }
+
+    private void onEndpointList(double nowMs, Event event) throws IOException {
+        if (event.listKind < 0 || event.listKind >= LIST_KINDS.length) {
+            throw new IOException("unknown mode " + event.listKind);
+        }
+        EndpointListKind kind = LIST_KINDS[event.listKind];
+        LoadBalancer balancer = balancer();
+        boolean failed = kind == EndpointListKind.FAILED;
+        balancer.onEndpointList(nowMs, kind, failed ? List.of() : lists.get(requireListNumber(event.listNumber)));
+    }
+
+    private static AttemptResult attemptResult(Event event) throws IOException {
+        return new AttemptResult(
+                event.requestId,
+                event.attempt,
+                event.endpointId,
+                outcome(event.outcome),
+                event.durationMs,
+                event.answered,
+                event.outstanding < 0 ? LoadReport.NONE : new LoadReport(event.outstanding));
+    }
+
+    private void warnOfUnknownKind(Batch batch, String kind) {
+        if (unknownKinds.add(kind)) {
+            errors.println("martenlatch: batch " + batch.number() + ", instance " + instance + ": events of kind '"
+                    + kind + "' are unknown and skipped");
+        }
+    }
+
+    private LoadBalancer balancer() throws IOException {
+        LoadBalancer balancer = balancers.get(instance);
+        if (balancer == null) {
             throw new IOException("an event for an instance that was never started");
         }
-        return instance.balancer;
+        return balancer;
     }
 
-    private static int checkRef(int ref) throws IOException {
-        if (ref < 0 || ref >= LISTS) {
-            throw new IOException("list number " + ref + " is out of range");
+    private static int requireListNumber(int number) throws IOException {
+        if (number < 0 || number >= LIST_COUNT) {
+            throw new IOException("list number " + number + " is out of range");
         }
-        return ref;
-    }
-
-    private static <T> T pick(T[] from, int number, String what) throws IOException {
-        if (number < 0 || number >= from.length) {
-            throw new IOException("unknown " + what + " " + number);
-        }
-        return from[number];
+        return number;
     }
 
     private static AttemptOutcome outcome(String word) throws IOException {
@@ -463,18 +209,4 @@
             default -> throw new IOException("unknown outcome '" + word + "'");
         };
     }
-
-    private JsonToken next() throws IOException {
-        JsonToken token = in.nextToken();
-        if (token == null) {
-            throw new IOException("the input ends within a batch");
-        }
-        return token;
-    }
-
-    private static void expect(JsonToken found, JsonToken wanted, String what) throws IOException {
-        if (found != wanted) {
-            throw new IOException(what + " should begin with " + wanted + " but " + found + " was found");
-        }
-    }
 }
--- a/sidecar/src/main/java/martenlatch/simulator/package-info.java
+++ b/sidecar/src/main/java/martenlatch/simulator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The simulator's adapter: the same decisions on its wire.
- * It may use the policy and the configuration.
+ * The adapter to the simulator: the same load balancer on the simulator's wire format. It may use {@code policy} and
+ * {@code config}, and a JSON parser.
  */
 package martenlatch.simulator;
