--- a/sidecar/src/main/java/martenlatch/site/PeerAddresses.java
+++ b/sidecar/src/main/java/martenlatch/site/PeerAddresses.java
@@ -3,35 +3,39 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import martenlatch.config.Fields;
+import martenlatch.config.ConfigurationException;
+import martenlatch.config.SocketAddresses;
 import martenlatch.policy.api.BalancerSettings;
 
 /**
- * How a sidecar reaches the others.
+ * How a sidecar reaches the others for gossip.
  *
- * @param listen where it hears them
- * @param each one address for each sidecar of the tier, by number, its own among them: where it is sent to,
- *     and where its datagrams come from
+ * @param listen the address on which it receives datagrams
+ * @param each the address of each sidecar of the tier, by index, its own among them: datagrams are sent to it and
+ *     arrive from it
  */
 public record PeerAddresses(InetSocketAddress listen, List<InetSocketAddress> each) {
 
+    /** Copies the list. */
     public PeerAddresses {
         each = List.copyOf(each);
     }
 
-    /** Of a configuration's fields; what is missing or bad is an exception that names field and value. */
-    static PeerAddresses of(Object listen, Object each, BalancerSettings settings) {
-        InetSocketAddress at = Fields.address("peer_listen", listen);
+    /** Parses the fields of a configuration. */
+    static PeerAddresses parse(Object listen, Object each, BalancerSettings settings) {
+        InetSocketAddress at = SocketAddresses.parse("peer_listen", listen);
         if (!(each instanceof List<?> list)) {
-            throw Fields.bad("peers", each);
+            throw ConfigurationException.unusable("peers", each);
         }
         List<InetSocketAddress> all = new ArrayList<>();
         for (Object one : list) {
-            all.add(Fields.address("peers[]", one));
+            all.add(SocketAddresses.parse("peers[]", one));
         }
         if (settings.ownIndex() >= all.size()) {
-            throw new IllegalArgumentException("field peers must have an address for each sidecar, this "
-                    + "one's number " + settings.ownIndex() + " among them, but has " + all.size());
+            throw new ConfigurationException(
+                    "peers",
+                    "field peers must have an address for each sidecar, this " + "one's number " + settings.ownIndex()
+                            + " among them, but has " + all.size());
         }
         return new PeerAddresses(at, all);
     }
--- a/sidecar/src/main/java/martenlatch/site/SiteConfig.java
+++ b/sidecar/src/main/java/martenlatch/site/SiteConfig.java
@@ -14,23 +14,32 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import martenlatch.config.Fields;
+import martenlatch.config.ConfigurationException;
+import martenlatch.config.FieldPaths;
+import martenlatch.config.JsonValues;
 import martenlatch.config.SettingsReader;
-import martenlatch.config.Shape;
+import martenlatch.config.SocketAddresses;
 import martenlatch.discovery.EndpointListDecoder;
 import martenlatch.policy.api.BalancerSettings;
 import martenlatch.policy.api.RequestClass;
 import martenlatch.request.EndpointList;
 
 /**
- * What a sidecar is told at its start, read from the file that GW_CONFIG names.
+ * The configuration of a sidecar, read from the file that GW_CONFIG names.
  *
- * @param name the sidecar's own, the same after a restart
- * @param admin where operators call, or null
- * @param fields what the file holds, by {@link Shape}
- * @param sockets the descriptors that the process may hold
- * @param peerListen as the file has it, and so {@code peers}: most installations have no use for them
- * @param idleCloseMs after how long at most an endpoint closes an idle connection
+ * @param name the sidecar's name, the same after a restart
+ * @param listen the address for clients
+ * @param admin the address for operators, or null
+ * @param discovery the address of discovery
+ * @param seed makes random choices repeatable
+ * @param sockets the number of descriptors that the process may hold
+ * @param idleCloseMs after how long at most an endpoint closes an idle connection, in milliseconds
+ * @param names the zones and machine kinds that lists refer to
+ * @param known the endpoint list known so far
+ * @param settings the load balancer's settings
+ * @param fields the {@link FieldPaths} of the file
+ * @param peerListen the gossip address as in the file, checked only where gossip is on
+ * @param peers the addresses of the other sidecars as in the file, checked only where gossip is on
  */
 public record SiteConfig(
         String name,
@@ -47,76 +56,88 @@
         Object peerListen,
         Object peers) {
 
-    /** How to reach the other sidecars; what is missing or bad is an exception, here and not at the start. */
+    /**
+     * How to reach the other sidecars.
+     *
+     * @throws ConfigurationException if that is missing or cannot be used: here, and not when the file is read
+     */
     public PeerAddresses peerAddresses() {
-        return PeerAddresses.of(peerListen, peers, settings);
+        return PeerAddresses.parse(peerListen, peers, settings);
     }
 
-    /** Reads the file; anything missing or bad is an exception whose message names field and value. */
+    /**
+     * Reads the file.
+     *
+     * @throws ConfigurationException if a field is missing or cannot be used; the message names field and value
+     */
     public static SiteConfig read(Path file) throws IOException {
         try (JsonParser in = new JsonFactory().createParser(Files.readAllBytes(file))) {
             in.nextToken();
-            if (!(in.currentToken() != null && SettingsReader.value(in) instanceof Map<?, ?> config)) {
-                throw new IllegalArgumentException(file + " holds no JSON object");
+            if (!(in.currentToken() != null && JsonValues.read(in) instanceof Map<?, ?> config)) {
+                throw new ConfigurationException("GW_CONFIG", file + " holds no JSON object");
             }
-            return of(config);
+            return parse(config);
         } catch (NoSuchFileException e) {
-            throw new IllegalArgumentException("GW_CONFIG names a file that is not there: " + file, e);
+            throw new ConfigurationException("GW_CONFIG", "GW_CONFIG names a file that is not there: " + file);
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException(file + " is not JSON: " + e.getOriginalMessage(), e);
+            throw new ConfigurationException("GW_CONFIG", file + " is not JSON: " + e.getOriginalMessage());
         }
     }
 
     /**
-     * Reads the file again in service. It must hold every field that it held before, and the lists that
-     * others refer to by place must be the same: a file that is a part of one, or another site's, changes
-     * nothing.
+     * Reads the file again in service. It must hold every field that it held before, and the lists that others refer
+     * to by index must be the same: neither part of a file nor another site's is accepted.
+     *
+     * @throws ConfigurationException if the file cannot be used as a whole
      */
-    public SiteConfig again(Path file) throws IOException {
+    public SiteConfig readAgain(Path file) throws IOException {
         SiteConfig next = read(file);
-        Shape.check(fields, next.fields);
+        FieldPaths.requireNoneMissing(fields, next.fields);
         if (!next.names.equals(names)) {
-            throw new IllegalArgumentException("fields settings.azs and settings.models cannot change in service");
+            throw new ConfigurationException(
+                    "settings.azs", "fields settings.azs and settings.models cannot change in service");
         }
         return next;
     }
 
-    private static SiteConfig of(Map<?, ?> config) {
+    private static SiteConfig parse(Map<?, ?> config) {
         Map<String, Object> settings = object("settings", config.get("settings"));
         Map<String, Object> limits = object("settings.limits", settings.get("limits"));
         object("settings.rules", settings.get("rules"));
         positive("settings.limits.dial-timeout-ms", limits.get("dial-timeout-ms"));
         positive("settings.limits.try-limit", limits.get("try-limit"));
         EndpointListDecoder.Names names = new EndpointListDecoder.Names(
-                words("settings.azs", settings.get("azs")), words("settings.models", settings.get("models")));
-        Map<String, Object> shown = new HashMap<>();
-        config.forEach((field, value) -> shown.put(String.valueOf(field), value));
-        // What it holds differs from list to list.
-        shown.put("known", null);
+                strings("settings.azs", settings.get("azs")), strings("settings.models", settings.get("models")));
+        Map<String, Object> comparable = new HashMap<>();
+        config.forEach((field, value) -> comparable.put(String.valueOf(field), value));
+        // The fields within it differ from list to list.
+        comparable.put("known", null);
         Object admin = config.containsKey("admin") ? config.get("admin") : System.getenv("GW_ADMIN");
         return new SiteConfig(
                 String.valueOf(config.get("name")),
-                Fields.address("listen", config.get("listen")),
-                admin == null ? null : Fields.address("admin", admin),
-                Fields.address("discovery", config.get("discovery")),
+                SocketAddresses.parse("listen", config.get("listen")),
+                admin == null ? null : SocketAddresses.parse("admin", admin),
+                SocketAddresses.parse("discovery", config.get("discovery")),
                 seed(config.get("seed")),
                 (int) positive(
                         "limits.sockets", object("limits", config.get("limits")).get("sockets")),
                 positive("settings.limits.idle-close-ms", limits.get("idle-close-ms")),
                 names,
                 EndpointListDecoder.of(object("known", config.get("known")), names),
-                checked(SettingsReader.settings(settings)),
-                Shape.of(shown),
+                requireDistinctNames(SettingsReader.read(settings)),
+                FieldPaths.of(comparable),
                 config.get("peer_listen"),
                 config.get("peers"));
     }
 
     /** Requests name their class: each must have a name of its own. */
-    private static BalancerSettings checked(BalancerSettings settings) {
+    private static BalancerSettings requireDistinctNames(BalancerSettings settings) {
         Set<String> seen = new HashSet<>();
-        for (RequestClass kind : settings.classes()) {
-            if (kind.name().isEmpty() || !seen.add(kind.name())) {
-                throw Fields.bad("settings.classes[].name", kind.name().isEmpty() ? null : kind.name() + ", twice");
+        for (RequestClass requestClass : settings.classes()) {
+            String name = requestClass.name();
+            if (name.isEmpty() || !seen.add(name)) {
+                throw ConfigurationException.unusable(
+                        "settings.classes[].name", name.isEmpty() ? null : name + ", twice");
             }
         }
         return settings;
@@ -126,7 +147,7 @@
         try {
             return Long.parseUnsignedLong(value instanceof String text ? text : "", 16);
         } catch (NumberFormatException e) {
-            throw Fields.bad("seed", value);
+            throw ConfigurationException.unusable("seed", value);
         }
     }
 
@@ -134,7 +155,7 @@
         if (value instanceof Double number && number > 0 && !number.isInfinite()) {
             return number;
         }
-        throw Fields.bad(field, value);
+        throw ConfigurationException.unusable(field, value);
     }
 
     @SuppressWarnings("unchecked")
@@ -142,17 +163,17 @@
         if (value instanceof Map<?, ?> map) {
             return (Map<String, Object>) map;
         }
-        throw Fields.bad(field, value);
+        throw ConfigurationException.unusable(field, value);
     }
 
-    private static List<String> words(String field, Object value) {
+    private static List<String> strings(String field, Object value) {
         if (!(value instanceof List<?> list)) {
-            throw Fields.bad(field, value);
+            throw ConfigurationException.unusable(field, value);
         }
-        List<String> words = new ArrayList<>();
-        for (Object word : list) {
-            words.add(String.valueOf(word));
+        List<String> strings = new ArrayList<>();
+        for (Object element : list) {
+            strings.add(String.valueOf(element));
         }
-        return words;
+        return strings;
     }
 }
--- a/sidecar/src/main/java/martenlatch/site/package-info.java
+++ b/sidecar/src/main/java/martenlatch/site/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What an installation is told at its start, whichever front it runs: addresses, limits, classes, the list
- * known so far. It may use the settings' checks, the form of lists, the host's words and the policy's.
+ * The configuration of an installation, whichever frontend it runs: addresses, limits, classes, the list known so far.
+ * It may use {@code config}, {@code discovery}'s list decoder, {@code request} and {@code policy.api}.
  */
 package martenlatch.site;
--- a/sidecar/src/main/java/martenlatch/upstream/package-info.java
+++ b/sidecar/src/main/java/martenlatch/upstream/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Connections to endpoints and attempts on them; it never tries again by itself.
- * It may use the host's words and the policy's.
+ * Connections to endpoints, attempts on them, and the decoding of responses; it never retries by itself. It may use
+ * the packages {@code request}, {@code policy.api} and {@code net}, and Netty.
  */
 package martenlatch.upstream;
--- a/sidecar/src/test/java/martenlatch/admin/DisabledEndpointsTest.java
+++ b/sidecar/src/test/java/martenlatch/admin/DisabledEndpointsTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-import martenlatch.admin.DisabledEndpoints.Verdict;
+import martenlatch.admin.DisabledEndpoints.Result;
 import martenlatch.policy.api.Endpoint;
 import martenlatch.policy.api.EndpointStatus;
 import org.junit.jupiter.api.Test;
@@ -25,7 +25,7 @@
 
     private static DisabledEndpoints knowing(String... ids) {
         DisabledEndpoints made = new DisabledEndpoints();
-        made.listed(
+        made.onEndpointList(
                 true,
                 List.of(ids).stream()
                         .map(id -> server(id, EndpointStatus.READY))
@@ -36,17 +36,17 @@
     @Test
     void onlyWhatAListHasNamedCanBeTakenOut() {
         DisabledEndpoints endpoints = knowing("a", "b");
-        assertEquals(Verdict.UNKNOWN, endpoints.set("c", true));
-        assertEquals(Verdict.UNKNOWN, endpoints.set("c", false));
-        assertEquals(Verdict.DONE, endpoints.set("a", true));
-        assertEquals(Verdict.DONE, endpoints.set("a", true), "again is no error");
-        assertEquals(Verdict.DONE, endpoints.set("b", false), "nor is putting back what is in");
-        assertEquals(Set.of("a"), endpoints.out());
-        endpoints.listed(false, List.of(server("a", EndpointStatus.GONE), server("b", EndpointStatus.GONE)));
-        assertEquals(Verdict.DONE, endpoints.set("b", true), "it was listed once");
-        endpoints.listed(true, List.of());
-        assertEquals(Verdict.DONE, endpoints.set("a", false), "one call back ends it, listed or not");
-        assertEquals(Set.of("b"), endpoints.out());
+        assertEquals(Result.UNKNOWN, endpoints.set("c", true));
+        assertEquals(Result.UNKNOWN, endpoints.set("c", false));
+        assertEquals(Result.DONE, endpoints.set("a", true));
+        assertEquals(Result.DONE, endpoints.set("a", true), "again is no error");
+        assertEquals(Result.DONE, endpoints.set("b", false), "nor is putting back what is in");
+        assertEquals(Set.of("a"), endpoints.ids());
+        endpoints.onEndpointList(false, List.of(server("a", EndpointStatus.GONE), server("b", EndpointStatus.GONE)));
+        assertEquals(Result.DONE, endpoints.set("b", true), "it was listed once");
+        endpoints.onEndpointList(true, List.of());
+        assertEquals(Result.DONE, endpoints.set("a", false), "one call back ends it, listed or not");
+        assertEquals(Set.of("b"), endpoints.ids());
     }
 
     /** Guards against a look into the folder from before a call, which would undo the call for a while. */
@@ -54,44 +54,44 @@
     void anOldLookUndoesNoCall() {
         DisabledEndpoints endpoints = knowing("a");
         endpoints.set("a", true);
-        assertFalse(endpoints.shown(Set.of(), 0), "looked at before the file was made");
-        assertEquals(Set.of("a"), endpoints.out());
-        assertFalse(endpoints.shown(Set.of("a"), 1));
-        assertTrue(endpoints.shown(Set.of(), 1), "the other process has put it back since");
-        assertEquals(Set.of(), endpoints.out());
+        assertFalse(endpoints.onStored(Set.of(), 0), "looked at before the file was made");
+        assertEquals(Set.of("a"), endpoints.ids());
+        assertFalse(endpoints.onStored(Set.of("a"), 1));
+        assertTrue(endpoints.onStored(Set.of(), 1), "the other process has put it back since");
+        assertEquals(Set.of(), endpoints.ids());
     }
 
     @Test
     void aCallThatCannotBeKeptHoldsInThisProcess() {
         DisabledEndpoints endpoints = knowing("a", "b");
         endpoints.set("a", true);
-        endpoints.notKept("a", endpoints.latest());
-        endpoints.shown(Set.of("b"), 9);
-        assertEquals(Set.of("a", "b"), endpoints.out());
+        endpoints.onNotStored("a", endpoints.latestChange());
+        endpoints.onStored(Set.of("b"), 9);
+        assertEquals(Set.of("a", "b"), endpoints.ids());
         endpoints.set("a", false);
-        endpoints.shown(Set.of("b"), endpoints.latest());
-        assertEquals(Set.of("b"), endpoints.out());
+        endpoints.onStored(Set.of("b"), endpoints.latestChange());
+        assertEquals(Set.of("b"), endpoints.ids());
     }
 
     @Test
     void tablesAreBounded() {
         DisabledEndpoints endpoints = new DisabledEndpoints();
         for (int i = 0; i < 30_000; i++) {
-            endpoints.listed(true, List.of(server("s" + i, EndpointStatus.READY)));
+            endpoints.onEndpointList(true, List.of(server("s" + i, EndpointStatus.READY)));
         }
-        assertEquals(Verdict.UNKNOWN, endpoints.set("s0", true), "the oldest are forgotten");
-        assertEquals(Verdict.DONE, endpoints.set("s25000", true));
+        assertEquals(Result.UNKNOWN, endpoints.set("s0", true), "the oldest are forgotten");
+        assertEquals(Result.DONE, endpoints.set("s25000", true));
         List<Endpoint> many = new ArrayList<>();
-        for (int i = 0; i <= DisabledEndpoints.MOST_OUT; i++) {
+        for (int i = 0; i <= DisabledEndpoints.MAX_DISABLED; i++) {
             many.add(server("m" + i, EndpointStatus.READY));
         }
-        endpoints.listed(true, many);
-        Verdict last = Verdict.DONE;
-        for (int i = 0; i <= DisabledEndpoints.MOST_OUT; i++) {
+        endpoints.onEndpointList(true, many);
+        Result last = Result.DONE;
+        for (int i = 0; i <= DisabledEndpoints.MAX_DISABLED; i++) {
             last = endpoints.set("m" + i, true);
         }
-        assertEquals(Verdict.FULL, last);
-        assertEquals(DisabledEndpoints.MOST_OUT, endpoints.out().size());
+        assertEquals(Result.FULL, last);
+        assertEquals(DisabledEndpoints.MAX_DISABLED, endpoints.ids().size());
     }
 
     /**
@@ -113,11 +113,11 @@
                         String id = "" + (char) ('a' + random.nextInt(3));
                         boolean out = random.nextBoolean();
                         one.set(id, out);
-                        waiting.get(which).add(new Write(id, out, one.latest()));
-                        assertEquals(out, one.out().contains(id), "a call holds at once");
+                        waiting.get(which).add(new Write(id, out, one.latestChange()));
+                        assertEquals(out, one.ids().contains(id), "a call holds at once");
                     }
                     case 1 -> write(folder, waiting.get(which).poll(), which, written);
-                    default -> one.shown(folder, written[which]);
+                    default -> one.onStored(folder, written[which]);
                 }
             }
             for (int which = 0; which < 2; which++) {
@@ -126,8 +126,8 @@
                 }
             }
             for (int which = 0; which < 2; which++) {
-                both.get(which).shown(folder, written[which]);
-                assertEquals(folder, both.get(which).out(), "seed " + seed);
+                both.get(which).onStored(folder, written[which]);
+                assertEquals(folder, both.get(which).ids(), "seed " + seed);
             }
         }
     }
--- a/sidecar/src/test/java/martenlatch/admin/SharedFolderTest.java
+++ b/sidecar/src/test/java/martenlatch/admin/SharedFolderTest.java
@@ -27,27 +27,27 @@
             one.set(id, true);
             other.set(id, true);
         }
-        assertEquals(odd, other.out());
-        assertEquals(Set.of(), new SharedFolder(parent, "n1").out(), "another sidecar's is another");
+        assertEquals(odd, other.disabledIds());
+        assertEquals(Set.of(), new SharedFolder(parent, "n1").disabledIds(), "another sidecar's is another");
         for (String id : odd) {
             other.set(id, false);
             one.set(id, false);
         }
-        assertEquals(Set.of(), one.out());
+        assertEquals(Set.of(), one.disabledIds());
     }
 
     @Test
     void aProcessThatServesIsSeenUntilItLeaves() throws Exception {
         SharedFolder old = new SharedFolder(parent, "n0");
         SharedFolder heir = new SharedFolder(parent, "n0");
-        old.serve();
+        old.markServing();
         assertFalse(old.othersServe(), "it is no other to itself");
         assertTrue(heir.othersServe());
-        heir.serve();
+        heir.markServing();
         assertTrue(old.othersServe());
-        old.leave();
+        old.unmarkServing();
         assertFalse(heir.othersServe());
-        heir.leave();
+        heir.unmarkServing();
         try (var files = Files.list(parent.resolve("martenlatch-n0"))) {
             assertEquals(0, files.count(), "nothing is left behind");
         }
@@ -69,7 +69,7 @@
         SharedFolder folder = new SharedFolder(parent, "n0");
         Files.delete(parent.resolve("martenlatch-n0"));
         assertThrows(IOException.class, () -> folder.set("a", true));
-        assertThrows(IOException.class, folder::out);
+        assertThrows(IOException.class, folder::disabledIds);
         assertThrows(IOException.class, () -> new SharedFolder(parent, "n2").set("x".repeat(300), true));
     }
 }
--- a/sidecar/src/test/java/martenlatch/cli/MainTest.java
+++ b/sidecar/src/test/java/martenlatch/cli/MainTest.java
@@ -60,7 +60,7 @@
     void aStopBySignalIsACleanExit() throws Exception {
         Process process = serve(CONFIG);
         try (BufferedReader log = process.inputReader()) {
-            awaitLine(log, "serves at");
+            awaitLine(log, "serving on");
             // This is SIGTERM; unlike Process.destroy it leaves the log readable.
             process.toHandle().destroy();
             assertEquals(0, process.waitFor());
@@ -80,17 +80,17 @@
         Process old = serve(config);
         try (BufferedReader log = old.inputReader()) {
             // Alone it listens at once; beside another one only when it is warm.
-            String told = awaitLine(log, "listens at");
-            awaitLine(log, "warm after");
-            awaitLine(log, "serves at");
+            String told = awaitLine(log, "listening on");
+            awaitLine(log, "warm-up finished after");
+            awaitLine(log, "serving on");
             // The system gave the port: one that the test had found free could be taken before the start.
             Process heir = serve(config.replace("\"listen\":\"127.0.0.1:0", "\"listen\":\"127.0.0.1:" + port(told)));
             try (BufferedReader heirLog = heir.inputReader()) {
-                awaitLine(heirLog, "warm after");
-                awaitLine(heirLog, "listens at");
-                awaitLine(heirLog, "serves at");
+                awaitLine(heirLog, "warm-up finished after");
+                awaitLine(heirLog, "listening on");
+                awaitLine(heirLog, "serving on");
                 old.toHandle().destroy();
-                awaitLine(log, "another process serves at this address");
+                awaitLine(log, "another process serves this address");
                 assertEquals(0, old.waitFor());
                 heir.toHandle().destroy();
                 // The one that has left is no heir to it.
@@ -110,7 +110,7 @@
     void aSighupReadsTheConfigurationAgain() throws Exception {
         Process process = serve(CONFIG);
         try (BufferedReader log = process.inputReader()) {
-            awaitLine(log, "serves at");
+            awaitLine(log, "serving on");
             for (String port : List.of("2", "3")) {
                 Files.writeString(
                         folder.resolve("config.json"), CONFIG.replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\""));
@@ -119,7 +119,7 @@
                         new ProcessBuilder("kill", "-HUP", "" + process.pid())
                                 .start()
                                 .waitFor());
-                awaitLine(log, "discovery is at /127.0.0.1:" + port);
+                awaitLine(log, "discovery at /127.0.0.1:" + port);
             }
             process.toHandle().destroy();
             assertEquals(0, process.waitFor());
@@ -141,10 +141,10 @@
     void aReloadBeforeTheStartIsOverIsMadeAfterIt() throws Exception {
         Process process = serve(CONFIG);
         try (BufferedReader log = process.inputReader()) {
-            awaitLine(log, "listens at");
+            awaitLine(log, "listening on");
             signal(process, "HUP");
-            awaitLine(log, "serves at");
-            awaitLine(log, "configuration read again");
+            awaitLine(log, "serving on");
+            awaitLine(log, "configuration reloaded");
             process.toHandle().destroy();
             assertEquals(0, process.waitFor());
         } finally {
@@ -157,7 +157,7 @@
     void aStopBeforeTheStartIsOverIsACleanExit() throws Exception {
         Process process = serve(CONFIG);
         try (BufferedReader log = process.inputReader()) {
-            awaitLine(log, "listens at");
+            awaitLine(log, "listening on");
             signal(process, "TERM");
             signal(process, "HUP");
             signal(process, "TERM");
@@ -188,7 +188,7 @@
                 signal(process, "TERM");
                 List<String> lines = log.lines().toList();
                 assertEquals(0, process.waitFor());
-                int listens = place(lines, "listens at");
+                int listens = place(lines, "listening on");
                 int draining = place(lines, "draining");
                 assertTrue(0 <= listens && listens < draining, "" + lines);
                 assertTrue(draining < place(lines, "martenlatch: drained"), "" + lines);
@@ -247,9 +247,11 @@
     void helpIsNoError() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream errors = new ByteArrayOutputStream();
-        assertEquals(0, Main.run(new String[] {"--help"}, InputStream.nullInputStream(), out, new PrintStream(errors)));
-        assertTrue(out.toString().startsWith("usage:"), out.toString());
-        assertEquals(2, Main.run(new String[] {"--halp"}, InputStream.nullInputStream(), out, new PrintStream(errors)));
+        PrintStream printed = new PrintStream(errors, true, StandardCharsets.UTF_8);
+        assertEquals(0, Main.run(new String[] {"--help"}, InputStream.nullInputStream(), out, printed));
+        String help = out.toString(StandardCharsets.UTF_8);
+        assertTrue(help.startsWith("usage:"), help);
+        assertEquals(2, Main.run(new String[] {"--halp"}, InputStream.nullInputStream(), out, printed));
     }
 
     @Test
@@ -280,8 +282,8 @@
             Process process = serveWithFewDescriptors(file);
             List<Socket> clients = new ArrayList<>();
             try (BufferedReader log = process.inputReader()) {
-                int port = port(awaitLine(log, "listens at"));
-                awaitLine(log, "serves at");
+                int port = port(awaitLine(log, "listening on"));
+                awaitLine(log, "serving on");
                 Socket asks = new Socket("127.0.0.1", port);
                 clients.add(asks);
                 assertTrue(ask(asks, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -312,8 +314,8 @@
                 folder.resolve("config.json"), CONFIG.replace("\"rules\":{}", "\"rules\":{\"ask-within-ms\":50}")));
         List<Socket> clients = new ArrayList<>();
         try (BufferedReader log = process.inputReader()) {
-            int port = port(awaitLine(log, "listens at"));
-            awaitLine(log, "serves at");
+            int port = port(awaitLine(log, "listening on"));
+            awaitLine(log, "serving on");
             awaitLine(log, "discovery failed: ");
             for (int i = 0; i < FEW; i++) {
                 clients.add(new Socket("127.0.0.1", port));
--- a/sidecar/src/test/java/martenlatch/front/http/ClientListenerTest.java
+++ b/sidecar/src/test/java/martenlatch/frontend/http/ClientListenerTest.java
@@ -1,4 +1,4 @@
-package martenlatch.front.http;
+package martenlatch.frontend.http;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -64,8 +64,8 @@
         CompletableFuture<Boolean> after = new CompletableFuture<>();
         loop.submit(() -> {
                     before.add(connects(address));
-                    listener.closeEmpty();
-                    listener.closeEmpty();
+                    listener.acceptQueuedAndClose();
+                    listener.acceptQueuedAndClose();
                     before.add(connects(address));
                     listener.closeFuture().addListener(closed -> after.complete(connects(address)));
                 })
--- a/sidecar/src/test/java/martenlatch/peers/PeersTest.java
+++ b/sidecar/src/test/java/martenlatch/gossip/GossipMembershipTest.java
@@ -1,4 +1,4 @@
-package martenlatch.peers;
+package martenlatch.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -12,15 +12,15 @@
 import java.util.List;
 import java.util.Random;
 import java.util.zip.CRC32C;
-import martenlatch.peers.Message.Accusation;
-import martenlatch.peers.Message.Digest;
-import martenlatch.peers.Message.Kind;
-import martenlatch.peers.Message.Update;
-import martenlatch.peers.Message.Word;
+import martenlatch.gossip.Message.Accusation;
+import martenlatch.gossip.Message.Digest;
+import martenlatch.gossip.Message.Kind;
+import martenlatch.gossip.Message.Update;
+import martenlatch.gossip.Message.Word;
 import org.junit.jupiter.api.Test;
 
 /** One member among peers that the test plays: liars, broken ones, and others than there should be. */
-class PeersTest {
+class GossipMembershipTest {
 
     private static final int TOLD = 40;
     private static final double START = 1.8e12;
@@ -30,29 +30,30 @@
 
     private final List<Sent> sent = new ArrayList<>();
     private long bytes;
-    private final Peers peers = new Peers(PeerSettings.usual(0, TOLD, 2, 1), 5, new Peers.Line() {
-        @Override
-        public void send(int to, byte[] datagram) {
-            assertTrue(datagram.length <= MessageCodec.MOST);
-            bytes += datagram.length;
-            sent.add(new Sent(to, MessageCodec.decode(datagram)));
-        }
+    private final GossipMembership membership =
+            new GossipMembership(GossipSettings.withDefaults(0, TOLD, 2, 1), 5, new GossipMembership.Environment() {
+                @Override
+                public void send(int to, byte[] datagram) {
+                    assertTrue(datagram.length <= MessageCodec.MAX_BYTES);
+                    bytes += datagram.length;
+                    sent.add(new Sent(to, MessageCodec.decode(datagram)));
+                }
 
-        @Override
-        public void changed(int peer, PeerState before, PeerState now) {
-            return;
-        }
-    });
+                @Override
+                public void onStateChanged(int peer, PeerState before, PeerState now) {
+                    // The tests look at the states themselves.
+                }
+            });
     private double now = START;
 
-    PeersTest() {
-        peers.start(now);
+    GossipMembershipTest() {
+        membership.start(now);
     }
 
     private void pass(double ms) {
         for (double until = now + ms; now < until; ) {
-            now += Peers.TICK_MS;
-            peers.tick(now);
+            now += GossipMembership.TICK_MS;
+            membership.tick(now);
         }
     }
 
@@ -62,7 +63,7 @@
     }
 
     private void hear(int from, Message message) {
-        peers.receive(now, from, MessageCodec.encode(message));
+        membership.receive(now, from, MessageCodec.encode(message));
     }
 
     /** All others are there, and answer what they are asked. */
@@ -71,7 +72,7 @@
             hear(i, message(2, i, LIFE, Kind.GOSSIP, List.of(), List.of()));
         }
         for (double until = now + ms; now < until; ) {
-            pass(Peers.TICK_MS);
+            pass(GossipMembership.TICK_MS);
             List<Sent> asked = List.copyOf(sent);
             sent.clear();
             for (Sent one : asked) {
@@ -98,7 +99,7 @@
     private int believed(PeerState state) {
         int count = 0;
         for (int i = 1; i < TOLD; i++) {
-            count += peers.state(i) == state ? 1 : 0;
+            count += membership.state(i) == state ? 1 : 0;
         }
         return count;
     }
@@ -145,8 +146,8 @@
         CRC32C check = new CRC32C();
         check.update(later);
         ByteBuffer.wrap(later).putInt(17, (int) check.getValue());
-        peers.receive(now, 1, later);
-        assertEquals(PeerState.ALIVE, peers.state(9));
+        membership.receive(now, 1, later);
+        assertEquals(PeerState.ALIVE, membership.state(9));
         later[bytes.length + 1] = 4;
         assertNull(MessageCodec.decode(later));
     }
@@ -160,16 +161,16 @@
         hear(1, message(1, 1, LIFE, Kind.PING, List.of(), List.of()));
         hear(1, message(2, 1, 0xffffffffL, Kind.PING, List.of(), List.of()));
         hear(TOLD, message(2, TOLD, LIFE, Kind.PING, List.of(), List.of()));
-        peers.receive(now, 1, new byte[0]);
-        Counts counts = peers.counts();
+        membership.receive(now, 1, new byte[0]);
+        GossipMetrics metrics = membership.metrics();
         assertArrayEquals(
                 new long[] {3, 1, 1, 2, 0},
-                new long[] {counts.foreign, counts.otherTier, counts.insane, counts.malformed, counts.heard});
+                new long[] {metrics.foreign, metrics.otherTier, metrics.insane, metrics.malformed, metrics.heard});
         assertEquals(TOLD - 1, believed(PeerState.ABSENT));
         hear(1, good);
         sent.clear();
         hear(1, message(2, 1, LIFE - 5, Kind.PING, List.of(), List.of()));
-        assertEquals(1, counts.earlierLife);
+        assertEquals(1, metrics.earlierLife);
         // It is told what it has to exceed.
         assertEquals(
                 List.of(new Update(1, Word.ALIVE, 1, LIFE)),
@@ -187,7 +188,7 @@
         for (int i = 0; i < 3000; i++) {
             byte[] noise = new byte[random.nextInt(300)];
             random.nextBytes(noise);
-            peers.receive(now, 1 + random.nextInt(TOLD), noise);
+            membership.receive(now, 1 + random.nextInt(TOLD), noise);
             List<Accusation> against = new ArrayList<>();
             List<Update> lies = new ArrayList<>();
             for (int j = 0; j < 10; j++) {
@@ -196,15 +197,15 @@
             }
             hear(1, message(2, 1, LIFE, Kind.PING, lies, against));
             if (i % 10 == 0) {
-                live(Peers.TICK_MS);
+                live(GossipMembership.TICK_MS);
             }
         }
         assertTrue(
                 (bytes - before) / (now - from) * 1000 <= 3000 + 3000 / ((now - from) / 1000),
                 "sent " + (bytes - before) + " in " + (now - from));
         assertTrue(
-                peers.tableSizes().stream().allMatch(size -> size <= 128 + TOLD),
-                peers.tableSizes().toString());
+                membership.tableSizes().stream().allMatch(size -> size <= 128 + TOLD),
+                membership.tableSizes().toString());
         assertTrue(believed(PeerState.FAULTY) <= TOLD / 4, "called faulty: " + believed(PeerState.FAULTY));
     }
 
@@ -221,22 +222,22 @@
                         Kind.GOSSIP,
                         List.of(new Update(0, Word.FAULTY, 1, 0xffffffffL), new Update(5, Word.FAULTY, 1, 0xffffffffL)),
                         List.of()));
-        assertEquals(2, peers.counts().insane);
-        assertEquals(PeerState.ALIVE, peers.state(5));
-        long life = peers.incarnation();
+        assertEquals(2, membership.metrics().insane);
+        assertEquals(PeerState.ALIVE, membership.state(5));
+        long life = membership.incarnation();
         hear(2, message(2, 2, LIFE, Kind.GOSSIP, List.of(new Update(0, Word.FAULTY, 1, life + 1000)), List.of()));
-        assertEquals(life + 1001, peers.incarnation());
+        assertEquals(life + 1001, membership.incarnation());
     }
 
     @Test
     void settingsThatCannotBeAreNamed() {
         assertEquals(
                 "peers.self must be 0 to 9 but is 10.0",
-                assertThrows(IllegalArgumentException.class, () -> PeerSettings.usual(10, 10, 0, 0))
+                assertThrows(IllegalArgumentException.class, () -> GossipSettings.withDefaults(10, 10, 0, 0))
                         .getMessage());
         assertEquals(
                 "peers.period-ms must be 100 to 60000 but is 5.0",
-                assertThrows(IllegalArgumentException.class, () -> new PeerSettings(0, 2, 0, 0, 5, 3000))
+                assertThrows(IllegalArgumentException.class, () -> new GossipSettings(0, 2, 0, 0, 5, 3000))
                         .getMessage());
     }
 }
--- a/sidecar/src/test/java/martenlatch/sidecar/ClientLimitsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientLimitsTest.java
@@ -28,23 +28,23 @@
     private static final String HIDDEN =
             "GET /api HTTP/1.1\r\nX-Request-Id: hidden\r\nX-Class: read\r\n" + "X-Deadline-Ms: 8000\r\nHost: a\r\n\r\n";
 
-    private Rig rig;
+    private SidecarFixture fixture;
 
-    private Rig start(Fake... endpoints) throws IOException {
-        rig = new Rig(endpoints);
-        return rig.start();
+    private SidecarFixture start(FakeEndpoint... endpoints) throws IOException {
+        fixture = new SidecarFixture(endpoints);
+        return fixture.start();
     }
 
     @AfterEach
     void stop() throws IOException {
-        rig.close();
+        fixture.close();
     }
 
-    private static Fake good() throws IOException {
-        return Fake.answering(200, "", "served");
+    private static FakeEndpoint good() throws IOException {
+        return FakeEndpoint.answering(200, "", "served");
     }
 
-    private static void assertEnded(Wire client) throws IOException {
+    private static void assertEnded(RawHttpClient client) throws IOException {
         try {
             client.read();
         } catch (EOFException | SocketException e) {
@@ -60,7 +60,7 @@
     void aConnectionThatSaysNothingIsClosed() throws Exception {
         start(good());
         long began = System.nanoTime();
-        try (Wire client = rig.client()) {
+        try (RawHttpClient client = fixture.client()) {
             client.awaitEnd();
         }
         assertTrue((System.nanoTime() - began) / 1e6 < OWED_MS);
@@ -77,7 +77,7 @@
     void aRequestThatStallsIsAnErrorInTime(String part) throws Exception {
         start(good());
         long began = System.nanoTime();
-        try (Wire client = rig.client()) {
+        try (RawHttpClient client = fixture.client()) {
             assertEquals(408, client.send(part).read().status());
             assertEnded(client);
         }
@@ -89,9 +89,10 @@
     void aRequestThatTricklesIsAnErrorInTime() throws Exception {
         start(good());
         long began = System.nanoTime();
-        try (Wire client = rig.client()) {
+        try (RawHttpClient client = fixture.client()) {
             assertEquals(
-                    200, client.send(rig.request("read", DEADLINE_MS)).read().status());
+                    200,
+                    client.send(fixture.request("read", DEADLINE_MS)).read().status());
             client.send("POST /api HTTP/1.1\r\n");
             Thread trickle = new Thread(() -> {
                 try {
@@ -133,24 +134,24 @@
         start(good());
         String head =
                 "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: open\r\nX-Class: read\r\n" + "X-Deadline-Ms: 8000\r\n";
-        try (Wire client = rig.client()) {
+        try (RawHttpClient client = fixture.client()) {
             assertEquals(400, client.send(head + framing + HIDDEN).read().status());
             assertEnded(client);
         }
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
-        assertEquals(1, rig.attempts(), "nothing of it was sent on");
+        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(1, fixture.attempts(), "nothing of it was sent on");
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"X-Request-Id: twice", "X-Class: order", "X-Deadline-Ms: 9"})
     void whatIsToldTwiceIsNoRequest(String again) throws Exception {
         start(good());
-        try (Wire client = rig.client()) {
-            String request = rig.request("read", DEADLINE_MS).replace("Host:", again + "\r\nHost:");
+        try (RawHttpClient client = fixture.client()) {
+            String request = fixture.request("read", DEADLINE_MS).replace("Host:", again + "\r\nHost:");
             assertEquals(400, client.send(request + HIDDEN).read().status());
             assertEnded(client);
         }
-        assertEquals(0, rig.attempts());
+        assertEquals(0, fixture.attempts());
     }
 
     // ---- size ----
@@ -159,19 +160,19 @@
     @Test
     void aBodyThatIsTooLargeIsRefusedByItsHead() throws Exception {
         start(good());
-        try (Wire client = rig.client()) {
+        try (RawHttpClient client = fixture.client()) {
             client.send("POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 62914560\r\n\r\n");
             client.send("x".repeat(100_000));
             assertEquals(413, client.read().status());
             assertEnded(client);
         }
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
     }
 
     @Test
     void aHeadWithoutEndIsCutShort() throws Exception {
         start(good());
-        try (Wire client = rig.client()) {
+        try (RawHttpClient client = fixture.client()) {
             client.send("GET /api HTTP/1.1\r\n" + "X-Pad: pppppppppppppppppp\r\n".repeat(2000));
             assertEquals(431, client.read().status());
             assertEnded(client);
@@ -184,23 +185,23 @@
     @Test
     void requestsFarAheadOfTheirAnswersEndTheConnection() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        start(new Fake((wire, request) -> {
+        start(new FakeEndpoint((wire, request) -> {
             release.await();
-            Fake.answer(wire, 200, "", request.headers().get("x-request-id"));
+            FakeEndpoint.answer(wire, 200, "", request.headers().get("x-request-id"));
         }));
-        try (Wire client = rig.client()) {
+        try (RawHttpClient client = fixture.client()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 300; i++) {
-                all.append(rig.request("read", DEADLINE_MS));
+                all.append(fixture.request("read", DEADLINE_MS));
             }
             client.send(all.toString());
-            Rig.await("the first is out", () -> rig.attempts() > 0);
+            SidecarFixture.await("the first is out", () -> fixture.attempts() > 0);
             // Once another client has its answer, all that came in the first read has been dealt with.
-            assertEquals(503, rig.ask("order", DEADLINE_MS).status(), "the module has enough");
+            assertEquals(503, fixture.ask("order", DEADLINE_MS).status(), "the module has enough");
             release.countDown();
             int sent = 0;
             for (int i = 0; i < 8; i++) {
-                Wire.Message answer = client.read();
+                RawHttpClient.Message answer = client.read();
                 sent += i == sent && answer.status() == 200 ? 1 : 0;
                 assertEquals(i < sent ? 200 : 503, answer.status());
                 assertEquals(i < sent ? "r" + i : "refused\n", answer.body());
@@ -208,29 +209,29 @@
             assertTrue(sent > 0 && sent < 8, sent + " were taken");
             assertEquals(429, client.read().status());
             assertEnded(client);
-            assertEquals(sent, rig.attempts());
+            assertEquals(sent, fixture.attempts());
         }
     }
 
     /** Guards against silent connections that take the room of those that ask. */
     @Test
     void connectionsThatNeverAskedMakeRoomFirst() throws Exception {
-        rig = new Rig(good());
-        rig.sockets = 1;
-        rig.start();
-        List<Wire> silent = new ArrayList<>();
-        try (Wire usual = rig.client()) {
+        fixture = new SidecarFixture(good());
+        fixture.sockets = 1;
+        fixture.start();
+        List<RawHttpClient> silent = new ArrayList<>();
+        try (RawHttpClient usual = fixture.client()) {
             assertEquals(
-                    200, usual.send(rig.request("read", DEADLINE_MS)).read().status());
+                    200, usual.send(fixture.request("read", DEADLINE_MS)).read().status());
             for (int i = 0; i < 40; i++) {
-                silent.add(rig.client());
+                silent.add(fixture.client());
             }
             silent.get(0).awaitEnd();
             assertEquals(
-                    200, usual.send(rig.request("read", DEADLINE_MS)).read().status());
-            assertEquals(200, rig.ask("order", DEADLINE_MS).status());
+                    200, usual.send(fixture.request("read", DEADLINE_MS)).read().status());
+            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
         }
-        for (Wire client : silent) {
+        for (RawHttpClient client : silent) {
             client.close();
         }
     }
@@ -239,11 +240,11 @@
     @Test
     void aDrainLetsGoOfHalfARequest() throws Exception {
         start(good());
-        try (Wire half = rig.client().send("POST /api HTTP/1.1\r\n");
-                Wire behind = rig.client()) {
-            behind.send(rig.request("read", DEADLINE_MS) + "POST /api HTTP/1.1\r\n");
+        try (RawHttpClient half = fixture.client().send("POST /api HTTP/1.1\r\n");
+                RawHttpClient behind = fixture.client()) {
+            behind.send(fixture.request("read", DEADLINE_MS) + "POST /api HTTP/1.1\r\n");
             assertNotEquals(0, behind.read().status());
-            Thread drain = new Thread(rig.sidecar::drain);
+            Thread drain = new Thread(fixture.sidecar::drain);
             drain.start();
             half.awaitEnd();
             behind.awaitEnd();
@@ -255,9 +256,9 @@
     @Test
     void aDeadlineFarAwayIsBoundedByTheClass() throws Exception {
         start(good());
-        assertEquals(200, rig.ask("order", 999_999_999).status());
-        int told =
-                Integer.parseInt(rig.endpoints.get(0).requests.get(0).headers().get("x-deadline-ms"));
+        assertEquals(200, fixture.ask("order", 999_999_999).status());
+        int told = Integer.parseInt(
+                fixture.endpoints.get(0).requests.get(0).headers().get("x-deadline-ms"));
         assertTrue(told <= 9000, "what the endpoint is told: " + told);
     }
 
@@ -268,22 +269,25 @@
     @Test
     void aConnectionInUseOutlivesTheClocksOfItsEarlierRequests() throws Exception {
         AtomicInteger holdMs = new AtomicInteger();
-        rig = new Rig(new Fake((wire, request) -> {
+        fixture = new SidecarFixture(new FakeEndpoint((wire, request) -> {
                     Thread.sleep(holdMs.get());
-                    Fake.answer(wire, 200, "", "mine");
+                    FakeEndpoint.answer(wire, 200, "", "mine");
                 }))
                 .start();
-        try (Wire client = rig.client()) {
+        try (RawHttpClient client = fixture.client()) {
             assertEquals(
-                    200, client.send(rig.request("read", DEADLINE_MS)).read().status());
+                    200,
+                    client.send(fixture.request("read", DEADLINE_MS)).read().status());
             Thread.sleep(1500);
             holdMs.set(2000);
             assertEquals(
-                    200, client.send(rig.request("read", DEADLINE_MS)).read().status());
+                    200,
+                    client.send(fixture.request("read", DEADLINE_MS)).read().status());
             Thread.sleep(1800);
             holdMs.set(0);
             assertEquals(
-                    200, client.send(rig.request("read", DEADLINE_MS)).read().status());
+                    200,
+                    client.send(fixture.request("read", DEADLINE_MS)).read().status());
         }
     }
 }
--- a/sidecar/src/test/java/martenlatch/sidecar/ClosingTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClosingTest.java
@@ -29,25 +29,25 @@
     /** Longer than an end may be late. */
     private static final int HELD_UP_MS = 1500;
 
-    private Rig rig;
+    private SidecarFixture fixture;
 
     @AfterEach
     void stop() throws IOException {
-        rig.close();
+        fixture.close();
     }
 
-    private Rig before(Fake endpoint) throws IOException {
-        rig = new Rig(endpoint);
-        return rig;
+    private SidecarFixture before(FakeEndpoint endpoint) throws IOException {
+        fixture = new SidecarFixture(endpoint);
+        return fixture;
     }
 
-    private static Fake good() throws IOException {
-        return Fake.answering(200, "", "served");
+    private static FakeEndpoint good() throws IOException {
+        return FakeEndpoint.answering(200, "", "served");
     }
 
     /** Does something when the loop has read what there was, and is about to do what is due by then. */
-    private void justBefore(double dueMs, Rig.Deed deed) throws Exception {
-        EventLoop loop = rig.sidecar.loop();
+    private void justBefore(double dueMs, SidecarFixture.Deed deed) throws Exception {
+        EventLoop loop = fixture.sidecar.loop();
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch again = new CountDownLatch(1);
         CountDownLatch done = new CountDownLatch(1);
@@ -56,7 +56,7 @@
             loop.schedule(
                     () -> {
                         again.countDown();
-                        Rig.await(done);
+                        SidecarFixture.await(done);
                     },
                     1,
                     TimeUnit.MILLISECONDS);
@@ -65,8 +65,8 @@
                 Thread.onSpinWait();
             }
         });
-        Rig.await(held);
-        Rig.await(again);
+        SidecarFixture.await(held);
+        SidecarFixture.await(again);
         try {
             deed.run();
         } finally {
@@ -75,10 +75,10 @@
     }
 
     private Thread drain() throws Exception {
-        Thread drain = new Thread(rig.sidecar::drain);
+        Thread drain = new Thread(fixture.sidecar::drain);
         drain.start();
-        Rig.await("it drains", () -> {
-            try (Wire wire = rig.client()) {
+        SidecarFixture.await("it drains", () -> {
+            try (RawHttpClient wire = fixture.client()) {
                 return wire.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
                                 .read()
                                 .status()
@@ -95,24 +95,25 @@
     void whoWaitsToBeAcceptedAsTheListenerClosesIsServed() throws Exception {
         before(good()).start();
         Thread drain = drain();
-        Wire[] last = new Wire[1];
-        justBefore(LINGER_MS + 50, () -> last[0] = rig.client().send(rig.request("order", DEADLINE_MS)));
+        RawHttpClient[] last = new RawHttpClient[1];
+        justBefore(LINGER_MS + 50, () -> last[0] = fixture.client().send(fixture.request("order", DEADLINE_MS)));
         assertEquals(200, last[0].read().status());
         last[0].close();
         drain.join();
-        assertTrue(rig.logged().contains("martenlatch: drained"), rig.logged());
+        assertTrue(fixture.logged().contains("martenlatch: drained"), fixture.logged());
     }
 
     /** Guards against a last call that resets a client whose request is there and has not been read. */
     @Test
     void aRequestThatIsThereAtTheLastCallIsAnswered() throws Exception {
         before(good()).start();
-        try (Wire client = rig.client()) {
+        try (RawHttpClient client = fixture.client()) {
             assertEquals(
-                    200, client.send(rig.request("order", DEADLINE_MS)).read().status());
+                    200,
+                    client.send(fixture.request("order", DEADLINE_MS)).read().status());
             Thread drain = drain();
-            justBefore(LAST_CALL_MS + 50, () -> client.send(rig.request("order", DEADLINE_MS)));
-            Wire.Message answer = client.read();
+            justBefore(LAST_CALL_MS + 50, () -> client.send(fixture.request("order", DEADLINE_MS)));
+            RawHttpClient.Message answer = client.read();
             assertEquals(200, answer.status());
             assertEquals("close", answer.headers().get("connection"));
             client.close();
@@ -124,13 +125,15 @@
     @Test
     void aRequestThatIsThereWhenItsConnectionHasStoodIdleIsAnswered() throws Exception {
         before(good()).start();
-        try (Wire client = rig.client()) {
+        try (RawHttpClient client = fixture.client()) {
             for (int i = 0; i < 2; i++) {
                 assertEquals(
                         200,
-                        client.send(rig.request("order", DEADLINE_MS)).read().status());
+                        client.send(fixture.request("order", DEADLINE_MS))
+                                .read()
+                                .status());
             }
-            justBefore(IDLE_MS + 50, () -> client.send(rig.request("order", DEADLINE_MS)));
+            justBefore(IDLE_MS + 50, () -> client.send(fixture.request("order", DEADLINE_MS)));
             assertEquals(200, client.read().status());
         }
     }
@@ -139,14 +142,14 @@
     @Test
     void halfARequestThatIsThereWhenItsConnectionHasStoodIdleIsWaitedFor() throws Exception {
         before(good()).start();
-        try (Wire client = rig.client();
-                Wire silent = rig.client()) {
-            String request = rig.request("order", DEADLINE_MS);
+        try (RawHttpClient client = fixture.client();
+                RawHttpClient silent = fixture.client()) {
+            String request = fixture.request("order", DEADLINE_MS);
             justBefore(IDLE_MS + 50, () -> {
                 client.send(request.substring(0, 30));
                 silent.send("POST /api");
             });
-            rig.sidecar.loop().submit(() -> {}).get();
+            fixture.sidecar.loop().submit(() -> {}).get();
             assertEquals(200, client.send(request.substring(30)).read().status());
             assertEquals(408, silent.read().status(), "who goes on saying nothing is told");
         }
@@ -155,14 +158,15 @@
     /** Guards against an end that is put off by as long as the loop was held up when it was told. */
     @Test
     void aLoopThatIsHeldUpAsItIsToldToEndEndsInTime() throws Exception {
-        before(new Fake((wire, request) -> wire.awaitEnd())).start();
-        try (Wire client = rig.client()) {
-            client.send(rig.request("order", DEADLINE_MS));
-            Rig.await("it is in hand", () -> rig.attempts() == 1);
-            Thread drain = new Thread(rig.sidecar::drain);
-            rig.whileHeld(
+        before(new FakeEndpoint((wire, request) -> wire.awaitEnd())).start();
+        try (RawHttpClient client = fixture.client()) {
+            client.send(fixture.request("order", DEADLINE_MS));
+            SidecarFixture.await("it is in hand", () -> fixture.attempts() == 1);
+            Thread drain = new Thread(fixture.sidecar::drain);
+            fixture.whileHeld(
                     drain::start,
-                    () -> Rig.await("it has been told", () -> rig.logged().contains("draining")),
+                    () -> SidecarFixture.await(
+                            "it has been told", () -> fixture.logged().contains("draining")),
                     () -> {
                         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HELD_UP_MS);
                         while (System.nanoTime() < until) {
@@ -172,7 +176,7 @@
             assertEquals(502, client.read().status(), "answered before it ends");
             client.close();
             drain.join();
-            assertTrue(rig.logged().contains("martenlatch: drained"), rig.logged());
+            assertTrue(fixture.logged().contains("martenlatch: drained"), fixture.logged());
         }
     }
 
@@ -182,17 +186,17 @@
      */
     @Test
     void theEndGoesByTheDeadlinesThatHoldNow() throws Exception {
-        before(new Fake((wire, request) -> wire.awaitEnd())).start();
-        try (Wire client = rig.client()) {
-            client.send(rig.request("order", DEADLINE_MS));
-            Rig.await("it is in hand", () -> rig.attempts() == 1);
+        before(new FakeEndpoint((wire, request) -> wire.awaitEnd())).start();
+        try (RawHttpClient client = fixture.client()) {
+            client.send(fixture.request("order", DEADLINE_MS));
+            SidecarFixture.await("it is in hand", () -> fixture.attempts() == 1);
             Files.writeString(
-                    rig.configFile,
-                    rig.config()
+                    fixture.configFile,
+                    fixture.config()
                             .replace("\"hard-limit-ms\":9000", "\"hard-limit-ms\":500")
                             .replace("\"slo-ms\":9000", "\"slo-ms\":400"));
-            rig.sidecar.reload();
-            Rig.await("the settings hold", () -> rig.logged().contains("with new settings"));
+            fixture.sidecar.reload();
+            SidecarFixture.await("the settings hold", () -> fixture.logged().contains("settings changed"));
             long began = System.nanoTime();
             Thread drain = drain();
             assertEquals(502, client.read().status());
--- /dev/null
+++ b/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
@@ -0,0 +1,289 @@
+package martenlatch.sidecar;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.LinkedBlockingQueue;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Watches that break, responses that cross the end of a connection, and lists that arrive while attempts wait. */
+@Timeout(60)
+class DiscoveryRaceTest {
+
+    private static final int DEADLINE_MS = 8000;
+
+    private SidecarFixture fixture;
+
+    @AfterEach
+    void stop() throws IOException {
+        fixture.close();
+    }
+
+    /** Guards against a silent watch that is waited for until what it misses counts as told. */
+    @ParameterizedTest
+    @ValueSource(strings = {"on_request", "pushed"})
+    void aWatchThatFellSilentIsOpenedAnewInTime(String membership) throws Exception {
+        try (FakeEndpoint other = FakeEndpoint.serving()) {
+            fixture = new SidecarFixture(FakeEndpoint.serving());
+            fixture.membership = membership;
+            fixture.askWithinMs = 4000;
+            // Where lists are pushed the first call is for the whole list.
+            int silent = membership.equals("pushed") ? 2 : 1;
+            fixture.discovery.script = (wire, request) -> {
+                String good = fixture.endpoints.get(0).address();
+                if (fixture.discovery.requests.size() < silent) {
+                    FakeEndpoint.answer(
+                            wire, 200, "", SidecarFixture.list(1, true, SidecarFixture.line(0, good, "in_service", 0)));
+                } else if (fixture.discovery.requests.size() == silent + 1) {
+                    FakeEndpoint.answer(
+                            wire,
+                            200,
+                            "",
+                            SidecarFixture.list(
+                                    2,
+                                    false,
+                                    SidecarFixture.line(0, good, "terminating", 0),
+                                    SidecarFixture.line(1, other.address(), "in_service", 0)));
+                } else {
+                    wire.awaitEnd();
+                }
+            };
+            fixture.start();
+            SidecarFixture.await("it asks anew", () -> fixture.discovery.requests.size() >= silent + 2);
+            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(1, other.requests.size(), "what it missed is known now");
+            assertTrue(fixture.discovery.connections.get() >= 2, "the silent connection is not used again");
+            assertTrue(fixture.logged().contains("discovery watch timed out"), fixture.logged());
+            assertFalse(fixture.logged().contains("discovery failed"), fixture.logged());
+        }
+    }
+
+    /**
+     * Guards against a watch that is over because discovery closes each connection behind its answer, without
+     * a word, and the next call crosses that.
+     */
+    @ParameterizedTest
+    @ValueSource(strings = {"fin", "reset"})
+    void aCallThatCrossesTheEndOfItsConnectionIsMadeAgain(String how) throws Exception {
+        fixture = new SidecarFixture(FakeEndpoint.serving());
+        fixture.discovery.script = (wire, request) -> {
+            int version = fixture.discovery.requests.size();
+            if (version > 5) {
+                wire.awaitEnd();
+            }
+            FakeEndpoint.answer(
+                    wire,
+                    200,
+                    "",
+                    SidecarFixture.list(
+                            version + 1,
+                            true,
+                            SidecarFixture.line(0, fixture.endpoints.get(0).address(), "in_service", 0)));
+            if (how.equals("reset")) {
+                // Only when the answer has been taken: a reset may overtake it.
+                SidecarFixture.await("the next call is here", () -> available(wire) > 0);
+                wire.reset();
+            } else {
+                wire.close();
+            }
+        };
+        fixture.askWithinMs = 2000;
+        fixture.start();
+        SidecarFixture.await("it goes on asking", () -> fixture.discovery.requests.size() > 5);
+        assertFalse(fixture.logged().contains("discovery failed"), fixture.logged());
+    }
+
+    /** Guards against half an answer that is waited for as long as a whole one. */
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 200 OK\r\nContent-Le",
+                "HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n{\"version\":2,",
+                "trickle"
+            })
+    void anAnswerThatBreaksOffIsNotWaitedFor(String half) throws Exception {
+        try (FakeEndpoint other = FakeEndpoint.serving();
+                FakeEndpoint moved = new FakeEndpoint((wire, request) -> wire.awaitEnd())) {
+            fixture = new SidecarFixture(FakeEndpoint.serving()).start();
+            moved.script = (wire, request) -> {
+                switch (moved.requests.size()) {
+                    case 1 ->
+                        FakeEndpoint.answer(
+                                wire,
+                                200,
+                                "",
+                                SidecarFixture.list(
+                                        1,
+                                        true,
+                                        SidecarFixture.line(
+                                                0, fixture.endpoints.get(0).address(), "in_service", 0)));
+                    case 2 -> breakOff(wire, half);
+                    case 3 ->
+                        FakeEndpoint.answer(
+                                wire,
+                                200,
+                                "",
+                                SidecarFixture.list(2, true, SidecarFixture.line(1, other.address(), "in_service", 0)));
+                    default -> wire.awaitEnd();
+                }
+            };
+            Files.writeString(
+                    fixture.configFile, fixture.config().replace(fixture.discovery.address(), moved.address()));
+            long began = System.nanoTime();
+            fixture.sidecar.reload();
+            SidecarFixture.await("it asks anew, and goes on", () -> moved.requests.size() == 4);
+            assertTrue(moved.requests.get(1).line().contains("wait=20000"), "the usual wait is much longer");
+            assertTrue(SidecarFixture.elapsedMs(began) < 10_000, "and is not waited for");
+            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(1, other.requests.size());
+            assertTrue(fixture.logged().contains("in the middle of a response"), fixture.logged());
+        }
+    }
+
+    /** Guards against a list that is thought older than it is: what discovery says last holds. */
+    @Test
+    void aListIsTakenWhateverItsVersionAndForm() throws Exception {
+        LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
+        try (FakeEndpoint other = FakeEndpoint.answering(200, "", "other")) {
+            fixture = new SidecarFixture(FakeEndpoint.serving());
+            fixture.askWithinMs = 20;
+            fixture.discovery.script = (wire, request) -> FakeEndpoint.answer(wire, 200, "", answers.take());
+            fixture.start();
+            String first = fixture.endpoints.get(0).address();
+            String indented = SidecarFixture.list(
+                            7,
+                            false,
+                            SidecarFixture.line(0, first, "terminating", 0),
+                            SidecarFixture.line(1, other.address(), "in_service", 0))
+                    .replaceAll("([,{\\[])", "$1\n    ");
+            answers.add(indented);
+            answers.add(SidecarFixture.list(7, false));
+            SidecarFixture.await("both are taken", () -> fixture.discovery.requests.size() == 3);
+            assertEquals("other", fixture.ask("order", DEADLINE_MS).body());
+            answers.add(SidecarFixture.list(3, true, SidecarFixture.line(0, first, "in_service", 0)));
+            SidecarFixture.await("so is this", () -> fixture.discovery.requests.size() == 4);
+            assertEquals("served", fixture.ask("order", DEADLINE_MS).body());
+            assertEquals(
+                    List.of("index=1&", "index=7&", "index=7&", "index=3&"),
+                    fixture.discovery.requests.stream()
+                            .map(request -> request.line().replaceAll(".*(index=\\d+&).*", "$1"))
+                            .toList());
+        }
+    }
+
+    /**
+     * Guards against a request that goes to an endpoint long after the list has said that it drains, because
+     * its connection came up late; and against one that is given up although others could serve it.
+     */
+    @ParameterizedTest
+    @ValueSource(strings = {"terminating", "terminated", "left out", "restarted"})
+    void anAttemptThatWaitsForItsConnectionLeavesAnEndpointThatDrains(String how) throws Exception {
+        LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
+        try (LateEndpoint late = new LateEndpoint();
+                FakeEndpoint other = FakeEndpoint.serving();
+                FakeEndpoint again = FakeEndpoint.serving()) {
+            fixture = SidecarFixture.withEndpointAt(late.address());
+            fixture.dialMs = 30_000;
+            fixture.askWithinMs = 20;
+            fixture.discovery.script = (wire, request) -> FakeEndpoint.answer(wire, 200, "", answers.take());
+            fixture.start();
+            RawHttpClient unsafe = fixture.client().send(fixture.request("order", DEADLINE_MS));
+            fixture.awaitPending(1);
+            SidecarFixture.await("a watch is on", () -> fixture.discovery.requests.size() == 1);
+            String next = SidecarFixture.line(1, other.address(), "in_service", 0);
+            answers.add(
+                    switch (how) {
+                        case "left out" -> SidecarFixture.list(2, true, next);
+                        case "restarted" ->
+                            SidecarFixture.list(
+                                    2,
+                                    false,
+                                    next,
+                                    SidecarFixture.line(0, again.address(), "in_service", System.currentTimeMillis()));
+                        default -> SidecarFixture.list(2, false, next, SidecarFixture.line(0, late.address(), how, 0));
+                    });
+            assertEquals("served", unsafe.read().body(), "it never ran, so another one may have it");
+            unsafe.close();
+            late.open();
+            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(List.of(), late.requests);
+        }
+    }
+
+    /** Guards against a start from a list that is older than what this machine's agent has been told. */
+    @Test
+    void whereListsArePushedTheAgentIsHeardBeforeTheFirstClient() throws Exception {
+        List<String> seen = Collections.synchronizedList(new ArrayList<>());
+        try (FakeEndpoint other = FakeEndpoint.serving()) {
+            fixture = new SidecarFixture(FakeEndpoint.serving());
+            fixture.membership = "pushed";
+            CountDownLatch looked = new CountDownLatch(1);
+            fixture.discovery.script = (wire, request) -> {
+                // A sidecar that does not wait for the agent listens within milliseconds.
+                for (int i = 0;
+                        i < 100 && looked.getCount() > 0 && !fixture.logged().contains("listening");
+                        i++) {
+                    Thread.sleep(10);
+                }
+                if (looked.getCount() > 0) {
+                    seen.add(fixture.logged().contains("listening") ? "listening" : "waits");
+                    looked.countDown();
+                }
+                FakeEndpoint.answer(
+                        wire,
+                        200,
+                        "",
+                        SidecarFixture.list(
+                                2,
+                                true,
+                                SidecarFixture.line(0, fixture.endpoints.get(0).address(), "terminating", 0),
+                                SidecarFixture.line(1, other.address(), "in_service", 0)));
+            };
+            fixture.start();
+            assertEquals("waits", seen.get(0));
+            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(1, other.requests.size());
+        }
+    }
+
+    /** An agent that is silent, as while discovery is down, does not keep a sidecar from serving. */
+    @Test
+    void aSilentAgentIsWaitedForOnlyForAWhile() throws Exception {
+        fixture = new SidecarFixture(FakeEndpoint.serving());
+        fixture.membership = "pushed";
+        fixture.start();
+        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertTrue(fixture.discovery.requests.size() > 1, "it is asked again and again");
+    }
+
+    private static int available(RawHttpClient wire) {
+        try {
+            return wire.socket.getInputStream().available();
+        } catch (IOException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    private static void breakOff(RawHttpClient wire, String half) throws Exception {
+        if (!half.equals("trickle")) {
+            wire.send(half).awaitEnd();
+        }
+        wire.send("HTTP/1.1 200 OK\r\nContent-Length: 3000\r\n\r\n{");
+        while (true) {
+            wire.send(" ");
+            Thread.sleep(50);
+        }
+    }
+}
--- a/sidecar/src/test/java/martenlatch/sidecar/Fake.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/FakeEndpoint.java
@@ -10,40 +10,45 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** A server on loopback that does with each request what the test says. */
-final class Fake implements Closeable {
+final class FakeEndpoint implements Closeable {
 
     /** What to do with a request. */
     interface Script {
-        void on(Wire wire, Wire.Message request) throws Exception;
+        void on(RawHttpClient wire, RawHttpClient.Message request) throws Exception;
     }
 
     final ServerSocket listener;
-    final List<Wire.Message> requests = new CopyOnWriteArrayList<>();
+    final List<RawHttpClient.Message> requests = new CopyOnWriteArrayList<>();
     final AtomicInteger connections = new AtomicInteger();
     final AtomicInteger open = new AtomicInteger();
     volatile Script script;
     private Thread acceptor;
 
-    Fake(Script script) throws IOException {
+    FakeEndpoint(Script script) throws IOException {
         this();
         this.script = script;
         acceptor = start(this::accept);
     }
 
-    private Fake() throws IOException {
+    private FakeEndpoint() throws IOException {
         listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
     }
 
     /** A place that listens, for whoever takes the connections there himself. */
-    static Fake place() throws IOException {
-        return new Fake();
+    static FakeEndpoint place() throws IOException {
+        return new FakeEndpoint();
     }
 
-    static Fake answering(int status, String headers, String body) throws IOException {
-        return new Fake((wire, request) -> answer(wire, status, headers, body));
+    /** An endpoint that serves every request. */
+    static FakeEndpoint serving() throws IOException {
+        return answering(200, "", "served");
     }
 
-    static void answer(Wire wire, int status, String headers, String body) throws IOException {
+    static FakeEndpoint answering(int status, String headers, String body) throws IOException {
+        return new FakeEndpoint((wire, request) -> answer(wire, status, headers, body));
+    }
+
+    static void answer(RawHttpClient wire, int status, String headers, String body) throws IOException {
         wire.send("HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
@@ -66,9 +71,9 @@
     }
 
     private void serve(Socket socket) {
-        try (Wire wire = new Wire(socket)) {
+        try (RawHttpClient wire = new RawHttpClient(socket)) {
             while (true) {
-                Wire.Message request = wire.read();
+                RawHttpClient.Message request = wire.read();
                 requests.add(request);
                 script.on(wire, request);
             }
@@ -93,7 +98,7 @@
         listener.close();
         try {
             if (acceptor != null) {
-                acceptor.join(Rig.PATIENCE_MS);
+                acceptor.join(SidecarFixture.PATIENCE_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/sidecar/src/test/java/martenlatch/sidecar/LateEndpoint.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LateEndpoint.java
@@ -19,7 +19,7 @@
 
     private static final int KNOCK_MS = 300;
 
-    final List<Wire.Message> requests = new CopyOnWriteArrayList<>();
+    final List<RawHttpClient.Message> requests = new CopyOnWriteArrayList<>();
     private final ServerSocket listener;
     private final List<Socket> inQueue = new ArrayList<>();
 
@@ -30,8 +30,9 @@
     /** One at a place that has taken connections before. */
     LateEndpoint(ServerSocket place) throws IOException {
         listener = place;
-        while (knock()) {
-            continue;
+        boolean connected = true;
+        while (connected) {
+            connected = knock();
         }
     }
 
@@ -70,11 +71,11 @@
     }
 
     private void serve(Socket socket) throws IOException {
-        try (Wire wire = new Wire(socket)) {
+        try (RawHttpClient wire = new RawHttpClient(socket)) {
             while (true) {
-                Wire.Message request = wire.read();
+                RawHttpClient.Message request = wire.read();
                 requests.add(request);
-                Fake.answer(wire, 200, "", "late");
+                FakeEndpoint.answer(wire, 200, "", "late");
             }
         }
     }
--- a/sidecar/src/test/java/martenlatch/sidecar/LostCallsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LostCallsTest.java
@@ -26,53 +26,53 @@
     private static final int HELD = 6;
 
     private final AtomicInteger givenUp = new AtomicInteger();
-    private final Fake endpoint = new Fake((wire, request) -> {
+    private final FakeEndpoint endpoint = new FakeEndpoint((wire, request) -> {
         if (request.line().startsWith("POST")) {
             wire.awaitEnd();
             givenUp.incrementAndGet();
         } else {
             Thread.sleep(WORK_MS);
-            Fake.answer(wire, 200, "", "served");
+            FakeEndpoint.answer(wire, 200, "", "served");
         }
     });
-    private final Rig rig = new Rig(endpoint);
-    private final List<Wire> clients = new ArrayList<>();
+    private final SidecarFixture fixture = new SidecarFixture(endpoint);
+    private final List<RawHttpClient> clients = new ArrayList<>();
 
     LostCallsTest() throws IOException {
-        rig.aimMs = AIM_MS;
+        fixture.aimMs = AIM_MS;
     }
 
     @AfterEach
     void stop() throws IOException {
-        for (Wire client : clients) {
+        for (RawHttpClient client : clients) {
             client.close();
         }
-        rig.close();
+        fixture.close();
     }
 
     /** Sends calls that get no answer; each is on its way at the endpoint when this returns. */
-    private List<Wire> lose(int calls, int deadlineMs) throws Exception {
+    private List<RawHttpClient> lose(int calls, int deadlineMs) throws Exception {
         int before = endpoint.requests.size();
-        List<Wire> lost = new ArrayList<>();
+        List<RawHttpClient> lost = new ArrayList<>();
         for (int i = 0; i < calls; i++) {
-            Wire client = rig.client();
+            RawHttpClient client = fixture.client();
             clients.add(client);
-            lost.add(client.send(rig.request("order", deadlineMs)));
+            lost.add(client.send(fixture.request("order", deadlineMs)));
         }
-        Rig.await("all calls are at the endpoint", () -> endpoint.requests.size() == before + calls);
+        SidecarFixture.await("all calls are at the endpoint", () -> endpoint.requests.size() == before + calls);
         return lost;
     }
 
     /** Guards against calls turned away at an endpoint that has room: what it loses does not crowd it. */
     @Test
     void lostCallsDoNotLowerTheLimitWhileOthersAreAnswered() throws Exception {
-        rig.start();
+        fixture.start();
         for (int round = 0; round < ROUNDS; round++) {
-            List<Wire> lost = lose(LOST_AT_ONCE, LOST_MS);
+            List<RawHttpClient> lost = lose(LOST_AT_ONCE, LOST_MS);
             while (givenUp.get() < (round + 1) * LOST_AT_ONCE) {
-                assertEquals(200, rig.ask("read", AIM_MS).status());
+                assertEquals(200, fixture.ask("read", AIM_MS).status());
             }
-            for (Wire client : lost) {
+            for (RawHttpClient client : lost) {
                 int status = client.read().status();
                 assertNotEquals(503, status);
                 assertNotEquals(200, status);
--- a/sidecar/src/test/java/martenlatch/sidecar/Wire.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/RawHttpClient.java
@@ -6,6 +6,7 @@
 import java.io.EOFException;
 import java.io.IOException;
 import java.io.InputStream;
+import java.io.OutputStream;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -14,42 +15,42 @@
 import java.util.Map;
 
 /** One end of an HTTP connection, spoken byte by byte, so that tests can also speak it badly. */
-final class Wire implements Closeable {
+final class RawHttpClient implements Closeable {
 
     private static final int PATIENCE_MS = 20_000;
 
     /** A message: its first line, its headers in lower case and its body. */
     record Message(String line, Map<String, String> headers, String body) {
         int status() {
-            return Integer.parseInt(line.split(" ")[1]);
+            return Integer.parseInt(line.split(" ", 3)[1]);
         }
     }
 
     final Socket socket;
     private final InputStream in;
 
-    Wire(Socket socket) throws IOException {
+    RawHttpClient(Socket socket) throws IOException {
         this.socket = socket;
         socket.setSoTimeout(PATIENCE_MS);
         socket.setTcpNoDelay(true);
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    static Wire to(InetSocketAddress address) throws IOException {
-        return new Wire(new Socket(address.getAddress(), address.getPort()));
+    static RawHttpClient to(InetSocketAddress address) throws IOException {
+        return new RawHttpClient(new Socket(address.getAddress(), address.getPort()));
     }
 
-    Wire send(String text) throws IOException {
+    RawHttpClient send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         return this;
     }
 
     /** Connects with a small buffer for what is received, as on a poor link. */
-    static Wire to(InetSocketAddress address, int receiveBuffer) throws IOException {
+    static RawHttpClient to(InetSocketAddress address, int receiveBuffer) throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(receiveBuffer);
         socket.connect(address);
-        return new Wire(socket);
+        return new RawHttpClient(socket);
     }
 
     /** Is told how much of a body has come. */
@@ -83,9 +84,7 @@
                 copy(body, size, progress);
                 line();
             }
-            while (!line().isEmpty()) {
-                continue;
-            }
+            skipTrailers();
         } else if (head.headers().containsKey("content-length")) {
             copy(body, Integer.parseInt(head.headers().get("content-length")), progress);
         } else {
@@ -94,8 +93,15 @@
         return body.toByteArray();
     }
 
+    private void skipTrailers() throws IOException {
+        String trailer = line();
+        while (!trailer.isEmpty()) {
+            trailer = line();
+        }
+    }
+
     private int chunk() throws IOException {
-        return Integer.parseInt(line().split(";")[0].trim(), 16);
+        return Integer.parseInt(line().split(";", 2)[0].trim(), 16);
     }
 
     private void copy(ByteArrayOutputStream body, int size, Progress progress) throws Exception {
@@ -141,9 +147,7 @@
     /** Waits until the other side has closed or reset the connection. */
     void awaitEnd() throws IOException {
         try {
-            while (in.read() >= 0) {
-                continue;
-            }
+            in.transferTo(OutputStream.nullOutputStream());
         } catch (java.net.SocketTimeoutException e) {
             throw e;
         } catch (IOException e) {
--- a/sidecar/src/test/java/martenlatch/sidecar/ReloadTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ReloadTest.java
@@ -22,9 +22,9 @@
 
     private static final int DEADLINE_MS = 8000;
 
-    private final Fake before = Fake.answering(200, "", "before");
-    private final Fake after = Fake.answering(200, "", "after");
-    private Rig rig = new Rig(before);
+    private final FakeEndpoint before = FakeEndpoint.answering(200, "", "before");
+    private final FakeEndpoint after = FakeEndpoint.answering(200, "", "after");
+    private SidecarFixture fixture = new SidecarFixture(before);
 
     ReloadTest() throws IOException {
         // Both fakes stand before each test.
@@ -32,68 +32,73 @@
 
     @AfterEach
     void stop() throws IOException {
-        rig.close();
+        fixture.close();
         after.close();
     }
 
-    private Fake discoveryWith(int version, Fake endpoint) throws IOException {
-        return new Fake((wire, request) -> {
+    private FakeEndpoint discoveryWith(int version, FakeEndpoint endpoint) throws IOException {
+        return new FakeEndpoint((wire, request) -> {
             if (request.line().contains("index=")) {
                 wire.awaitEnd();
             } else {
-                Fake.answer(wire, 200, "", Rig.list(version, true, Rig.line(9, endpoint.address(), "in_service", 0)));
+                FakeEndpoint.answer(
+                        wire,
+                        200,
+                        "",
+                        SidecarFixture.list(
+                                version, true, SidecarFixture.line(9, endpoint.address(), "in_service", 0)));
             }
         });
     }
 
     private void reloadFor(String discovery) throws IOException {
-        Files.writeString(rig.configFile, rig.config().replace(rig.discovery.address(), discovery));
-        rig.sidecar.reload();
+        Files.writeString(fixture.configFile, fixture.config().replace(fixture.discovery.address(), discovery));
+        fixture.sidecar.reload();
     }
 
     /** Guards against trust in the old place's version: the new one may count from anywhere. */
     @Test
     void theWholeListIsAskedForAtTheNewAddressAtOnce() throws Exception {
-        rig.askWithinMs = 20;
-        rig.start();
-        Rig.await("a watch is on", () -> rig.discovery.requests.size() == 1);
-        try (Fake next = discoveryWith(1, after);
-                Fake last = discoveryWith(1, before)) {
+        fixture.askWithinMs = 20;
+        fixture.start();
+        SidecarFixture.await("a watch is on", () -> fixture.discovery.requests.size() == 1);
+        try (FakeEndpoint next = discoveryWith(1, after);
+                FakeEndpoint last = discoveryWith(1, before)) {
             reloadFor(next.address());
-            Rig.await("the watch goes on there", () -> next.requests.size() == 2);
+            SidecarFixture.await("the watch goes on there", () -> next.requests.size() == 2);
             assertEquals(
                     "GET /registry/instances HTTP/1.1", next.requests.get(0).line());
             assertEquals(
                     "GET /registry/instances?index=1&wait=4000 HTTP/1.1",
                     next.requests.get(1).line());
-            Rig.await("the old watch is dropped", () -> rig.discovery.open.get() == 0);
-            assertEquals("after", rig.ask("order", DEADLINE_MS).body());
+            SidecarFixture.await("the old watch is dropped", () -> fixture.discovery.open.get() == 0);
+            assertEquals("after", fixture.ask("order", DEADLINE_MS).body());
             reloadFor(last.address());
-            Rig.await("and again", () -> last.requests.size() == 2);
-            assertEquals("before", rig.ask("order", DEADLINE_MS).body());
+            SidecarFixture.await("and again", () -> last.requests.size() == 2);
+            assertEquals("before", fixture.ask("order", DEADLINE_MS).body());
         }
-        assertFalse(rig.logged().contains("discovery failed"), rig.logged());
+        assertFalse(fixture.logged().contains("discovery failed"), fixture.logged());
     }
 
     /** Guards against a fleet that is moved, asks the new place all at once, and is turned away by it. */
     @Test
     void aFleetThatIsMovedSpreadsItsFirstCalls() throws Exception {
-        rig.askWithinMs = 2000;
-        rig.start();
+        fixture.askWithinMs = 2000;
+        fixture.start();
         List<Double> waits = new ArrayList<>();
-        try (Fake one = discoveryWith(1, after);
-                Fake other = discoveryWith(1, before)) {
+        try (FakeEndpoint one = discoveryWith(1, after);
+                FakeEndpoint other = discoveryWith(1, before)) {
             for (int i = 0; i < 6; i++) {
-                Fake next = i % 2 == 0 ? one : other;
+                FakeEndpoint next = i % 2 == 0 ? one : other;
                 int asked = next.requests.size();
                 long began = System.nanoTime();
                 Files.writeString(
-                        rig.configFile,
-                        rig.config()
-                                .replace(rig.discovery.address(), next.address())
+                        fixture.configFile,
+                        fixture.config()
+                                .replace(fixture.discovery.address(), next.address())
                                 .replace("\"replicas-of-me\":1", "\"replicas-of-me\":40"));
-                rig.sidecar.reload();
-                Rig.await("it asks there", () -> next.requests.size() > asked);
+                fixture.sidecar.reload();
+                SidecarFixture.await("it asks there", () -> next.requests.size() > asked);
                 waits.add((System.nanoTime() - began) / 1e6);
             }
         }
@@ -105,15 +110,15 @@
         CountDownLatch release = new CountDownLatch(1);
         before.script = (wire, request) -> {
             release.await();
-            Fake.answer(wire, 200, "", "before");
+            FakeEndpoint.answer(wire, 200, "", "before");
         };
-        rig.start();
-        try (Fake next = discoveryWith(5, after);
-                Wire client = rig.client()) {
-            client.send(rig.request("order", DEADLINE_MS));
-            Rig.await("it is in hand", () -> before.requests.size() == 1);
+        fixture.start();
+        try (FakeEndpoint next = discoveryWith(5, after);
+                RawHttpClient client = fixture.client()) {
+            client.send(fixture.request("order", DEADLINE_MS));
+            SidecarFixture.await("it is in hand", () -> before.requests.size() == 1);
             reloadFor(next.address());
-            Rig.await("the new list is there", () -> next.requests.size() == 2);
+            SidecarFixture.await("the new list is there", () -> next.requests.size() == 2);
             release.countDown();
             assertEquals("before", client.read().body());
         }
@@ -131,22 +136,22 @@
                 release.await();
                 wire.reset();
             }
-            Fake.answer(wire, 200, "", "before");
+            FakeEndpoint.answer(wire, 200, "", "before");
         };
-        rig.start();
-        assertEquals(400, rig.ask("print", DEADLINE_MS).status());
-        try (Wire inHand = rig.client()) {
-            inHand.send(rig.request("order", DEADLINE_MS));
-            Rig.await("it is in hand", () -> before.requests.size() == 1);
-            Wire second = rig.client().send(rig.request("read", DEADLINE_MS));
-            Rig.await("another is in hand", () -> before.requests.size() == 2);
+        fixture.start();
+        assertEquals(400, fixture.ask("print", DEADLINE_MS).status());
+        try (RawHttpClient inHand = fixture.client()) {
+            inHand.send(fixture.request("order", DEADLINE_MS));
+            SidecarFixture.await("it is in hand", () -> before.requests.size() == 1);
+            RawHttpClient second = fixture.client().send(fixture.request("read", DEADLINE_MS));
+            SidecarFixture.await("another is in hand", () -> before.requests.size() == 2);
             Files.writeString(
-                    rig.configFile,
-                    rig.config().replace("\"order\"", "\"print\"").replace("\"try-limit\":3", "\"try-limit\":1"));
-            rig.sidecar.reload();
-            Rig.await("it is told", () -> rig.logged().contains("with new settings"));
-            assertEquals(200, rig.ask("print", DEADLINE_MS).status());
-            assertEquals(400, rig.ask("order", DEADLINE_MS).status());
+                    fixture.configFile,
+                    fixture.config().replace("\"order\"", "\"print\"").replace("\"try-limit\":3", "\"try-limit\":1"));
+            fixture.sidecar.reload();
+            SidecarFixture.await("it is told", () -> fixture.logged().contains("settings changed"));
+            assertEquals(200, fixture.ask("print", DEADLINE_MS).status());
+            assertEquals(400, fixture.ask("order", DEADLINE_MS).status());
             release.countDown();
             assertEquals("before", inHand.read().body());
             assertEquals("before", second.read().body(), "tried again, as it was to be when it came");
@@ -154,7 +159,7 @@
         }
         before.script = (wire, request) -> wire.reset();
         int sent = before.requests.size();
-        assertEquals(503, rig.ask("read", DEADLINE_MS).status());
+        assertEquals(503, fixture.ask("read", DEADLINE_MS).status());
         assertEquals(sent + 1, before.requests.size(), "one attempt at most from now on");
     }
 
@@ -180,33 +185,33 @@
                 "\"name\":\"n0\",||field name is missing"
             })
     void aPartOfAFileChangesNothing(String part, String spoilt, String told) throws Exception {
-        rig.askWithinMs = 20;
-        rig.start();
-        Rig.await("a watch is on", () -> rig.discovery.requests.size() == 1);
-        String good = rig.config().replace(rig.discovery.address(), after.address());
+        fixture.askWithinMs = 20;
+        fixture.start();
+        SidecarFixture.await("a watch is on", () -> fixture.discovery.requests.size() == 1);
+        String good = fixture.config().replace(fixture.discovery.address(), after.address());
         int last = good.lastIndexOf(part);
         Files.writeString(
-                rig.configFile,
+                fixture.configFile,
                 good.substring(0, last) + (spoilt == null ? "" : spoilt) + good.substring(last + part.length()));
-        rig.sidecar.reload();
-        Rig.await("it is told", () -> rig.logged().contains(told));
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
-        assertEquals(1, rig.discovery.open.get(), "the old watch goes on");
+        fixture.sidecar.reload();
+        SidecarFixture.await("it is told", () -> fixture.logged().contains(told));
+        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(1, fixture.discovery.open.get(), "the old watch goes on");
         assertEquals(0, after.connections.get());
     }
 
     @Test
     void aFileThatCannotBeUsedChangesNothing() throws Exception {
-        rig.askWithinMs = 20;
-        rig.start();
-        Rig.await("a watch is on", () -> rig.discovery.requests.size() == 1);
+        fixture.askWithinMs = 20;
+        fixture.start();
+        SidecarFixture.await("a watch is on", () -> fixture.discovery.requests.size() == 1);
         reloadFor("nowhere");
-        Rig.await("it is told", () -> rig.logged().contains("field discovery is not usable: nowhere"));
-        Files.writeString(rig.configFile, "{");
-        rig.sidecar.reload();
-        Rig.await("it is told", () -> rig.logged().contains("is not JSON"));
-        assertEquals("before", rig.ask("order", DEADLINE_MS).body());
-        assertEquals(1, rig.discovery.open.get(), "the old watch goes on");
-        assertTrue(rig.logged().contains("the configuration stays as it was"), rig.logged());
+        SidecarFixture.await("it is told", () -> fixture.logged().contains("field discovery is not usable: nowhere"));
+        Files.writeString(fixture.configFile, "{");
+        fixture.sidecar.reload();
+        SidecarFixture.await("it is told", () -> fixture.logged().contains("is not JSON"));
+        assertEquals("before", fixture.ask("order", DEADLINE_MS).body());
+        assertEquals(1, fixture.discovery.open.get(), "the old watch goes on");
+        assertTrue(fixture.logged().contains("configuration not reloaded"), fixture.logged());
     }
 }
--- a/sidecar/src/test/java/martenlatch/sidecar/Rig.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
@@ -16,12 +16,12 @@
 import java.util.function.BooleanSupplier;
 
 /** A sidecar before fake endpoints, with a fake discovery; all on loopback. */
-final class Rig implements Closeable {
+final class SidecarFixture implements Closeable {
 
     static final long PATIENCE_MS = 20_000;
 
-    final List<Fake> endpoints = new ArrayList<>();
-    final Fake discovery;
+    final List<FakeEndpoint> endpoints = new ArrayList<>();
+    final FakeEndpoint discovery;
     final ByteArrayOutputStream log = new ByteArrayOutputStream();
     Path configFile;
     Sidecar sidecar;
@@ -47,10 +47,17 @@
 
     private int requests;
 
-    Rig(Fake... endpoints) throws IOException {
+    SidecarFixture(FakeEndpoint... endpoints) throws IOException {
         this.endpoints.addAll(List.of(endpoints));
         // Discovery holds its answer back until the test has one.
-        discovery = new Fake((wire, request) -> wire.awaitEnd());
+        discovery = new FakeEndpoint((wire, request) -> wire.awaitEnd());
+    }
+
+    /** A fixture with one endpoint in its list, at an address of the test's. */
+    static SidecarFixture withEndpointAt(String address) throws IOException {
+        SidecarFixture fixture = new SidecarFixture(FakeEndpoint.place());
+        fixture.known = List.of(line(0, address, "in_service", 0));
+        return fixture;
     }
 
     static String line(int number, String address, String state, long startedMs) {
@@ -101,15 +108,16 @@
                         askWithinMs);
     }
 
-    Rig start() throws IOException {
+    SidecarFixture start() throws IOException {
         configFile = Files.writeString(Files.createTempFile("config", ".json"), config());
-        sidecar =
-                Sidecar.start(configFile, shared, !peers.isEmpty(), new PrintStream(log, true, StandardCharsets.UTF_8));
+        sidecar = Sidecar.start(
+                new StartOptions(configFile, shared, !peers.isEmpty()),
+                new PrintStream(log, true, StandardCharsets.UTF_8));
         return this;
     }
 
-    Wire client() throws IOException {
-        return Wire.to(sidecar.address());
+    RawHttpClient client() throws IOException {
+        return RawHttpClient.to(sidecar.address());
     }
 
     /** A request of a class, GET for one that may be repeated and else POST with a body. */
@@ -121,8 +129,8 @@
                 : "POST /api?q=1 HTTP/1.1\r\n" + head + "Idempotency-Key: k1\r\nContent-Length: 5\r\n\r\nhello";
     }
 
-    Wire.Message ask(String kind, int deadlineMs) throws IOException {
-        try (Wire wire = client()) {
+    RawHttpClient.Message ask(String kind, int deadlineMs) throws IOException {
+        try (RawHttpClient wire = client()) {
             return wire.send(request(kind, deadlineMs)).read();
         }
     }
@@ -133,8 +141,8 @@
     }
 
     /** A call of an operator's; answers are {@code {"..."}} with a status. */
-    Wire.Message operate(String call, String body) throws IOException {
-        try (Wire wire = Wire.to(sidecar.adminAddress())) {
+    RawHttpClient.Message operate(String call, String body) throws IOException {
+        try (RawHttpClient wire = RawHttpClient.to(sidecar.adminAddress())) {
             return wire.send(call + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                     .read();
         }
@@ -149,6 +157,24 @@
         }
     }
 
+    /** What collected bodies hold, in bytes. */
+    long bodyBytesHeld() {
+        try {
+            return sidecar.loop().submit(sidecar::bodyBytesHeld).get();
+        } catch (Exception e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    /** Waits until so many requests are pending. */
+    void awaitPending(int requestCount) throws InterruptedException {
+        await(requestCount + " requests are pending", () -> tableSizes().get(0) == requestCount);
+    }
+
+    static double elapsedMs(long sinceNanos) {
+        return (System.nanoTime() - sinceNanos) / 1e6;
+    }
+
     /** What a test does while the sidecar hears nothing. */
     interface Deed {
         void run() throws Exception;
@@ -205,7 +231,7 @@
             sidecar.stop();
             Files.delete(configFile);
         }
-        for (Fake endpoint : endpoints) {
+        for (FakeEndpoint endpoint : endpoints) {
             endpoint.close();
         }
         discovery.close();
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
@@ -27,20 +27,20 @@
 
     private static final int DEADLINE_MS = 8000;
 
-    private Rig rig;
+    private SidecarFixture fixture;
 
-    private Rig start(Fake... endpoints) throws IOException {
-        rig = new Rig(endpoints);
-        return rig.start();
+    private SidecarFixture start(FakeEndpoint... endpoints) throws IOException {
+        fixture = new SidecarFixture(endpoints);
+        return fixture.start();
     }
 
     @AfterEach
     void stop() throws IOException {
-        rig.close();
+        fixture.close();
     }
 
-    private static Fake good() throws IOException {
-        return Fake.answering(200, "Content-Type: text/x\r\n", "served");
+    private static FakeEndpoint good() throws IOException {
+        return FakeEndpoint.answering(200, "Content-Type: text/x\r\n", "served");
     }
 
     // ---- a request and its answer ----
@@ -48,11 +48,11 @@
     @Test
     void aRequestAndItsAnswerGoThroughUnchanged() throws Exception {
         start(good());
-        Wire.Message answer = rig.ask("order", DEADLINE_MS);
+        RawHttpClient.Message answer = fixture.ask("order", DEADLINE_MS);
         assertEquals(200, answer.status());
         assertEquals("served", answer.body());
         assertEquals("text/x", answer.headers().get("content-type"));
-        Wire.Message seen = rig.endpoints.get(0).requests.get(0);
+        RawHttpClient.Message seen = fixture.endpoints.get(0).requests.get(0);
         assertEquals("POST /api?q=1 HTTP/1.1", seen.line());
         assertEquals("hello", seen.body());
         assertEquals("r0", seen.headers().get("x-request-id"));
@@ -64,31 +64,31 @@
     @Test
     void connectionsAreKeptOnBothSides() throws Exception {
         start(good());
-        try (Wire client = rig.client()) {
+        try (RawHttpClient client = fixture.client()) {
             for (int i = 0; i < 5; i++) {
                 assertEquals(
                         200,
-                        client.send(rig.request("read", DEADLINE_MS)).read().status());
-                Rig.settle();
+                        client.send(fixture.request("read", DEADLINE_MS)).read().status());
+                SidecarFixture.settle();
             }
         }
-        assertEquals(1, rig.endpoints.get(0).connections.get());
+        assertEquals(1, fixture.endpoints.get(0).connections.get());
     }
 
     /** Guards against answers that overtake: a client that sends ahead takes them by their order. */
     @Test
     void answersKeepTheOrderOfTheRequests() throws Exception {
         CountDownLatch second = new CountDownLatch(1);
-        start(new Fake((wire, request) -> {
+        start(new FakeEndpoint((wire, request) -> {
             if (request.headers().get("x-request-id").equals("r0")) {
                 second.await();
             } else {
                 second.countDown();
             }
-            Fake.answer(wire, 200, "", request.headers().get("x-request-id"));
+            FakeEndpoint.answer(wire, 200, "", request.headers().get("x-request-id"));
         }));
-        try (Wire client = rig.client()) {
-            client.send(rig.request("read", DEADLINE_MS) + rig.request("read", DEADLINE_MS));
+        try (RawHttpClient client = fixture.client()) {
+            client.send(fixture.request("read", DEADLINE_MS) + fixture.request("read", DEADLINE_MS));
             assertEquals("r0", client.read().body());
             assertEquals("r1", client.read().body());
         }
@@ -99,23 +99,23 @@
     /** Guards against attempts that share what they send: each has all of it, and its own time. */
     @Test
     void eachAttemptCarriesTheSameRequestAndItsOwnTime() throws Exception {
-        Fake.Script turnsAway = (wire, request) -> {
+        FakeEndpoint.Script turnsAway = (wire, request) -> {
             Thread.sleep(20);
-            Fake.answer(wire, 503, "X-Not-Run: 1\r\n", "full");
+            FakeEndpoint.answer(wire, 503, "X-Not-Run: 1\r\n", "full");
         };
-        start(new Fake(turnsAway), new Fake(turnsAway), new Fake(turnsAway));
-        try (Wire client = rig.client()) {
-            String request = rig.request("order", DEADLINE_MS)
+        start(new FakeEndpoint(turnsAway), new FakeEndpoint(turnsAway), new FakeEndpoint(turnsAway));
+        try (RawHttpClient client = fixture.client()) {
+            String request = fixture.request("order", DEADLINE_MS)
                     .replace(
                             "Host: app.svc",
                             "Host: app.svc\r\nCookie: a=1\r\nTE: gzip\r\nX-Twice: one\r\nX-Twice: two");
             assertEquals(503, client.send(request).read().status());
         }
-        assertEquals(3, rig.attempts());
+        assertEquals(3, fixture.attempts());
         List<Map<String, String>> heads = new ArrayList<>();
         List<Integer> times = new ArrayList<>();
-        for (Fake endpoint : rig.endpoints) {
-            Wire.Message attempt = endpoint.requests.get(0);
+        for (FakeEndpoint endpoint : fixture.endpoints) {
+            RawHttpClient.Message attempt = endpoint.requests.get(0);
             assertEquals("hello", attempt.body());
             Map<String, String> head = new HashMap<>(attempt.headers());
             times.add(Integer.parseInt(head.remove("x-deadline-ms")));
@@ -133,7 +133,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"reset", "half", "unframed", "garbage", "503", "504", "500", "201"})
     void anUnsafeRequestThatMayHaveRunFailsAtOnce(String how) throws Exception {
-        Fake.Script script = (wire, request) -> {
+        FakeEndpoint.Script script = (wire, request) -> {
             switch (how) {
                 case "reset" -> wire.reset();
                 case "half" -> {
@@ -145,37 +145,37 @@
                     wire.close();
                 }
                 case "garbage" -> wire.send("what?\r\n\r\n");
-                default -> Fake.answer(wire, Integer.parseInt(how), "", "mine");
+                default -> FakeEndpoint.answer(wire, Integer.parseInt(how), "", "mine");
             }
         };
-        start(new Fake(script), new Fake(script));
-        Wire.Message answer = rig.ask("order", DEADLINE_MS);
+        start(new FakeEndpoint(script), new FakeEndpoint(script));
+        RawHttpClient.Message answer = fixture.ask("order", DEADLINE_MS);
         assertEquals(502, answer.status());
         assertFalse(answer.body().contains("mine"), "an endpoint's refusal or error is not passed on");
-        assertEquals(1, rig.attempts());
+        assertEquals(1, fixture.attempts());
     }
 
     /** Guards against giving up too early: what surely never ran may be tried elsewhere, unsafe or not. */
     @ParameterizedTest
     @CsvSource({"order,503", "order,504", "order,refused", "read,500", "read,reset"})
     void whatIsKnownToBeHarmlessIsTriedElsewhere(String kind, String how) throws Exception {
-        Fake bad = new Fake((wire, request) -> {
+        FakeEndpoint bad = new FakeEndpoint((wire, request) -> {
             if (how.equals("reset")) {
                 wire.reset();
             } else {
-                Fake.answer(wire, Integer.parseInt(how), "X-Not-Run: 1\r\n", "");
+                FakeEndpoint.answer(wire, Integer.parseInt(how), "X-Not-Run: 1\r\n", "");
             }
         });
-        Fake other = new Fake(bad.script);
+        FakeEndpoint other = new FakeEndpoint(bad.script);
         start(bad, other);
-        Fake.Script good = (wire, request) -> Fake.answer(wire, 200, "", "served");
+        FakeEndpoint.Script good = (wire, request) -> FakeEndpoint.answer(wire, 200, "", "served");
         // Whichever is asked first fails, and the other one serves.
         if (how.equals("refused")) {
             bad.close();
             other.script = good;
         } else {
-            Fake.Script first = bad.script;
-            Fake.Script once = (wire, request) -> {
+            FakeEndpoint.Script first = bad.script;
+            FakeEndpoint.Script once = (wire, request) -> {
                 bad.script = good;
                 other.script = good;
                 first.on(wire, request);
@@ -184,30 +184,30 @@
             other.script = once;
         }
         for (int i = 0; i < 3; i++) {
-            assertEquals(200, rig.ask(kind, DEADLINE_MS).status());
+            assertEquals(200, fixture.ask(kind, DEADLINE_MS).status());
         }
     }
 
     /** Guards against a hang that holds everything: the attempt is given up and its connection closed. */
     @Test
     void anAttemptThatIsGivenUpClosesItsConnection() throws Exception {
-        Fake hung = new Fake((wire, request) -> wire.awaitEnd());
+        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitEnd());
         start(hung);
-        Wire.Message answer = rig.ask("order", 300);
+        RawHttpClient.Message answer = fixture.ask("order", 300);
         assertEquals(502, answer.status(), "it may have run");
-        Rig.await("the connection is closed", () -> hung.open.get() == 0);
-        assertEquals(1, rig.attempts());
+        SidecarFixture.await("the connection is closed", () -> hung.open.get() == 0);
+        assertEquals(1, fixture.attempts());
     }
 
     @Test
     void aClientThatGoesAwayTakesItsAttemptsAlong() throws Exception {
-        Fake hung = new Fake((wire, request) -> wire.awaitEnd());
+        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitEnd());
         start(hung);
-        try (Wire client = rig.client()) {
-            client.send(rig.request("order", DEADLINE_MS));
-            Rig.await("the attempt is out", () -> hung.requests.size() == 1);
+        try (RawHttpClient client = fixture.client()) {
+            client.send(fixture.request("order", DEADLINE_MS));
+            SidecarFixture.await("the attempt is out", () -> hung.requests.size() == 1);
         }
-        Rig.await("the attempt is called off", () -> hung.open.get() == 0);
+        SidecarFixture.await("the attempt is called off", () -> hung.open.get() == 0);
     }
 
     /** Guards against clients that come straight back: a refusal is given at once and says when. */
@@ -215,7 +215,7 @@
     void aRefusalComesAtOnceAndTellsWhenToComeBack() throws Exception {
         start();
         long began = System.nanoTime();
-        Wire.Message answer = rig.ask("order", DEADLINE_MS);
+        RawHttpClient.Message answer = fixture.ask("order", DEADLINE_MS);
         assertEquals(503, answer.status());
         assertEquals(0.5, Double.parseDouble(answer.headers().get("retry-after")));
         assertTrue((System.nanoTime() - began) / 1e6 < DEADLINE_MS / 2.0, "long before the deadline");
@@ -227,51 +227,52 @@
      */
     @Test
     void attemptsBeyondTheLastConnectionEndInOrder() throws Exception {
-        Fake[] hung = new Fake[4];
+        FakeEndpoint[] hung = new FakeEndpoint[4];
         for (int i = 0; i < hung.length; i++) {
-            hung[i] = new Fake((wire, request) -> wire.awaitEnd());
+            hung[i] = new FakeEndpoint((wire, request) -> wire.awaitEnd());
         }
-        rig = new Rig(hung);
-        rig.sockets = 1;
-        rig.start();
-        try (Wire ahead = rig.client()) {
+        fixture = new SidecarFixture(hung);
+        fixture.sockets = 1;
+        fixture.start();
+        try (RawHttpClient ahead = fixture.client()) {
             for (int i = 0; i < 8; i++) {
-                ahead.send(rig.request("order", DEADLINE_MS));
+                ahead.send(fixture.request("order", DEADLINE_MS));
             }
-            Rig.await("all connections are busy", () -> rig.attempts() == 8);
-            assertEquals(503, rig.ask("order", DEADLINE_MS).status());
-            assertEquals(8, rig.attempts());
-            assertTrue(rig.logged().contains("all 8 connections to endpoints are busy"), rig.logged());
-            assertFalse(rig.logged().contains("module failed"), rig.logged());
+            SidecarFixture.await("all connections are busy", () -> fixture.attempts() == 8);
+            assertEquals(503, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(8, fixture.attempts());
+            assertTrue(fixture.logged().contains("all 8 connections to endpoints are busy"), fixture.logged());
+            assertFalse(fixture.logged().contains("module failed"), fixture.logged());
         }
     }
 
     /** Guards against running out of descriptors: beyond the bound clients are refused in good order. */
     @Test
     void clientsBeyondTheBoundAreRefused() throws Exception {
-        rig = new Rig(new Fake((wire, request) -> wire.awaitEnd()));
-        rig.sockets = 1;
-        rig.start();
-        List<Wire> clients = new ArrayList<>();
+        fixture = new SidecarFixture(new FakeEndpoint((wire, request) -> wire.awaitEnd()));
+        fixture.sockets = 1;
+        fixture.start();
+        List<RawHttpClient> clients = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            clients.add(rig.client().send(rig.request("order", DEADLINE_MS)));
+            clients.add(fixture.client().send(fixture.request("order", DEADLINE_MS)));
         }
-        Rig.await("some are in hand", () -> rig.attempts() == 4);
+        SidecarFixture.await("some are in hand", () -> fixture.attempts() == 4);
         // Idle ones make room for those that come after; busy ones stay.
         for (int i = 0; i < 12; i++) {
-            clients.add(rig.client());
+            clients.add(fixture.client());
         }
         clients.get(4).awaitEnd();
         for (int i = 12; i < 16; i++) {
             clients.get(i).send("POST /api HTTP/1.1\r\n");
         }
-        clients.add(rig.client());
-        for (Wire client : clients) {
+        clients.add(fixture.client());
+        for (RawHttpClient client : clients) {
             client.close();
         }
-        Rig.await("the endpoint is let go", () -> rig.endpoints.get(0).open.get() == 0);
-        rig.endpoints.get(0).script = (wire, request) -> Fake.answer(wire, 200, "", "served");
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
+        SidecarFixture.await(
+                "the endpoint is let go", () -> fixture.endpoints.get(0).open.get() == 0);
+        fixture.endpoints.get(0).script = (wire, request) -> FakeEndpoint.answer(wire, 200, "", "served");
+        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
     }
 
     // ---- what is no request ----
@@ -292,36 +293,36 @@
             })
     void whatIsNoRequestGetsAPlainAnswer(String part, String instead, int status) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        start(new Fake((wire, request) -> {
+        start(new FakeEndpoint((wire, request) -> {
             release.await();
-            Fake.answer(wire, 200, "", "served");
+            FakeEndpoint.answer(wire, 200, "", "served");
         }));
-        try (Wire other = rig.client();
-                Wire client = rig.client()) {
-            String request = rig.request("read", DEADLINE_MS);
-            other.send(rig.request("read", DEADLINE_MS));
-            Rig.await("another request is in hand", () -> rig.attempts() == 1);
+        try (RawHttpClient other = fixture.client();
+                RawHttpClient client = fixture.client()) {
+            String request = fixture.request("read", DEADLINE_MS);
+            other.send(fixture.request("read", DEADLINE_MS));
+            SidecarFixture.await("another request is in hand", () -> fixture.attempts() == 1);
             assertTrue(request.contains(part), part);
             assertEquals(
                     status, client.send(request.replace(part, instead)).read().status());
             release.countDown();
             assertEquals(200, other.read().status());
         }
-        assertEquals(1, rig.attempts());
+        assertEquals(1, fixture.attempts());
     }
 
     @Test
     void anIdThatIsInHandIsNotTakenTwice() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        start(new Fake((wire, request) -> {
+        start(new FakeEndpoint((wire, request) -> {
             release.await();
-            Fake.answer(wire, 200, "", "served");
+            FakeEndpoint.answer(wire, 200, "", "served");
         }));
-        try (Wire one = rig.client();
-                Wire two = rig.client()) {
-            String request = rig.request("read", DEADLINE_MS);
+        try (RawHttpClient one = fixture.client();
+                RawHttpClient two = fixture.client()) {
+            String request = fixture.request("read", DEADLINE_MS);
             one.send(request);
-            Rig.await("it is in hand", () -> rig.attempts() == 1);
+            SidecarFixture.await("it is in hand", () -> fixture.attempts() == 1);
             assertEquals(409, two.send(request).read().status());
             release.countDown();
             assertEquals(200, one.read().status());
@@ -333,12 +334,13 @@
     /** Guards against writing on a connection that the endpoint is closing, which would be a reset. */
     @Test
     void idleConnectionsAreClosedBeforeTheEndpointDoes() throws Exception {
-        rig = new Rig(good());
-        rig.idleCloseMs = 400;
-        rig.start();
-        assertEquals(200, rig.ask("read", DEADLINE_MS).status());
-        Rig.await(
-                "the idle connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
+        fixture = new SidecarFixture(good());
+        fixture.idleCloseMs = 400;
+        fixture.start();
+        assertEquals(200, fixture.ask("read", DEADLINE_MS).status());
+        SidecarFixture.await(
+                "the idle connection is closed",
+                () -> fixture.endpoints.get(0).open.get() == 0);
     }
 
     // ---- discovery ----
@@ -346,12 +348,12 @@
     /** A discovery that answers calls with what the test puts in, one after another. */
     private LinkedBlockingQueue<String> discovering() {
         LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
-        rig.discovery.script = (wire, request) -> {
+        fixture.discovery.script = (wire, request) -> {
             String answer = answers.take();
             if (answer.equals("reset")) {
                 wire.reset();
             } else {
-                Fake.answer(wire, answer.isEmpty() ? 503 : 200, "", answer);
+                FakeEndpoint.answer(wire, answer.isEmpty() ? 503 : 200, "", answer);
             }
         };
         return answers;
@@ -359,24 +361,26 @@
 
     @Test
     void theWatchGoesOnFromTheVersionOfItsLastAnswer() throws Exception {
-        Fake before = good();
-        Fake after = good();
-        rig = new Rig(before);
-        rig.askWithinMs = 20;
+        FakeEndpoint before = good();
+        FakeEndpoint after = good();
+        fixture = new SidecarFixture(before);
+        fixture.askWithinMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
-        rig.start();
-        answers.add(Rig.list(
+        fixture.start();
+        answers.add(SidecarFixture.list(
                 7,
                 false,
-                Rig.line(0, before.address(), "terminating", 0),
-                Rig.line(1, after.address(), "in_service", 0)));
-        Rig.await("the next call is made", () -> rig.discovery.requests.size() == 2);
+                SidecarFixture.line(0, before.address(), "terminating", 0),
+                SidecarFixture.line(1, after.address(), "in_service", 0)));
+        SidecarFixture.await("the next call is made", () -> fixture.discovery.requests.size() == 2);
         assertEquals(
                 List.of(
                         "GET /registry/instances?index=1&wait=4000 HTTP/1.1",
                         "GET /registry/instances?index=7&wait=4000 HTTP/1.1"),
-                rig.discovery.requests.stream().map(Wire.Message::line).toList());
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
+                fixture.discovery.requests.stream()
+                        .map(RawHttpClient.Message::line)
+                        .toList());
+        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
         assertEquals(0, before.requests.size(), "it drains");
         assertEquals(1, after.requests.size());
         after.close();
@@ -385,31 +389,31 @@
     @ParameterizedTest
     @ValueSource(strings = {"", "reset", "{\"version\":", "{\"version\":1}"})
     void aCallThatFailedIsMadeAgain(String failure) throws Exception {
-        rig = new Rig(good());
-        rig.askWithinMs = 20;
+        fixture = new SidecarFixture(good());
+        fixture.askWithinMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
-        rig.start();
+        fixture.start();
         answers.add(failure);
         answers.add(failure);
-        Rig.await("it asks again", () -> rig.discovery.requests.size() >= 3);
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
-        assertTrue(rig.logged().contains("discovery failed"), rig.logged());
+        SidecarFixture.await("it asks again", () -> fixture.discovery.requests.size() >= 3);
+        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertTrue(fixture.logged().contains("discovery failed"), fixture.logged());
     }
 
     /** Guards against connections to a process that is no more, on which a request would be reset. */
     @ParameterizedTest
     @CsvSource({"true,0", "false,1000"})
     void anEndpointThatMovesOrRestartsGetsNewConnections(boolean moves, long started) throws Exception {
-        Fake old = good();
-        rig = new Rig(old);
-        rig.askWithinMs = 20;
+        FakeEndpoint old = good();
+        fixture = new SidecarFixture(old);
+        fixture.askWithinMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
-        rig.start();
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
-        Fake now = moves ? good() : old;
-        answers.add(Rig.list(2, false, Rig.line(0, now.address(), "in_service", started)));
-        Rig.await("the old connection is closed", () -> old.open.get() == 0);
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
+        fixture.start();
+        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        FakeEndpoint now = moves ? good() : old;
+        answers.add(SidecarFixture.list(2, false, SidecarFixture.line(0, now.address(), "in_service", started)));
+        SidecarFixture.await("the old connection is closed", () -> old.open.get() == 0);
+        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
         assertEquals(moves ? 1 : 2, old.connections.get());
         now.close();
     }
@@ -420,13 +424,13 @@
     void itIsReadyOnlyWithAnEndpointToServeFrom() throws Exception {
         start();
         String ask = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
-        try (Wire client = rig.client()) {
+        try (RawHttpClient client = fixture.client()) {
             assertEquals(503, client.send(ask).read().status());
         }
         stop();
         start(good());
-        Rig.await("it is ready once it is warm", () -> {
-            try (Wire client = rig.client()) {
+        SidecarFixture.await("it is ready once it is warm", () -> {
+            try (RawHttpClient client = fixture.client()) {
                 return client.send(ask).read().status() == 200;
             } catch (IOException e) {
                 throw new java.io.UncheckedIOException(e);
@@ -438,24 +442,27 @@
     @Test
     void aDrainAnswersWhatIsInHandAndWhatStillComes() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        start(new Fake((wire, request) -> {
+        start(new FakeEndpoint((wire, request) -> {
             if (request.headers().get("x-request-id").equals("r0")) {
                 release.await();
             }
-            Fake.answer(wire, 200, "", "served");
+            FakeEndpoint.answer(wire, 200, "", "served");
         }));
-        Wire inHand = rig.client().send(rig.request("order", DEADLINE_MS));
-        Wire idle = rig.client();
-        Wire kept = rig.client();
-        assertEquals(200, idle.send(rig.request("order", DEADLINE_MS)).read().status());
-        assertEquals(200, kept.send(rig.request("order", DEADLINE_MS)).read().status());
-        Thread drain = new Thread(rig.sidecar::drain);
+        RawHttpClient inHand = fixture.client().send(fixture.request("order", DEADLINE_MS));
+        RawHttpClient idle = fixture.client();
+        RawHttpClient kept = fixture.client();
+        assertEquals(
+                200, idle.send(fixture.request("order", DEADLINE_MS)).read().status());
+        assertEquals(
+                200, kept.send(fixture.request("order", DEADLINE_MS)).read().status());
+        Thread drain = new Thread(fixture.sidecar::drain);
         drain.start();
         int served = 0;
         try {
             while (true) {
                 assertEquals(
-                        200, kept.send(rig.request("order", DEADLINE_MS)).read().status());
+                        200,
+                        kept.send(fixture.request("order", DEADLINE_MS)).read().status());
                 served++;
             }
         } catch (IOException e) {
@@ -464,11 +471,11 @@
         idle.awaitEnd();
         assertTrue(drain.isAlive(), "it waits for what is in hand");
         release.countDown();
-        Wire.Message answer = inHand.read();
+        RawHttpClient.Message answer = inHand.read();
         assertEquals(200, answer.status());
         assertEquals("close", answer.headers().get("connection"));
         drain.join();
-        assertThrows(IOException.class, () -> rig.client());
+        assertThrows(IOException.class, () -> fixture.client());
     }
 
     /**
@@ -477,27 +484,27 @@
      */
     @Test
     void aDrainAnswersInTimeWhatNoEndpointAnswers() throws Exception {
-        start(new Fake((wire, request) -> wire.awaitEnd()));
-        Wire unsafe = rig.client().send(rig.request("order", DEADLINE_MS));
-        Wire safe = rig.client().send(rig.request("read", DEADLINE_MS));
-        Rig.await("both are at the endpoint", () -> rig.attempts() == 2);
-        Thread drain = new Thread(rig.sidecar::drain);
+        start(new FakeEndpoint((wire, request) -> wire.awaitEnd()));
+        RawHttpClient unsafe = fixture.client().send(fixture.request("order", DEADLINE_MS));
+        RawHttpClient safe = fixture.client().send(fixture.request("read", DEADLINE_MS));
+        SidecarFixture.await("both are at the endpoint", () -> fixture.attempts() == 2);
+        Thread drain = new Thread(fixture.sidecar::drain);
         drain.start();
         assertEquals(502, unsafe.read().status(), "it may have run");
         assertEquals(503, safe.read().status(), "it may be tried elsewhere");
         unsafe.close();
         safe.close();
         drain.join();
-        assertTrue(rig.logged().contains("martenlatch: drained"), rig.logged());
+        assertTrue(fixture.logged().contains("martenlatch: drained"), fixture.logged());
     }
 
     /** Guards against a warm-up that leaks: endpoints and discovery see nothing of it. */
     @Test
     void theWarmUpStaysWithinTheSidecar() throws Exception {
         start(good());
-        Rig.await("it is warm", () -> rig.logged().contains("warm after"));
-        assertEquals(0, rig.endpoints.get(0).connections.get());
-        assertEquals(0, rig.discovery.requests.size());
+        SidecarFixture.await("it is warm", () -> fixture.logged().contains("warm-up finished after"));
+        assertEquals(0, fixture.endpoints.get(0).connections.get());
+        assertEquals(0, fixture.discovery.requests.size());
     }
 
     /** Guards against one bad peer that harms the rest. */
@@ -505,11 +512,11 @@
     void rudePeersHarmNobody() throws Exception {
         start(good());
         for (int i = 0; i < 20; i++) {
-            rig.client().send("GET /api HT").reset();
-            rig.client().send("\0\0\0\r\n\r\n").reset();
+            fixture.client().send("GET /api HT").reset();
+            fixture.client().send("\0\0\0\r\n\r\n").reset();
         }
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
-        try (Wire client = rig.client()) {
+        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        try (RawHttpClient client = fixture.client()) {
             client.send("GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n");
             assertEquals(400, client.read().status());
             assertThrows(EOFException.class, client::read);
--- a/sidecar/src/test/java/martenlatch/sidecar/SiteConfigTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SiteConfigTest.java
@@ -20,11 +20,11 @@
     Path folder;
 
     private SiteConfig read(String part, String instead) throws IOException {
-        try (Fake endpoint = Fake.answering(200, "", "");
-                Rig rig = new Rig(endpoint)) {
-            assertTrue(rig.config().contains(part), part);
+        try (FakeEndpoint endpoint = FakeEndpoint.answering(200, "", "");
+                SidecarFixture fixture = new SidecarFixture(endpoint)) {
+            assertTrue(fixture.config().contains(part), part);
             return SiteConfig.read(Files.writeString(
-                    folder.resolve("config.json"), rig.config().replace(part, instead)));
+                    folder.resolve("config.json"), fixture.config().replace(part, instead)));
         }
     }
 
--- a/sidecar/src/test/java/martenlatch/sidecar/SpoiltAnswerTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SpoiltAnswerTest.java
@@ -17,16 +17,16 @@
     private static final int DEADLINE_MS = 8000;
     private static final String OK = "HTTP/1.1 200 OK\r\n";
 
-    private Rig rig;
+    private SidecarFixture fixture;
 
     @AfterEach
     void stop() throws IOException {
-        rig.close();
+        fixture.close();
     }
 
-    private void start(Fake.Script script) throws IOException {
-        rig = new Rig(new Fake(script));
-        rig.start();
+    private void start(FakeEndpoint.Script script) throws IOException {
+        fixture = new SidecarFixture(new FakeEndpoint(script));
+        fixture.start();
     }
 
     /** The request has run, so one that may not run twice fails, at once, and the connection goes. */
@@ -54,34 +54,36 @@
     void aSpoiltAnswerIsAFailedAttemptAtOnce(String answer) throws Exception {
         start((wire, request) -> wire.send(answer).awaitEnd());
         long began = System.nanoTime();
-        assertEquals(502, rig.ask("order", DEADLINE_MS).status());
+        assertEquals(502, fixture.ask("order", DEADLINE_MS).status());
         assertTrue((System.nanoTime() - began) / 1e6 < DEADLINE_MS / 2.0, "at once");
-        Rig.await("the connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
-        assertEquals(1, rig.attempts());
+        SidecarFixture.await(
+                "the connection is closed", () -> fixture.endpoints.get(0).open.get() == 0);
+        assertEquals(1, fixture.attempts());
     }
 
     /** Guards against an endpoint's 429 that becomes our word that an unsafe request has not run. */
     @Test
     void anEndpointsTooManyIsNoRefusalOfOurs() throws Exception {
-        start((wire, request) -> Fake.answer(wire, 429, "Retry-After: 1\r\n", "busy"));
-        assertEquals(502, rig.ask("order", DEADLINE_MS).status());
-        assertEquals(1, rig.attempts());
+        start((wire, request) -> FakeEndpoint.answer(wire, 429, "Retry-After: 1\r\n", "busy"));
+        assertEquals(502, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(1, fixture.attempts());
         // One that is safe to repeat is refused, as after every failure.
-        assertEquals(503, rig.ask("read", DEADLINE_MS).status());
+        assertEquals(503, fixture.ask("read", DEADLINE_MS).status());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {OK + "%sX-Pad: pppppppppppppppppppp\r\n", "%sHTTP/1.1 103 Early Hints\r\n\r\n"})
     void anAnswerWithoutEndIsCutShort(String pattern) throws Exception {
-        String[] parts = pattern.split("%s");
+        String[] parts = pattern.split("%s", 0);
         start((wire, request) -> {
             wire.send(parts[0]);
             while (true) {
                 wire.send(parts[1]);
             }
         });
-        assertEquals(502, rig.ask("order", DEADLINE_MS).status());
-        Rig.await("the connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
+        assertEquals(502, fixture.ask("order", DEADLINE_MS).status());
+        SidecarFixture.await(
+                "the connection is closed", () -> fixture.endpoints.get(0).open.get() == 0);
     }
 
     @ParameterizedTest
@@ -94,15 +96,17 @@
             })
     void aGoodAnswerWithMoreInItsHeadServes(String head) throws Exception {
         start((wire, request) -> wire.send(head + "Content-Length: 5\r\n\r\nhello"));
-        try (Wire client = rig.client()) {
+        try (RawHttpClient client = fixture.client()) {
             for (int i = 0; i < 3; i++) {
                 assertEquals(
                         "hello",
-                        client.send(rig.request("order", DEADLINE_MS)).read().body());
-                Rig.settle();
+                        client.send(fixture.request("order", DEADLINE_MS))
+                                .read()
+                                .body());
+                SidecarFixture.settle();
             }
         }
-        assertEquals(1, rig.endpoints.get(0).connections.get(), "and its connection is kept");
+        assertEquals(1, fixture.endpoints.get(0).connections.get(), "and its connection is kept");
     }
 
     /** Guards against a second copy, noise or half a line that becomes the next request's answer. */
@@ -121,29 +125,30 @@
             String answer = OK + "Content-Length: " + id.length() + "\r\n\r\n" + id;
             wire.send(answer + (behind.equals("copy") ? answer : behind));
         });
-        try (Wire client = rig.client()) {
+        try (RawHttpClient client = fixture.client()) {
             for (int i = 0; i < 10; i++) {
-                Wire.Message answer =
-                        client.send(rig.request("order", DEADLINE_MS)).read();
+                RawHttpClient.Message answer =
+                        client.send(fixture.request("order", DEADLINE_MS)).read();
                 assertEquals(200, answer.status());
                 assertEquals("r" + i, answer.body());
-                Rig.settle();
+                SidecarFixture.settle();
             }
         }
-        assertEquals(10, rig.endpoints.get(0).connections.get(), "none is used again");
+        assertEquals(10, fixture.endpoints.get(0).connections.get(), "none is used again");
     }
 
     /** Guards against the same a moment later, when the connection has been put aside. */
     @Test
     void anIdleConnectionOnWhichHalfALineComesIsClosed() throws Exception {
         start((wire, request) -> {
-            Fake.answer(wire, 200, "", request.headers().get("x-request-id"));
+            FakeEndpoint.answer(wire, 200, "", request.headers().get("x-request-id"));
             Thread.sleep(30);
             wire.send("x");
         });
         for (int i = 0; i < 3; i++) {
-            assertEquals("r" + i, rig.ask("order", DEADLINE_MS).body());
-            Rig.await("it is closed", () -> rig.endpoints.get(0).open.get() == 0);
+            assertEquals("r" + i, fixture.ask("order", DEADLINE_MS).body());
+            SidecarFixture.await(
+                    "it is closed", () -> fixture.endpoints.get(0).open.get() == 0);
         }
     }
 
@@ -151,14 +156,14 @@
     @Test
     void aRequestThatAnEndpointTurnsAwaySaysNothingOfIt() throws Exception {
         start((wire, request) ->
-                Fake.answer(wire, "bad".equals(request.headers().get("x-note")) ? 400 : 200, "", "x"));
+                FakeEndpoint.answer(wire, "bad".equals(request.headers().get("x-note")) ? 400 : 200, "", "x"));
         for (int i = 0; i < 20; i++) {
-            try (Wire client = rig.client()) {
-                String bad = rig.request("order", DEADLINE_MS).replace("Host:", "X-Note: bad\r\nHost:");
+            try (RawHttpClient client = fixture.client()) {
+                String bad = fixture.request("order", DEADLINE_MS).replace("Host:", "X-Note: bad\r\nHost:");
                 assertEquals(400, client.send(bad).read().status());
             }
         }
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
-        assertEquals(21, rig.attempts(), "each was sent once");
+        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(21, fixture.attempts(), "each was sent once");
     }
 }
--- a/sidecar/src/test/java/martenlatch/upstream/EndpointAddressesTest.java
+++ b/sidecar/src/test/java/martenlatch/upstream/EndpointAddressesTest.java
@@ -25,6 +25,7 @@
 
     private static final int SEQUENCES = 1000;
     private static final int LISTS = 40;
+    private static final List<EndpointStatus> STATUSES = List.of(EndpointStatus.values());
 
     /** What the pool must agree with: an endpoint's start and address, none where another has taken it. */
     private static final class Model {
@@ -110,7 +111,7 @@
                             random.nextInt(6),
                             1 + random.nextInt(4),
                             random.nextInt(3),
-                            EndpointStatus.values()[random.nextInt(3)]));
+                            STATUSES.get(random.nextInt(STATUSES.size()))));
                 }
                 EndpointList list = new EndpointList(i, random.nextInt(8) == 0, entries);
                 pool.update(list);
@@ -127,11 +128,11 @@
                         model.places.values().stream()
                                 .filter(place -> place.address() != null)
                                 .count(),
-                        pool.addresses(),
+                        pool.addressCount(),
                         "after list " + i + " of seed " + seed);
             }
             pool.update(new EndpointList(LISTS, true, List.of()));
-            assertEquals(0, pool.size() + pool.addresses());
+            assertEquals(0, pool.size() + pool.addressCount());
         }
     }
 }
--- a/sidecar/src/test/java/martenlatch/upstream/IdleConnectionsTest.java
+++ b/sidecar/src/test/java/martenlatch/upstream/IdleConnectionsTest.java
@@ -21,6 +21,7 @@
 import java.util.Locale;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.DoubleAdder;
 import martenlatch.policy.api.AttemptOutcome;
 import martenlatch.policy.api.Endpoint;
 import martenlatch.policy.api.EndpointStatus;
@@ -46,7 +47,7 @@
     private final class FixedConditions implements Transport.WriteConditions {
         @Override
         public double remainingMs() {
-            return waitUntil - now;
+            return waitUntil - clock.sum();
         }
 
         @Override
@@ -58,8 +59,12 @@
     private record End(AttemptOutcome outcome, EndpointResponse answer) {}
 
     private final EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-    private volatile double now = 1_000_000;
-    private volatile double waitUntil = now + 5000;
+    private static final double START_MS = 1_000_000;
+
+    /** The time, which the tests advance from their own thread. */
+    private final DoubleAdder clock = new DoubleAdder();
+
+    private volatile double waitUntil = START_MS + 5000;
     private volatile boolean clientConnected = true;
     private final Transport.WriteConditions conditions = new FixedConditions();
     private final ServerSocket endpoint;
@@ -67,13 +72,14 @@
     private EndpointPool pool;
 
     IdleConnectionsTest() throws Exception {
+        clock.add(START_MS);
         endpoint = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         endpoint.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
         // Timers never fire: what a loop that is held up would have done is not done.
         Scheduler time = new Scheduler() {
             @Override
             public double now() {
-                return now;
+                return clock.sum();
             }
 
             @Override
@@ -111,7 +117,7 @@
     }
 
     private Transport.Attempt attempt(int bodySize, double notAfter) {
-        return pool.carrier(new EndpointPool.Message(
+        return pool.transportFor(new OutgoingRequest(
                         bodySize == 0 ? HttpMethod.GET : HttpMethod.POST,
                         "/api",
                         new DefaultHttpHeaders(),
@@ -155,7 +161,7 @@
     @Test
     void aConnectionIsUsedAgain() throws Exception {
         try (Socket first = idle()) {
-            now += 11;
+            clock.add(11);
             loop.submit(this::send).get();
             read(first);
             answer(first, "two");
@@ -167,7 +173,7 @@
     @Test
     void aSecondAnswerSomeMillisecondsLaterIsNobodys() throws Exception {
         try (Socket first = idle()) {
-            now += 9;
+            clock.add(9);
             loop.submit(this::send).get();
             answer(first, "one again");
             try (Socket second = endpoint.accept()) {
@@ -183,7 +189,7 @@
     @Test
     void bytesThatCameJustBeforeTheNextRequestAreSeen() throws Exception {
         try (Socket first = idle()) {
-            now += 500;
+            clock.add(500);
             loop.submit(() -> {
                         answer(first, "one again");
                         send();
@@ -202,7 +208,7 @@
     @Test
     void anEndThatTheLoopHasNotReadYetIsSeen() throws Exception {
         Socket first = idle();
-        now += 500;
+        clock.add(500);
         loop.submit(() -> {
                     first.close();
                     send();
@@ -220,7 +226,7 @@
     @Test
     void aLoopThatWasHeldUpDoesNotUseWhatMayBeClosed() throws Exception {
         try (Socket first = idle()) {
-            now += IDLE_CLOSE_MS - 300;
+            clock.add(IDLE_CLOSE_MS - 300);
             loop.submit(this::send).get();
             try (Socket second = endpoint.accept()) {
                 read(second);
@@ -263,8 +269,8 @@
     @Test
     void whatHadItsTimeWhileItsConnectionCameUpIsNotSent() throws Exception {
         loop.submit(() -> {
-                    attempt(0, now + 100);
-                    now += 101;
+                    attempt(0, clock.sum() + 100);
+                    clock.add(101);
                 })
                 .get();
         assertEquals(
@@ -274,8 +280,8 @@
             assertEquals(-1, first.getInputStream().read(), "nothing was sent on it");
         }
         loop.submit(() -> {
-                    attempt(0, now + 100);
-                    now += 100;
+                    attempt(0, clock.sum() + 100);
+                    clock.add(100);
                 })
                 .get();
         try (Socket second = endpoint.accept()) {
@@ -291,14 +297,14 @@
     void theDeadlineToldIsWhatIsLeftOnceTheConnectionIsEstablished() throws Exception {
         loop.submit(() -> {
                     send();
-                    now += 400;
+                    clock.add(400);
                 })
                 .get();
         try (Socket first = endpoint.accept()) {
             assertEquals("4600", deadlineTold(first));
             answer(first, "one");
             assertServed("one");
-            now += 100;
+            clock.add(100);
             loop.submit(this::send).get();
             assertEquals("4500", deadlineTold(first));
             answer(first, "two");
--- a/sidecar/src/test/java/martenlatch/upstream/UploadTest.java
+++ b/sidecar/src/test/java/martenlatch/upstream/StreamedRequestBodyTest.java
@@ -11,34 +11,34 @@
 import org.junit.jupiter.api.Test;
 
 /** A body between a client and an endpoint: what is held, who waits, and what is let go. */
-class UploadTest {
+class StreamedRequestBodyTest {
 
     private static final int PART = 8 * 1024;
 
     private boolean paused;
-    private int goOns;
+    private int attachments;
     private int ends;
     private final List<ByteBuf> made = new ArrayList<>();
     private final List<ByteBuf> taken = new ArrayList<>();
-    private final Upload upload = new Upload(-1, new Upload.Source() {
+    private final StreamedRequestBody body = new StreamedRequestBody(-1, new StreamedRequestBody.Source() {
         @Override
-        public void pause(boolean now) {
+        public void setPaused(boolean now) {
             paused = now;
         }
 
         @Override
-        public void goOn() {
-            goOns++;
+        public void onSinkAttached() {
+            attachments++;
         }
     });
-    private final Upload.Sink sink = new Upload.Sink() {
+    private final StreamedRequestBody.Sink sink = new StreamedRequestBody.Sink() {
         @Override
-        public void part(ByteBuf bytes) {
+        public void onPart(ByteBuf bytes) {
             taken.add(bytes);
         }
 
         @Override
-        public void end() {
+        public void onEnd() {
             ends++;
         }
     };
@@ -47,7 +47,7 @@
         for (int i = 0; i < parts; i++) {
             ByteBuf part = Unpooled.wrappedBuffer(new byte[PART]);
             made.add(part);
-            upload.offer(part);
+            body.offer(part);
         }
     }
 
@@ -61,55 +61,55 @@
         assertFalse(paused);
         offer(1);
         assertTrue(paused, "32 KiB wait");
-        assertTrue(upload.isFresh(), "and can still go to any endpoint");
-        upload.attach(sink);
-        assertEquals(1, goOns);
+        assertTrue(body.isFresh(), "and can still go to any endpoint");
+        body.attach(sink);
+        assertEquals(1, attachments);
         assertFalse(paused);
         assertEquals(4, taken.size());
-        upload.full(true);
+        body.setSinkFull(true);
         offer(4);
         assertTrue(paused);
         assertEquals(4, taken.size());
-        upload.full(false);
+        body.setSinkFull(false);
         assertFalse(paused);
-        upload.end();
+        body.complete();
         assertEquals(made, taken, "all of it, in order");
         assertEquals(1, ends);
-        assertFalse(upload.isFresh());
+        assertFalse(body.isFresh());
     }
 
     @Test
     void theEndWaitsForWhatIsBeforeIt() {
-        upload.attach(sink);
-        upload.full(true);
+        body.attach(sink);
+        body.setSinkFull(true);
         offer(1);
-        upload.end();
+        body.complete();
         assertEquals(0, ends);
-        upload.full(false);
+        body.setSinkFull(false);
         assertEquals(1, ends);
     }
 
     /** Guards against a client held up, and memory held, for an endpoint that is gone. */
     @Test
     void whatNobodyTakesIsLetGo() {
-        upload.attach(sink);
-        upload.full(true);
+        body.attach(sink);
+        body.setSinkFull(true);
         offer(5);
         assertTrue(paused);
-        upload.detach();
+        body.detach();
         assertFalse(paused, "the rest is read, to be dropped");
         offer(5);
         assertEquals(0, held());
-        assertFalse(upload.isFresh());
+        assertFalse(body.isFresh());
     }
 
     @Test
     void whatIsCutIsLetGo() {
         offer(4);
-        upload.cut();
+        body.abort();
         offer(1);
         assertEquals(0, held());
-        assertFalse(upload.isFresh(), "no endpoint gets half of it");
+        assertFalse(body.isFresh(), "no endpoint gets half of it");
         assertEquals(0, ends);
     }
 
@@ -118,9 +118,9 @@
     void aClientWhoseBodyIsWholeIsHeard() {
         offer(5);
         assertTrue(paused);
-        upload.end();
+        body.complete();
         assertFalse(paused);
-        upload.cut();
+        body.abort();
         assertEquals(0, held());
     }
 }
--- a/sidecar/src/test/java/martenlatch/upstream/PassedOnTest.java
+++ b/sidecar/src/test/java/martenlatch/upstream/StreamedResponseTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import martenlatch.request.RemainingBody;
@@ -11,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** An answer that is passed on: its parts, its pauses, its stall, on a clock that the test moves. */
-class PassedOnTest {
+class StreamedResponseTest {
 
     private static final class Clock implements Scheduler {
         private record Task(double at, Runnable run) {}
@@ -52,11 +53,11 @@
     private boolean reading = true;
     private boolean closed;
     private final StringBuilder got = new StringBuilder();
-    private final PassedOn answer = new PassedOn(
+    private final StreamedResponse response = new StreamedResponse(
             -1,
-            new PassedOn.Connection() {
+            new StreamedResponse.Connection() {
                 @Override
-                public void read(boolean on) {
+                public void setReading(boolean on) {
                     reading = on;
                 }
 
@@ -66,10 +67,10 @@
                 }
             },
             clock);
-    private final RemainingBody.Receiver taker = new RemainingBody.Receiver() {
+    private final RemainingBody.Receiver receiver = new RemainingBody.Receiver() {
         @Override
         public void onPart(byte[] bytes) {
-            got.append(new String(bytes));
+            got.append(new String(bytes, StandardCharsets.UTF_8));
         }
 
         @Override
@@ -79,20 +80,20 @@
     };
 
     private void part(String text) {
-        answer.part(text.getBytes());
+        response.onPart(text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
     void nothingIsReadUntilSomebodyTakesIt() {
         part("a");
         assertFalse(reading);
-        answer.transferTo(taker);
+        response.transferTo(receiver);
         assertTrue(reading);
         part("b");
-        answer.pause(true);
+        response.pause(true);
         assertFalse(reading);
-        answer.end(true);
-        answer.end(false);
+        response.onEnd(true);
+        response.onEnd(false);
         assertEquals("ab.", got.toString(), "one end");
         clock.pass(60_000);
         assertFalse(closed);
@@ -102,13 +103,13 @@
     /** Guards against a stream whose one side is gone without a word: nobody would ever end it. */
     @Test
     void whatStallsIsCutAndWhatMovesIsNot() {
-        answer.transferTo(taker);
+        response.transferTo(receiver);
         for (int i = 0; i < 10; i++) {
-            clock.pass(PassedOn.STALL_MS - 1);
+            clock.pass(StreamedResponse.STALL_MS - 1);
             part("x");
         }
         assertFalse(closed, "slow is not stalled");
-        clock.pass(PassedOn.STALL_MS - 1);
+        clock.pass(StreamedResponse.STALL_MS - 1);
         assertFalse(closed);
         clock.pass(2);
         assertTrue(closed);
@@ -116,11 +117,11 @@
 
     @Test
     void whoGivesItUpHearsNoEnd() {
-        answer.transferTo(taker);
+        response.transferTo(receiver);
         part("a");
-        answer.abandon();
+        response.abandon();
         assertTrue(closed);
-        answer.end(false);
+        response.onEnd(false);
         assertEquals("a", got.toString());
         assertEquals(0, clock.tasks.size());
     }
--- a/tools/src/main/java/martenlatch/demo/Demo.java
+++ b/tools/src/main/java/martenlatch/demo/Demo.java
@@ -25,6 +25,7 @@
 import martenlatch.load.Shape;
 import martenlatch.load.http.HttpDriver;
 import martenlatch.sidecar.Sidecar;
+import martenlatch.sidecar.StartOptions;
 import martenlatch.world.Happening;
 import martenlatch.world.ServiceTime;
 import martenlatch.world.World;
@@ -101,7 +102,7 @@
         Sidecar sidecar = null;
         try {
             Files.writeString(config, config());
-            sidecar = Sidecar.start(config, null, new PrintStream(log, true, StandardCharsets.UTF_8));
+            sidecar = Sidecar.start(StartOptions.of(config), new PrintStream(log, true, StandardCharsets.UTF_8));
             out.printf(
                     "%d endpoints in 2 zones, discovery at %s, one sidecar at %s; %d requests a second "
                             + "for "
--- a/tools/src/main/java/martenlatch/load/LoadSettings.java
+++ b/tools/src/main/java/martenlatch/load/LoadSettings.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import martenlatch.config.Fields;
+import martenlatch.config.SocketAddresses;
 import martenlatch.toml.TomlFile;
 
 /**
@@ -54,7 +54,7 @@
     private static LoadSettings of(JsonNode file, Path folder) {
         TomlFile.knownOnly("", file, NAMES);
         List<InetSocketAddress> targets = new ArrayList<>();
-        file.path("targets").forEach(one -> targets.add(Fields.address("targets", one.textValue())));
+        file.path("targets").forEach(one -> targets.add(SocketAddresses.parse("targets", one.textValue())));
         List<Kind> kinds = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (JsonNode one : file.path("class")) {
--- a/tools/src/test/java/martenlatch/ToolsRoomsTest.java
+++ b/tools/src/test/java/martenlatch/ToolsRoomsTest.java
@@ -52,7 +52,7 @@
                 .resideInAnyPackage(
                         "martenlatch.policy..",
                         "martenlatch.request..",
-                        "martenlatch.front..",
+                        "martenlatch.frontend..",
                         "martenlatch.upstream..",
                         "martenlatch.discovery..",
                         "martenlatch.sidecar..",
