--- a/sidecar/src/main/java/martenlatch/sidecar/ConfigurationReloader.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/ConfigurationReloader.java
@@ -26,20 +26,24 @@
      */
     static void warmUp(Path file, SiteConfig config) {
         try {
-            config.readAgain(file).settings().equals(config.settings());
+            differsInSettings(config.readAgain(file), config);
         } catch (IOException | RuntimeException e) {
             // The file has been changed since the start; a reload will tell what is wrong with it.
             return;
         }
     }
 
+    private static boolean differsInSettings(SiteConfig next, SiteConfig current) {
+        return !next.settings().equals(current.settings());
+    }
+
     /** To be called on the event loop. */
     void reload() {
         try {
             SiteConfig current = configuration.get();
             SiteConfig next = current.readAgain(file);
             parts.applyGossipAddresses(next);
-            boolean settingsChanged = !next.settings().equals(current.settings());
+            boolean settingsChanged = differsInSettings(next, current);
             log.println("martenlatch: configuration reloaded: discovery at " + next.discovery()
                     + (settingsChanged ? ", settings changed" : ""));
             configuration.replace(next);
