--- a/extproc/src/main/java/martenlatch/frontend/extproc/EndpointAddresses.java
+++ b/extproc/src/main/java/martenlatch/frontend/extproc/EndpointAddresses.java
@@ -43,12 +43,10 @@
     @Override
     public void withdrawAttempts() {
         // Attempts are the proxies': they report whether they were sent.
-        return;
     }
 
     @Override
     public void closeIdleConnections(String endpointId) {
         // Connections are the proxies', which close them when they are idle.
-        return;
     }
 }
--- a/extproc/src/main/java/martenlatch/frontend/extproc/ProxyOutcome.java
+++ b/extproc/src/main/java/martenlatch/frontend/extproc/ProxyOutcome.java
@@ -38,7 +38,7 @@
     /** The flags as bits, from the words in {@code %RESPONSE_FLAGS%}: {@code UF,URX}, or a dash for none. */
     static long flags(String words) {
         long bits = 0;
-        for (String word : words.split(",")) {
+        for (String word : words.split(",", -1)) {
             String flag = word.trim();
             if (!flag.isEmpty() && !flag.equals("-")) {
                 bits |= BITS.containsKey(flag) ? 1L << BITS.get(flag) : OTHER;
--- a/extproc/src/test/java/martenlatch/extproc/ExtProcServerTest.java
+++ b/extproc/src/test/java/martenlatch/extproc/ExtProcServerTest.java
@@ -569,7 +569,7 @@
         assertEquals("RESPONSE_HEADERS", open.told());
         Files.writeString(site, "{");
         server.reload();
-        await("it is told", () -> log.toString(StandardCharsets.UTF_8).contains("the configuration stays"));
+        await("it is told", () -> log.toString(StandardCharsets.UTF_8).contains("configuration not reloaded"));
     }
 
     // ---- hard case 8 ----
--- a/extproc/src/test/java/martenlatch/frontend/extproc/ProcessorTest.java
+++ b/extproc/src/test/java/martenlatch/frontend/extproc/ProcessorTest.java
@@ -13,6 +13,7 @@
 import io.envoyproxy.envoy.service.ext_proc.v3.HttpBody;
 import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingRequest;
 import io.grpc.Status;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -254,7 +255,7 @@
             first.breakOff();
             assertNotNull(consult("r" + i, READ, 2).endpoint());
         }
-        assertEquals("", fixture.log.toString());
+        assertEquals("", fixture.log.toString(StandardCharsets.UTF_8));
     }
 
     /** Guards against endpoints on trial because a proxy died with all its streams. */
