--- a/sidecar/src/main/java/martenlatch/frontend/RequestParser.java
+++ b/sidecar/src/main/java/martenlatch/frontend/RequestParser.java
@@ -22,6 +22,8 @@
     /** What identifies and classifies a request must not be open to two readings. */
     private static final List<String> AT_MOST_ONCE = List.of(ID, DEADLINE, CLASS, TENANT, IDEMPOTENCY_KEY);
 
+    private static final String REPEATED = "one of " + AT_MOST_ONCE + " is repeated";
+
     private static final int BAD_REQUEST = 400;
     private static final int METHOD_NOT_ALLOWED = 405;
     private static final int MAX_DEADLINE_DIGITS = 9;
@@ -59,7 +61,7 @@
         String id = head.first(ID);
         require(id != null && !id.isEmpty(), ID + " is missing");
         for (String name : AT_MOST_ONCE) {
-            require(!head.isRepeated(name), "one of " + AT_MOST_ONCE + " is repeated");
+            require(!head.isRepeated(name), REPEATED);
         }
         Integer classIndex = classIndexes.get(emptyIfNull(head.first(CLASS)));
         require(classIndex != null, "X-Class is missing or unknown");
