--- a/sidecar/src/main/java/martenlatch/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/Sidecar.java
@@ -84,6 +84,8 @@
             warmUp(config);
         }
         log.println("martenlatch: serving on " + address);
+        // Not before: where the process has a part of a core only, clients would wait for it.
+        ConfigurationReloader.warmUp(options.configFile(), config);
     }
 
     private void joinGossip(SiteConfig config) throws IOException, InterruptedException {
@@ -122,7 +124,6 @@
                     warm.countDown();
                 })
                 .start());
-        ConfigurationReloader.warmUp(options.configFile(), config);
         warm.await();
     }
 
