--- a/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
@@ -36,20 +36,10 @@
 
     /** Starts a sidecar before one place, whose connections the test accepts itself. */
     private ServerSocket startBefore(ServerSocket place, boolean cancel) throws IOException {
-        fixture = SidecarFixture.withEndpointAt("127.0.0.1:" + place.getLocalPort());
-        fixture.cancel = cancel;
-        fixture.dialMs = 30_000;
-        fixture.start();
+        fixture = SidecarFixture.startedBefore(place, cancel);
         return place;
     }
 
-    /** As {@link SidecarFixture#awaitPending}, and long before the requests would time out. */
-    private void awaitPendingBeforeTimeout(int requests) throws InterruptedException {
-        long began = System.nanoTime();
-        fixture.awaitPending(requests);
-        assertTrue(SidecarFixture.elapsedMs(began) < NOTICED_MS, "and not when they have timed out");
-    }
-
     private long attemptsOf(String requestId) {
         return fixture.endpoints.stream()
                 .flatMap(endpoint -> endpoint.requests.stream())
@@ -271,7 +261,7 @@
                 } else {
                     fixture.whileHeld(client::close, first::reset);
                 }
-                awaitPendingBeforeTimeout(0);
+                fixture.awaitPending(0, NOTICED_MS);
                 late.open();
                 assertEquals("late", fixture.ask("order", DEADLINE_MS).body());
                 assertEquals(
@@ -297,7 +287,7 @@
             } else {
                 fixture.whileHeld(client::close, answers);
             }
-            awaitPendingBeforeTimeout(0);
+            fixture.awaitPending(0, NOTICED_MS);
             SidecarFixture.settle();
             Thread serves = new Thread(() -> serveNext(place, endpoint));
             serves.start();
--- a/sidecar/src/test/java/martenlatch/sidecar/ConnectionReuseRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ConnectionReuseRaceTest.java
@@ -1,7 +1,6 @@
 package martenlatch.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.net.ServerSocket;
@@ -30,20 +29,10 @@
 
     /** Starts a sidecar before one place, whose connections the test accepts itself. */
     private ServerSocket startBefore(ServerSocket place, boolean cancel) throws IOException {
-        fixture = SidecarFixture.withEndpointAt("127.0.0.1:" + place.getLocalPort());
-        fixture.cancel = cancel;
-        fixture.dialMs = 30_000;
-        fixture.start();
+        fixture = SidecarFixture.startedBefore(place, cancel);
         return place;
     }
 
-    /** As {@link SidecarFixture#awaitPending}, and long before the requests would time out. */
-    private void awaitPendingBeforeTimeout(int requests) throws InterruptedException {
-        long began = System.nanoTime();
-        fixture.awaitPending(requests);
-        assertTrue(SidecarFixture.elapsedMs(began) < NOTICED_MS, "and not when they have timed out");
-    }
-
     /** An answer that is there when its time is over, but was not read yet, has come in time. */
     @Test
     void anAnswerAndItsTimeOutAreOneAnswer() throws Exception {
@@ -59,7 +48,7 @@
                 }
             });
             assertEquals("first", client.read().body());
-            awaitPendingBeforeTimeout(0);
+            fixture.awaitPending(0, NOTICED_MS);
             SidecarFixture.settle();
             // Nothing of the time-out is left, neither on this connection nor on the endpoint's.
             client.send(fixture.request("order", DEADLINE_MS));
--- a/sidecar/src/test/java/martenlatch/sidecar/LongRequestBodiesTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LongRequestBodiesTest.java
@@ -35,15 +35,6 @@
         fixture.close();
     }
 
-    private void start(FakeEndpoint.Script... scripts) throws IOException {
-        FakeEndpoint[] fakes = new FakeEndpoint[scripts.length];
-        for (int i = 0; i < fakes.length; i++) {
-            fakes[i] = new FakeEndpoint(scripts[i]);
-        }
-        fixture = new SidecarFixture(fakes);
-        fixture.start();
-    }
-
     private String post(String framing) {
         return "POST /api?q=1 HTTP/1.1\r\nX-Request-Id: p" + System.nanoTime() + "\r\nX-Class: order\r\n"
                 + "X-Deadline-Ms: " + DEADLINE_MS + "\r\nHost: app.svc\r\n" + framing;
@@ -308,7 +299,7 @@
     @Test
     void answersGiveTheRoomOfBodiesBack() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        start((wire, request) -> {
+        fixture = SidecarFixture.startedWith((wire, request) -> {
             release.await();
             FakeEndpoint.answer(wire, 200, "", "served");
         });
--- a/sidecar/src/test/java/martenlatch/sidecar/LongResponsesTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LongResponsesTest.java
@@ -33,15 +33,6 @@
         fixture.close();
     }
 
-    private void start(FakeEndpoint.Script... scripts) throws IOException {
-        FakeEndpoint[] fakes = new FakeEndpoint[scripts.length];
-        for (int i = 0; i < fakes.length; i++) {
-            fakes[i] = new FakeEndpoint(scripts[i]);
-        }
-        fixture = new SidecarFixture(fakes);
-        fixture.start();
-    }
-
     private int open() {
         return fixture.endpoints.stream()
                 .mapToInt(endpoint -> endpoint.open.get())
@@ -63,7 +54,7 @@
     })
     void anAnswerOfAnyFormAndSizeComesAsItWasMade(String form, int size) throws Exception {
         byte[] made = LongBodies.bytes(size, size);
-        start((wire, request) -> {
+        fixture = SidecarFixture.startedWith((wire, request) -> {
             switch (form) {
                 case "length" -> LongBodies.write(wire, LongBodies.OK + "Content-Length: " + size + "\r\n", made);
                 case "chunked" ->
@@ -91,7 +82,7 @@
     void itsFirstBytesComeBeforeItsLast() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         byte[] made = LongBodies.bytes(1, 300_000);
-        start((wire, request) -> {
+        fixture = SidecarFixture.startedWith((wire, request) -> {
             LongBodies.write(wire, LongBodies.OK + "Content-Length: 300000\r\n", Arrays.copyOf(made, 100_000));
             release.await();
             wire.socket.getOutputStream().write(made, 100_000, 200_000);
@@ -111,7 +102,7 @@
     @CsvSource({"length,false", "chunked,false", "length,true", "chunked,true", "close,true"})
     void anAnswerCutShortIsSeenToBe(String form, boolean reset) throws Exception {
         byte[] made = LongBodies.bytes(2, 400_000);
-        start((wire, request) -> {
+        fixture = SidecarFixture.startedWith((wire, request) -> {
             byte[] all = form.equals("chunked") ? LongBodies.chunked(made) : made;
             LongBodies.write(
                     wire,
@@ -139,7 +130,7 @@
     /** A short answer that a reset cuts is none, though its head says that the connection's end ends it. */
     @Test
     void aResetIsNoEndOfAnAnswer() throws Exception {
-        start((wire, request) -> {
+        fixture = SidecarFixture.startedWith((wire, request) -> {
             wire.send(LongBodies.OK + "Connection: close\r\n\r\nhalf");
             Thread.sleep(100);
             wire.reset();
@@ -155,7 +146,7 @@
         int clients = 30;
         byte[] made = LongBodies.bytes(3, 8 * LongBodies.MB);
         AtomicInteger sent = new AtomicInteger();
-        start((wire, request) -> {
+        fixture = SidecarFixture.startedWith((wire, request) -> {
             OutputStream out = wire.socket.getOutputStream();
             wire.send(LongBodies.OK + "Content-Length: " + made.length + "\r\n\r\n");
             for (int at = 0; at < made.length; at += 64 * 1024) {
@@ -190,7 +181,7 @@
     /** A client that goes away in the middle lets the endpoint go, and the slot was free long before. */
     @Test
     void aClientThatGoesAwayEndsTheAnswer() throws Exception {
-        start((wire, request) -> {
+        fixture = SidecarFixture.startedWith((wire, request) -> {
             OutputStream out = wire.socket.getOutputStream();
             out.write((LongBodies.OK + "Content-Length: 33554432\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
             while (true) {
@@ -215,7 +206,7 @@
     @Test
     void answersStayInOrderBehindALongOne() throws Exception {
         byte[] made = LongBodies.bytes(4, 2 * LongBodies.MB);
-        start((wire, request) -> {
+        fixture = SidecarFixture.startedWith((wire, request) -> {
             if (request.headers().get("x-request-id").equals("r1")) {
                 LongBodies.write(wire, LongBodies.OK + "Transfer-Encoding: chunked\r\n", LongBodies.chunked(made));
             } else {
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
@@ -6,6 +6,7 @@
 import java.io.Closeable;
 import java.io.IOException;
 import java.io.PrintStream;
+import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -60,6 +61,23 @@
         return fixture;
     }
 
+    /** Starts a sidecar before one place, whose connections the test accepts itself. */
+    static SidecarFixture startedBefore(ServerSocket place, boolean cancel) throws IOException {
+        SidecarFixture fixture = withEndpointAt("127.0.0.1:" + place.getLocalPort());
+        fixture.cancel = cancel;
+        fixture.dialMs = 30_000;
+        return fixture.start();
+    }
+
+    /** Starts a sidecar before one endpoint for each script. */
+    static SidecarFixture startedWith(FakeEndpoint.Script... scripts) throws IOException {
+        FakeEndpoint[] endpoints = new FakeEndpoint[scripts.length];
+        for (int i = 0; i < endpoints.length; i++) {
+            endpoints[i] = new FakeEndpoint(scripts[i]);
+        }
+        return new SidecarFixture(endpoints).start();
+    }
+
     static String line(int number, String address, String state, long startedMs) {
         return "{\"id\":\"s" + number + "\",\"addr\":\"" + address
                 + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":0,"
@@ -171,6 +189,13 @@
         await(requestCount + " requests are pending", () -> tableSizes().get(0) == requestCount);
     }
 
+    /** As above, and within a time in which the requests would not time out. */
+    void awaitPending(int requestCount, double withinMs) throws InterruptedException {
+        long startedNanos = System.nanoTime();
+        awaitPending(requestCount);
+        assertTrue(elapsedMs(startedNanos) < withinMs, "and not when they have timed out");
+    }
+
     static double elapsedMs(long sinceNanos) {
         return (System.nanoTime() - sinceNanos) / 1e6;
     }
