--- a/extproc/src/main/java/martenlatch/extproc/ExtProcServer.java
+++ b/extproc/src/main/java/martenlatch/extproc/ExtProcServer.java
@@ -112,7 +112,7 @@
                 config.seed(),
                 config.known(),
                 RequestObserver.NONE);
-        discovery.setListener(gate.before(requestTracker), config.known().version());
+        discovery.setListener(gate.wrap(requestTracker), config.known().version());
         processor = new Processor(scheduler, loop, logger, requestTracker, addresses, settings, config.settings());
     }
 
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimSidecar.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimSidecar.java
@@ -166,7 +166,7 @@
         });
         exchange = new RequestTracker(
                 own, complaints, new Table(), watch::start, settings, seed * 31 + life, known, RequestObserver.NONE);
-        watch.setListener(gate.before(exchange), known.version());
+        watch.setListener(gate.wrap(exchange), known.version());
     }
 
     private void serve() {
--- a/sidecar/src/main/java/martenlatch/discovery/EndpointListGate.java
+++ b/sidecar/src/main/java/martenlatch/discovery/EndpointListGate.java
@@ -66,7 +66,7 @@
     }
 
     /** A listener that passes everything on, and has the gate open once a list has been passed on. */
-    public EndpointList.Listener before(EndpointList.Listener next) {
+    public EndpointList.Listener wrap(EndpointList.Listener next) {
         return new EndpointList.Listener() {
             @Override
             public void onEndpointList(EndpointList list) {
--- a/sidecar/src/main/java/martenlatch/sidecar/SidecarParts.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/SidecarParts.java
@@ -88,7 +88,7 @@
         adminOperations = new AdminOperations(scheduler, logger, new OperatorControl());
         adminServer = new AdminServer(loop, adminOperations);
         discovery.setListener(
-                endpointListGate.before(new EndpointListRelay()), config.known().version());
+                endpointListGate.wrap(new EndpointListRelay()), config.known().version());
         frontend = new Frontend(
                 loop, scheduler, logger, requestTracker, endpointPool, config.settings(), budget.clientConnections());
         adminOperations.onEndpointList(config.known());
