--- a/fleet/src/main/java/martenlatch/fleet/sim/SimSidecar.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimSidecar.java
@@ -449,7 +449,7 @@
         }
 
         @Override
-        public void leaveAddress(Poll outstanding) {
+        public void switchAddress(Poll outstanding) {
             if (outstanding == null) {
                 end(connection);
             } else {
--- a/sidecar/src/main/java/martenlatch/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/martenlatch/discovery/DiscoveryClient.java
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public void leaveAddress(Poll outstanding) {
+    public void switchAddress(Poll outstanding) {
         if (outstanding != null) {
             superseded.put(outstanding.number(), connection);
         } else {
--- a/sidecar/src/main/java/martenlatch/discovery/DiscoveryTransport.java
+++ b/sidecar/src/main/java/martenlatch/discovery/DiscoveryTransport.java
@@ -17,7 +17,7 @@
      *
      * @param outstanding the poll that goes on until {@link #endSuperseded}, or null
      */
-    void leaveAddress(Poll outstanding);
+    void switchAddress(Poll outstanding);
 
     /** Gives up a poll that was sent before discovery moved, and its connection. */
     void endSuperseded(long poll);
--- a/sidecar/src/main/java/martenlatch/discovery/EndpointListWatcher.java
+++ b/sidecar/src/main/java/martenlatch/discovery/EndpointListWatcher.java
@@ -113,7 +113,7 @@
      */
     public void onMoved() {
         knownVersion = OptionalLong.empty();
-        transport.leaveAddress(outstanding == null ? null : outstanding.poll);
+        transport.switchAddress(outstanding == null ? null : outstanding.poll);
         if (outstanding != null) {
             superseded.addLast(outstanding);
             outstanding = null;
--- a/sidecar/src/test/java/martenlatch/discovery/EndpointListWatcherTest.java
+++ b/sidecar/src/test/java/martenlatch/discovery/EndpointListWatcherTest.java
@@ -108,7 +108,7 @@
         }
 
         @Override
-        public void leaveAddress(Poll left) {
+        public void switchAddress(Poll left) {
             assertEquals(outstanding, left);
             if (left != null) {
                 superseded.put(left.number(), left);
