--- a/sidecar/src/main/java/martenlatch/sidecar/GossipTransport.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/GossipTransport.java
@@ -57,12 +57,12 @@
         membership = new GossipMembership(
                 GossipSettings.withDefaults(
                         settings.ownIndex(),
-                        peerAddresses.each().size(),
+                        peerAddresses.addresses().size(),
                         settings.tier(),
                         Math.min(MAX_ZONE, settings.ownZone())),
                 seed,
                 this);
-        applyAddresses(peerAddresses.each());
+        applyAddresses(peerAddresses.addresses());
     }
 
     /** Takes over the addresses of the others; their number cannot change in service. */
--- a/sidecar/src/main/java/martenlatch/sidecar/SidecarParts.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/SidecarParts.java
@@ -124,7 +124,7 @@
     /** Takes over the addresses of the other sidecars; throws if there are not as many as before. */
     void applyGossipAddresses(SiteConfig next) {
         if (gossip != null) {
-            gossip.applyAddresses(next.peerAddresses().each());
+            gossip.applyAddresses(next.peerAddresses().addresses());
         }
     }
 
--- a/sidecar/src/main/java/martenlatch/site/PeerAddresses.java
+++ b/sidecar/src/main/java/martenlatch/site/PeerAddresses.java
@@ -11,14 +11,14 @@
  * How a sidecar reaches the others for gossip.
  *
  * @param listen the address on which it receives datagrams
- * @param each the address of each sidecar of the tier, by index, its own among them: datagrams are sent to it and
+ * @param addresses the address of each sidecar of the tier, by index, its own among them: datagrams are sent to it and
  *     arrive from it
  */
-public record PeerAddresses(InetSocketAddress listen, List<InetSocketAddress> each) {
+public record PeerAddresses(InetSocketAddress listen, List<InetSocketAddress> addresses) {
 
     /** Copies the list. */
     public PeerAddresses {
-        each = List.copyOf(each);
+        addresses = List.copyOf(addresses);
     }
 
     /** Parses the fields of a configuration. */
