--- a/extproc/src/main/java/martenlatch/extproc/ExtProcServer.java
+++ b/extproc/src/main/java/martenlatch/extproc/ExtProcServer.java
@@ -110,9 +110,10 @@
                 discovery::start,
                 config.settings(),
                 config.seed(),
-                config.known(),
+                config.cachedEndpointList(),
                 RequestObserver.NONE);
-        discovery.setListener(gate.wrap(requestTracker), config.known().version());
+        discovery.setListener(
+                gate.wrap(requestTracker), config.cachedEndpointList().version());
         processor = new Processor(scheduler, loop, logger, requestTracker, addresses, settings, config.settings());
     }
 
--- a/sidecar/src/main/java/martenlatch/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/Sidecar.java
@@ -49,8 +49,8 @@
         // may be no descriptor for it, and the error would end the event loop.
         TimeZone.getDefault();
         log.println("martenlatch: " + System.currentTimeMillis() + " starting with version "
-                + config.known().version() + " of the endpoint list, "
-                + config.known().entries().size() + " endpoints, discovery at " + config.discovery());
+                + config.cachedEndpointList().version() + " of the endpoint list, "
+                + config.cachedEndpointList().entries().size() + " endpoints, discovery at " + config.discovery());
         Sidecar sidecar = new Sidecar(options, log);
         try {
             sidecar.startParts(config);
--- a/sidecar/src/main/java/martenlatch/sidecar/SidecarParts.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/SidecarParts.java
@@ -83,15 +83,16 @@
                 discovery::start,
                 config.settings(),
                 config.seed(),
-                config.known(),
+                config.cachedEndpointList(),
                 RequestObserver.NONE);
         adminOperations = new AdminOperations(scheduler, logger, new OperatorControl());
         adminServer = new AdminServer(loop, adminOperations);
         discovery.setListener(
-                endpointListGate.wrap(new EndpointListRelay()), config.known().version());
+                endpointListGate.wrap(new EndpointListRelay()),
+                config.cachedEndpointList().version());
         frontend = new Frontend(
                 loop, scheduler, logger, requestTracker, endpointPool, config.settings(), budget.clientConnections());
-        adminOperations.onEndpointList(config.known());
+        adminOperations.onEndpointList(config.cachedEndpointList());
         if (config.admin() != null) {
             adminOperations.share(sharedFolder, config.name(), loop);
         }
--- a/sidecar/src/main/java/martenlatch/site/SiteConfig.java
+++ b/sidecar/src/main/java/martenlatch/site/SiteConfig.java
@@ -35,7 +35,7 @@
  * @param sockets the number of descriptors that the process may hold
  * @param idleCloseMs after how long at most an endpoint closes an idle connection, in milliseconds
  * @param names the zones and machine kinds that lists refer to
- * @param known the endpoint list known so far
+ * @param cachedEndpointList the endpoint list known so far
  * @param settings the load balancer's settings
  * @param fields the {@link FieldPaths} of the file
  * @param peerListen the gossip address as in the file, checked only where gossip is on
@@ -50,7 +50,7 @@
         int sockets,
         double idleCloseMs,
         EndpointListDecoder.Names names,
-        EndpointList known,
+        EndpointList cachedEndpointList,
         BalancerSettings settings,
         Set<String> fields,
         Object peerListen,
--- a/sidecar/src/test/java/martenlatch/sidecar/SiteConfigTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SiteConfigTest.java
@@ -34,8 +34,9 @@
         assertEquals(0x8c1f30d27a5be964L, config.seed());
         assertEquals(1024, config.sockets());
         assertEquals(15_000, config.idleCloseMs());
-        assertEquals(1, config.known().version());
-        assertEquals("s0", config.known().entries().get(0).endpoint().id());
+        assertEquals(1, config.cachedEndpointList().version());
+        assertEquals(
+                "s0", config.cachedEndpointList().entries().get(0).endpoint().id());
         assertEquals(3, config.settings().classes().size());
     }
 
