--- a/sidecar/src/main/java/martenlatch/sidecar/SidecarParts.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/SidecarParts.java
@@ -61,7 +61,7 @@
         logger = new RateLimitedLogger(scheduler, log);
         EndpointListGate endpointListGate =
                 new EndpointListGate(scheduler, config.settings(), maxListWaitMs, endpointListReady::complete);
-        DescriptorBudget budget = DescriptorBudget.of(config.sockets(), config.admin() != null);
+        DescriptorBudget budget = DescriptorBudget.of(config.maxDescriptors(), config.admin() != null);
         endpointPool = new EndpointPool(
                 loop,
                 scheduler,
--- a/sidecar/src/main/java/martenlatch/sidecar/Warmup.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/Warmup.java
@@ -112,10 +112,11 @@
                 true,
                 List.of(new EndpointList.Entry(
                         new Endpoint("warm-up", config.settings().ownZone(), 0, 0, 0, EndpointStatus.READY, 1), at)));
-        pool = new EndpointPool(loop, scheduler, silent, MAX_MS, config.idleCloseMs(), config.sockets());
+        pool = new EndpointPool(loop, scheduler, silent, MAX_MS, config.idleCloseMs(), config.maxDescriptors());
         RequestTracker requestTracker = new RequestTracker(
                 scheduler, silent, pool, () -> {}, config.settings(), config.seed(), list, RequestObserver.NONE);
-        frontend = new Frontend(loop, scheduler, silent, requestTracker, pool, config.settings(), config.sockets());
+        frontend =
+                new Frontend(loop, scheduler, silent, requestTracker, pool, config.settings(), config.maxDescriptors());
         ChannelFuture bound = frontend.listen(ephemeral());
         bound.addListener(up -> {
             if (up.isSuccess() && !ended) {
--- a/sidecar/src/main/java/martenlatch/site/SiteConfig.java
+++ b/sidecar/src/main/java/martenlatch/site/SiteConfig.java
@@ -32,7 +32,7 @@
  * @param admin the address for operators, or null
  * @param discovery the address of discovery
  * @param seed makes random choices repeatable
- * @param sockets the number of descriptors that the process may hold
+ * @param maxDescriptors the number of descriptors that the process may hold
  * @param idleCloseMs after how long at most an endpoint closes an idle connection, in milliseconds
  * @param names the zones and machine kinds that lists refer to
  * @param cachedEndpointList the endpoint list known so far
@@ -47,7 +47,7 @@
         InetSocketAddress admin,
         InetSocketAddress discovery,
         long seed,
-        int sockets,
+        int maxDescriptors,
         double idleCloseMs,
         EndpointListDecoder.Names names,
         EndpointList cachedEndpointList,
--- a/sidecar/src/test/java/martenlatch/sidecar/SiteConfigTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SiteConfigTest.java
@@ -32,7 +32,7 @@
     void whatItHoldsIsRead() throws IOException {
         SiteConfig config = read("", "");
         assertEquals(0x8c1f30d27a5be964L, config.seed());
-        assertEquals(1024, config.sockets());
+        assertEquals(1024, config.maxDescriptors());
         assertEquals(15_000, config.idleCloseMs());
         assertEquals(1, config.cachedEndpointList().version());
         assertEquals(
