--- a/sidecar/src/main/java/martenlatch/sidecar/ConfigurationReloader.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/ConfigurationReloader.java
@@ -26,7 +26,7 @@
      */
     static void warmUp(Path file, SiteConfig config) {
         try {
-            differsInSettings(config.readAgain(file), config);
+            differsInSettings(config.reload(file), config);
         } catch (IOException | RuntimeException e) {
             // The file has been changed since the start; a reload will tell what is wrong with it.
             return;
@@ -41,7 +41,7 @@
     void reload() {
         try {
             SiteConfig current = configuration.get();
-            SiteConfig next = current.readAgain(file);
+            SiteConfig next = current.reload(file);
             parts.applyGossipAddresses(next);
             boolean settingsChanged = differsInSettings(next, current);
             log.println("martenlatch: configuration reloaded: discovery at " + next.discovery()
--- a/sidecar/src/main/java/martenlatch/site/SiteConfig.java
+++ b/sidecar/src/main/java/martenlatch/site/SiteConfig.java
@@ -90,7 +90,7 @@
      *
      * @throws ConfigurationException if the file cannot be used as a whole
      */
-    public SiteConfig readAgain(Path file) throws IOException {
+    public SiteConfig reload(Path file) throws IOException {
         SiteConfig next = read(file);
         FieldPaths.requireNoneMissing(fields, next.fields);
         if (!next.names.equals(names)) {
