--- a/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
@@ -251,7 +251,7 @@
     @ParameterizedTest
     @CsvSource({"true, true", "true, false", "false, true", "false, false"})
     void aRepeatIsNotSentForAClientWhoseEndComesWithItsCause(boolean causeFirst, boolean cancel) throws Exception {
-        try (ServerSocket place = startBefore(LateEndpoint.queue(), cancel)) {
+        try (ServerSocket place = startBefore(LateEndpoint.listenWithShortBacklog(), cancel)) {
             RawHttpClient client = fixture.client().send(fixture.request("read", DEADLINE_MS));
             RawHttpClient first = new RawHttpClient(place.accept());
             first.read();
@@ -277,7 +277,7 @@
     @ParameterizedTest
     @CsvSource({"true, true", "true, false", "false, true", "false, false"})
     void anAnswerAndTheEndOfItsClient(boolean answerFirst, boolean cancel) throws Exception {
-        try (ServerSocket place = startBefore(LateEndpoint.queue(), cancel)) {
+        try (ServerSocket place = startBefore(LateEndpoint.listenWithShortBacklog(), cancel)) {
             RawHttpClient client = fixture.client().send(fixture.request("order", DEADLINE_MS));
             RawHttpClient endpoint = new RawHttpClient(place.accept());
             endpoint.read();
--- a/sidecar/src/test/java/martenlatch/sidecar/DeduplicationWindowRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DeduplicationWindowRaceTest.java
@@ -31,7 +31,7 @@
      */
     @Test
     void aKeyedRepeatIsNotSentAfterItsWindow() throws Exception {
-        try (ServerSocket place = LateEndpoint.queue()) {
+        try (ServerSocket place = LateEndpoint.listenWithShortBacklog()) {
             fixture = SidecarFixture.withEndpointAt("127.0.0.1:" + place.getLocalPort());
             fixture.dialMs = 30_000;
             fixture.windowMs = 3000;
--- a/sidecar/src/test/java/martenlatch/sidecar/LateEndpoint.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LateEndpoint.java
@@ -24,7 +24,7 @@
     private final List<Socket> inQueue = new ArrayList<>();
 
     LateEndpoint() throws IOException {
-        this(queue());
+        this(listenWithShortBacklog());
     }
 
     /** One at a place that has taken connections before. */
@@ -37,7 +37,7 @@
     }
 
     /** A place whose queue is short. */
-    static ServerSocket queue() throws IOException {
+    static ServerSocket listenWithShortBacklog() throws IOException {
         return new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
     }
 
