--- a/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
@@ -146,7 +146,7 @@
             leaves.close();
             fixture.awaitPending(1);
             assertTrue(SidecarFixture.elapsedMs(began) < NOTICED_MS, "withdrawn, and not timed out");
-            late.open();
+            late.startAccepting();
             assertEquals("late", stays.read().body());
             stays.close();
             assertEquals(
@@ -262,7 +262,7 @@
                     fixture.whileHeld(client::close, first::reset);
                 }
                 fixture.awaitPending(0, NOTICED_MS);
-                late.open();
+                late.startAccepting();
                 assertEquals("late", fixture.ask("order", DEADLINE_MS).body());
                 assertEquals(
                         List.of("r1"),
--- a/sidecar/src/test/java/martenlatch/sidecar/DeduplicationWindowRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DeduplicationWindowRaceTest.java
@@ -46,7 +46,7 @@
                 assertEquals(503, answer.status(), "every endpoint drops it when it is sent again in time");
                 assertTrue(SidecarFixture.elapsedMs(began) >= 2500, "it was to be repeated within the window");
                 assertTrue(SidecarFixture.elapsedMs(began) < NOTICED_MS, "given up is answered at once");
-                late.open();
+                late.startAccepting();
                 assertEquals("late", fixture.ask("order", DEADLINE_MS).body());
                 assertEquals(
                         List.of("r1"),
--- a/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
@@ -258,7 +258,7 @@
                     });
             assertEquals("served", unsafe.read().body(), "it never ran, so another one may have it");
             unsafe.close();
-            late.open();
+            late.startAccepting();
             assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
             assertEquals(List.of(), late.requests);
         }
--- a/sidecar/src/test/java/martenlatch/sidecar/LateEndpoint.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LateEndpoint.java
@@ -58,7 +58,7 @@
     }
 
     /** From now on it takes connections, and serves. */
-    void open() throws IOException {
+    void startAccepting() throws IOException {
         for (Socket socket : inQueue) {
             socket.close();
         }
