--- a/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
@@ -133,7 +133,7 @@
     @ValueSource(strings = {"order, cancel", "order", "read, cancel", "read"})
     void nothingIsSentForAClientThatLeftBeforeTheConnectionWasUp(String how) throws Exception {
         String kind = how.split(",", 2)[0];
-        try (LateEndpoint late = new LateEndpoint()) {
+        try (DelayedAcceptEndpoint late = new DelayedAcceptEndpoint()) {
             fixture = SidecarFixture.withEndpointAt(late.address());
             fixture.cancel = how.endsWith("cancel");
             fixture.dialMs = 30_000;
@@ -251,11 +251,11 @@
     @ParameterizedTest
     @CsvSource({"true, true", "true, false", "false, true", "false, false"})
     void aRepeatIsNotSentForAClientWhoseEndComesWithItsCause(boolean causeFirst, boolean cancel) throws Exception {
-        try (ServerSocket place = startBefore(LateEndpoint.listenWithShortBacklog(), cancel)) {
+        try (ServerSocket place = startBefore(DelayedAcceptEndpoint.listenWithShortBacklog(), cancel)) {
             RawHttpClient client = fixture.client().send(fixture.request("read", DEADLINE_MS));
             RawHttpClient first = new RawHttpClient(place.accept());
             first.read();
-            try (LateEndpoint late = new LateEndpoint(place)) {
+            try (DelayedAcceptEndpoint late = new DelayedAcceptEndpoint(place)) {
                 if (causeFirst) {
                     fixture.whileHeld(first::reset, client::close);
                 } else {
@@ -277,7 +277,7 @@
     @ParameterizedTest
     @CsvSource({"true, true", "true, false", "false, true", "false, false"})
     void anAnswerAndTheEndOfItsClient(boolean answerFirst, boolean cancel) throws Exception {
-        try (ServerSocket place = startBefore(LateEndpoint.listenWithShortBacklog(), cancel)) {
+        try (ServerSocket place = startBefore(DelayedAcceptEndpoint.listenWithShortBacklog(), cancel)) {
             RawHttpClient client = fixture.client().send(fixture.request("order", DEADLINE_MS));
             RawHttpClient endpoint = new RawHttpClient(place.accept());
             endpoint.read();
--- a/sidecar/src/test/java/martenlatch/sidecar/ConnectionReuseRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ConnectionReuseRaceTest.java
@@ -36,7 +36,7 @@
     /** An answer that is there when its time is over, but was not read yet, has come in time. */
     @Test
     void anAnswerAndItsTimeOutAreOneAnswer() throws Exception {
-        try (ServerSocket place = startBefore(LateEndpoint.listenWithShortBacklog(), true);
+        try (ServerSocket place = startBefore(DelayedAcceptEndpoint.listenWithShortBacklog(), true);
                 RawHttpClient client = fixture.client()) {
             client.send(fixture.request("order", SHORT_MS));
             RawHttpClient endpoint = new RawHttpClient(place.accept());
@@ -62,7 +62,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"whole", "half"})
     void anAnswerAndTheResetBehindIt(String what) throws Exception {
-        try (ServerSocket place = startBefore(LateEndpoint.listenWithShortBacklog(), true);
+        try (ServerSocket place = startBefore(DelayedAcceptEndpoint.listenWithShortBacklog(), true);
                 RawHttpClient client = fixture.client()) {
             client.send(fixture.request("order", DEADLINE_MS));
             RawHttpClient endpoint = new RawHttpClient(place.accept());
--- a/sidecar/src/test/java/martenlatch/sidecar/DeduplicationWindowRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DeduplicationWindowRaceTest.java
@@ -31,7 +31,7 @@
      */
     @Test
     void aKeyedRepeatIsNotSentAfterItsWindow() throws Exception {
-        try (ServerSocket place = LateEndpoint.listenWithShortBacklog()) {
+        try (ServerSocket place = DelayedAcceptEndpoint.listenWithShortBacklog()) {
             fixture = SidecarFixture.withEndpointAt("127.0.0.1:" + place.getLocalPort());
             fixture.dialMs = 30_000;
             fixture.windowMs = 3000;
@@ -40,7 +40,7 @@
             RawHttpClient client = fixture.client().send(fixture.request("move", DEADLINE_MS));
             RawHttpClient first = new RawHttpClient(place.accept());
             first.read();
-            try (LateEndpoint late = new LateEndpoint(place)) {
+            try (DelayedAcceptEndpoint late = new DelayedAcceptEndpoint(place)) {
                 first.reset();
                 RawHttpClient.Message answer = client.read();
                 assertEquals(503, answer.status(), "every endpoint drops it when it is sent again in time");
--- a/sidecar/src/test/java/martenlatch/sidecar/LateEndpoint.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DelayedAcceptEndpoint.java
@@ -15,7 +15,7 @@
  * An endpoint to which connections don't come up until it is let: its queue is full before, so that the
  * system drops what knocks, and whoever knocks does so again a second later.
  */
-final class LateEndpoint implements Closeable {
+final class DelayedAcceptEndpoint implements Closeable {
 
     private static final int KNOCK_MS = 300;
 
@@ -23,12 +23,12 @@
     private final ServerSocket listener;
     private final List<Socket> inQueue = new ArrayList<>();
 
-    LateEndpoint() throws IOException {
+    DelayedAcceptEndpoint() throws IOException {
         this(listenWithShortBacklog());
     }
 
     /** One at a place that has taken connections before. */
-    LateEndpoint(ServerSocket place) throws IOException {
+    DelayedAcceptEndpoint(ServerSocket place) throws IOException {
         listener = place;
         boolean connected = true;
         while (connected) {
--- a/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
@@ -233,7 +233,7 @@
     @ValueSource(strings = {"terminating", "terminated", "left out", "restarted"})
     void anAttemptThatWaitsForItsConnectionLeavesAnEndpointThatDrains(String how) throws Exception {
         LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
-        try (LateEndpoint late = new LateEndpoint();
+        try (DelayedAcceptEndpoint late = new DelayedAcceptEndpoint();
                 FakeEndpoint other = FakeEndpoint.serving();
                 FakeEndpoint again = FakeEndpoint.serving()) {
             fixture = SidecarFixture.withEndpointAt(late.address());
