--- a/extproc/src/main/java/martenlatch/frontend/extproc/ProcessingResponses.java
+++ b/extproc/src/main/java/martenlatch/frontend/extproc/ProcessingResponses.java
@@ -27,7 +27,7 @@
     /** On a response: the proxy may retry the request, and is to ask again for it. */
     static final String RETRY = "x-martenlatch-retry";
 
-    private static final String DEADLINE = RequestParser.DEADLINE.toLowerCase(Locale.ROOT);
+    private static final String DEADLINE = RequestParser.DEADLINE_HEADER.toLowerCase(Locale.ROOT);
 
     /** Passes the response on unchanged. */
     public static final ProcessingResponse PASS = ProcessingResponse.newBuilder()
--- a/extproc/src/main/java/martenlatch/frontend/extproc/Processor.java
+++ b/extproc/src/main/java/martenlatch/frontend/extproc/Processor.java
@@ -191,7 +191,8 @@
         String id = request.id();
         int attempt = attempt(head.first(ATTEMPT_HEADER));
         if (id.length() > MAX_ID_LENGTH) {
-            stream.end(ProcessingResponses.immediate(400, RequestParser.ID + " is longer than " + MAX_ID_LENGTH));
+            stream.end(ProcessingResponses.immediate(
+                    400, RequestParser.REQUEST_ID_HEADER + " is longer than " + MAX_ID_LENGTH));
         } else if (attempt < 0) {
             stream.end(ProcessingResponses.immediate(400, ATTEMPT_HEADER + " is no whole number"));
         } else {
@@ -201,7 +202,8 @@
                 case NEW_REQUEST -> accept(stream, request, requestClass);
                 case NEXT_ATTEMPT -> requests.get(id).onNextStream(stream);
                 case IN_FLIGHT ->
-                    stream.end(ProcessingResponses.immediate(409, RequestParser.ID + " is that of a request in hand"));
+                    stream.end(ProcessingResponses.immediate(
+                            409, RequestParser.REQUEST_ID_HEADER + " is that of a request in hand"));
                 case MAY_HAVE_EXECUTED ->
                     stream.end(ProcessingResponses.immediate(500, "it may have run, and may not run again"));
                 case TABLE_FULL -> {
--- a/sidecar/src/main/java/martenlatch/frontend/RequestParser.java
+++ b/sidecar/src/main/java/martenlatch/frontend/RequestParser.java
@@ -11,16 +11,17 @@
 public final class RequestParser {
 
     /** How long the client waits, in whole milliseconds. */
-    public static final String DEADLINE = "X-Deadline-Ms";
+    public static final String DEADLINE_HEADER = "X-Deadline-Ms";
     /** The id of the request. */
-    public static final String ID = "X-Request-Id";
+    public static final String REQUEST_ID_HEADER = "X-Request-Id";
 
     private static final String CLASS = "X-Class";
     private static final String TENANT = "X-Tenant";
     private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
     private static final String RETRY = "X-Retry";
     /** What identifies and classifies a request must not be open to two readings. */
-    private static final List<String> AT_MOST_ONCE = List.of(ID, DEADLINE, CLASS, TENANT, IDEMPOTENCY_KEY);
+    private static final List<String> AT_MOST_ONCE =
+            List.of(REQUEST_ID_HEADER, DEADLINE_HEADER, CLASS, TENANT, IDEMPOTENCY_KEY);
 
     private static final String REPEATED = "one of " + AT_MOST_ONCE + " is repeated";
 
@@ -58,8 +59,8 @@
         if (!"GET".equals(method) && !"POST".equals(method)) {
             throw new InvalidRequestException(METHOD_NOT_ALLOWED, "only GET and POST are served");
         }
-        String id = head.first(ID);
-        require(id != null && !id.isEmpty(), ID + " is missing");
+        String id = head.first(REQUEST_ID_HEADER);
+        require(id != null && !id.isEmpty(), REQUEST_ID_HEADER + " is missing");
         for (String name : AT_MOST_ONCE) {
             require(!head.isRepeated(name), REPEATED);
         }
@@ -68,8 +69,8 @@
         Integer tenantIndex =
                 tenantIndexes.isEmpty() ? Integer.valueOf(0) : tenantIndexes.get(emptyIfNull(head.first(TENANT)));
         require(tenantIndex != null, "X-Tenant is missing or unknown");
-        long waitsMs = wholeNumber(emptyIfNull(head.first(DEADLINE)));
-        require(waitsMs >= 0, DEADLINE + " is no whole number");
+        long waitsMs = wholeNumber(emptyIfNull(head.first(DEADLINE_HEADER)));
+        require(waitsMs >= 0, DEADLINE_HEADER + " is no whole number");
         // No client waits longer than its class allows, whatever it says.
         double allowedMs = Math.min((double) waitsMs, classes.get(classIndex).deadlineMs());
         double marginMs = Math.min(MAX_ANSWER_MARGIN_MS, allowedMs * ANSWER_MARGIN_SHARE);
--- a/sidecar/src/main/java/martenlatch/frontend/http/ClientConnection.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/ClientConnection.java
@@ -271,7 +271,9 @@
         Request request = arrival.request();
         if (context.requestTracker().isPending(request.id())) {
             arrival.response()
-                    .rejectInvalid(HttpResponseStatus.CONFLICT, RequestParser.ID + " is that of a request in hand");
+                    .rejectInvalid(
+                            HttpResponseStatus.CONFLICT,
+                            RequestParser.REQUEST_ID_HEADER + " is that of a request in hand");
             return;
         }
         arrival.response().setRequestId(request.id());
--- a/sidecar/src/main/java/martenlatch/sidecar/Warmup.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/Warmup.java
@@ -165,7 +165,7 @@
         request.headers()
                 .set("X-Request-Id", "warm-up-" + answered)
                 .set("X-Class", requestClass.name())
-                .set(RequestParser.DEADLINE, MAX_MS)
+                .set(RequestParser.DEADLINE_HEADER, MAX_MS)
                 .set("Host", "warm-up")
                 .set("Cookie", "key=0")
                 .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
