--- a/sidecar/src/main/java/martenlatch/frontend/http/ClientConnections.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/ClientConnections.java
@@ -9,7 +9,7 @@
 final class ClientConnections {
 
     /** Connections above the bound that are still accepted, to reject their requests in an orderly way. */
-    static final int OVERFLOW = 16;
+    static final int OVERFLOW_CONNECTIONS = 16;
 
     private final int max;
     private final RateLimitedLogger logger;
@@ -95,7 +95,7 @@
     }
 
     private void updateAccepting() {
-        boolean hasRoom = all.size() < max + OVERFLOW;
+        boolean hasRoom = all.size() < max + OVERFLOW_CONNECTIONS;
         if (!hasRoom) {
             logger.log("no more connections are taken in", all.size() + " are open");
         }
--- a/sidecar/src/main/java/martenlatch/frontend/http/Frontend.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/Frontend.java
@@ -22,7 +22,7 @@
 public final class Frontend {
 
     /** Connections above the bound that are still accepted, to reject their requests in an orderly way. */
-    public static final int OVERFLOW = ClientConnections.OVERFLOW;
+    public static final int OVERFLOW_CONNECTIONS = ClientConnections.OVERFLOW_CONNECTIONS;
 
     private static final int ACCEPT_QUEUE_LENGTH = 1024;
 
@@ -39,7 +39,7 @@
     /**
      * Creates a frontend that does not listen yet.
      *
-     * @param maxConnections the largest number of client connections, without {@link #OVERFLOW}
+     * @param maxConnections the largest number of client connections, without {@link #OVERFLOW_CONNECTIONS}
      */
     public Frontend(
             EventLoop loop,
--- a/sidecar/src/main/java/martenlatch/sidecar/DescriptorBudget.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/DescriptorBudget.java
@@ -25,7 +25,7 @@
     static DescriptorBudget of(int descriptors, boolean hasAdminApi) {
         int reserved = RESERVED + (hasAdminApi ? RESERVED_FOR_ADMIN : 0);
         int half = Math.max(MIN_CONNECTIONS, (descriptors - openFiles() - reserved) / 2);
-        return new DescriptorBudget(Math.max(MIN_CONNECTIONS, half - Frontend.OVERFLOW), half);
+        return new DescriptorBudget(Math.max(MIN_CONNECTIONS, half - Frontend.OVERFLOW_CONNECTIONS), half);
     }
 
     private static int openFiles() {
