--- a/sidecar/src/test/java/martenlatch/sidecar/AdminOperationsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/AdminOperationsTest.java
@@ -351,7 +351,7 @@
         hold.countDown();
         for (RawHttpClient wire : waiting) {
             RawHttpClient.Message answer = wire.read();
-            assertTrue(answer.status() == 200 || answer.status() == 503, answer.line());
+            assertTrue(answer.status() == 200 || answer.status() == 503, answer.startLine());
             assertEquals("close", answer.headers().get("connection"));
         }
         SidecarFixture.await("it sees its heir", () -> old.logged().contains("another process serves this address"));
--- a/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
@@ -186,7 +186,7 @@
             long began = System.nanoTime();
             fixture.sidecar.reload();
             SidecarFixture.await("it asks anew, and goes on", () -> moved.requests.size() == 4);
-            assertTrue(moved.requests.get(1).line().contains("wait=20000"), "the usual wait is much longer");
+            assertTrue(moved.requests.get(1).startLine().contains("wait=20000"), "the usual wait is much longer");
             assertTrue(SidecarFixture.elapsedMs(began) < 10_000, "and is not waited for");
             assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size());
@@ -220,7 +220,7 @@
             assertEquals(
                     List.of("index=1&", "index=7&", "index=7&", "index=3&"),
                     fixture.discovery.requests.stream()
-                            .map(request -> request.line().replaceAll(".*(index=\\d+&).*", "$1"))
+                            .map(request -> request.startLine().replaceAll(".*(index=\\d+&).*", "$1"))
                             .toList());
         }
     }
@@ -373,7 +373,7 @@
         fixture = new SidecarFixture(FakeEndpoint.serving());
         fixture.maxListWaitMs = SidecarFixture.PATIENCE_MS;
         fixture.discovery.script = (wire, request) -> {
-            if (request.line().endsWith("wait=1 HTTP/1.1")) {
+            if (request.startLine().endsWith("wait=1 HTTP/1.1")) {
                 FakeEndpoint.answer(wire, 200, "", SidecarFixture.list(1, false));
             } else {
                 wire.awaitEnd();
@@ -381,7 +381,7 @@
         };
         fixture.start();
         SidecarFixture.await("a watch is started", () -> fixture.discovery.requests.size() == 2);
-        assertTrue(fixture.discovery.requests.get(1).line().contains("index=1&wait=20000"));
+        assertTrue(fixture.discovery.requests.get(1).startLine().contains("index=1&wait=20000"));
         assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
         assertFalse(fixture.logged().contains("from the configuration's endpoint list"), fixture.logged());
     }
--- a/sidecar/src/test/java/martenlatch/sidecar/LongRequestBodiesTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LongRequestBodiesTest.java
@@ -344,7 +344,7 @@
             for (RawHttpClient client : clients) {
                 client.socket.getOutputStream().write(sent, 700_000, 200_000);
                 RawHttpClient.Message answer = client.read();
-                assertTrue(answer.status() == 200 || answer.status() == 503, answer.line());
+                assertTrue(answer.status() == 200 || answer.status() == 503, answer.startLine());
                 served += answer.status() == 200 ? 1 : 0;
                 client.close();
             }
--- a/sidecar/src/test/java/martenlatch/sidecar/LostCallsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LostCallsTest.java
@@ -27,7 +27,7 @@
 
     private final AtomicInteger givenUp = new AtomicInteger();
     private final FakeEndpoint endpoint = new FakeEndpoint((wire, request) -> {
-        if (request.line().startsWith("POST")) {
+        if (request.startLine().startsWith("POST")) {
             wire.awaitEnd();
             givenUp.incrementAndGet();
         } else {
--- a/sidecar/src/test/java/martenlatch/sidecar/RawHttpClient.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/RawHttpClient.java
@@ -20,9 +20,9 @@
     private static final int PATIENCE_MS = 20_000;
 
     /** A message: its first line, its headers in lower case and its body. */
-    record Message(String line, Map<String, String> headers, String body) {
+    record Message(String startLine, Map<String, String> headers, String body) {
         int status() {
-            return Integer.parseInt(line.split(" ", 3)[1]);
+            return Integer.parseInt(startLine.split(" ", 3)[1]);
         }
     }
 
@@ -116,7 +116,7 @@
     Message read() throws IOException {
         Message head = readHead();
         byte[] body = in.readNBytes(Integer.parseInt(head.headers().getOrDefault("content-length", "0")));
-        return new Message(head.line(), head.headers(), new String(body, StandardCharsets.ISO_8859_1));
+        return new Message(head.startLine(), head.headers(), new String(body, StandardCharsets.ISO_8859_1));
     }
 
     Message readHead() throws IOException {
--- a/sidecar/src/test/java/martenlatch/sidecar/ReloadTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ReloadTest.java
@@ -38,7 +38,7 @@
 
     private FakeEndpoint discoveryWith(int version, FakeEndpoint endpoint) throws IOException {
         return new FakeEndpoint((wire, request) -> {
-            if (request.line().contains("index=")) {
+            if (request.startLine().contains("index=")) {
                 wire.awaitEnd();
             } else {
                 FakeEndpoint.answer(
@@ -67,10 +67,10 @@
             reloadFor(next.address());
             SidecarFixture.await("the watch goes on there", () -> next.requests.size() == 2);
             assertEquals(
-                    "GET /registry/instances HTTP/1.1", next.requests.get(0).line());
+                    "GET /registry/instances HTTP/1.1", next.requests.get(0).startLine());
             assertEquals(
                     "GET /registry/instances?index=1&wait=4000 HTTP/1.1",
-                    next.requests.get(1).line());
+                    next.requests.get(1).startLine());
             SidecarFixture.await("the old watch is dropped", () -> fixture.discovery.open.get() == 0);
             assertEquals("after", fixture.ask("order", DEADLINE_MS).body());
             reloadFor(last.address());
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
@@ -53,7 +53,7 @@
         assertEquals("served", answer.body());
         assertEquals("text/x", answer.headers().get("content-type"));
         RawHttpClient.Message seen = fixture.endpoints.get(0).requests.get(0);
-        assertEquals("POST /api?q=1 HTTP/1.1", seen.line());
+        assertEquals("POST /api?q=1 HTTP/1.1", seen.startLine());
         assertEquals("hello", seen.body());
         assertEquals("r0", seen.headers().get("x-request-id"));
         assertEquals("k1", seen.headers().get("idempotency-key"));
@@ -378,7 +378,7 @@
                         "GET /registry/instances?index=1&wait=1 HTTP/1.1",
                         "GET /registry/instances?index=7&wait=4000 HTTP/1.1"),
                 fixture.discovery.requests.stream()
-                        .map(RawHttpClient.Message::line)
+                        .map(RawHttpClient.Message::startLine)
                         .toList());
         assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
         assertEquals(0, before.requests.size(), "it drains");
@@ -506,7 +506,7 @@
         SidecarFixture.await("the watch is on", () -> !fixture.discovery.requests.isEmpty());
         assertEquals(0, fixture.endpoints.get(0).connections.get());
         assertEquals(1, fixture.discovery.requests.size());
-        assertTrue(fixture.discovery.requests.get(0).line().contains("?index=1&"), "the version of its own list");
+        assertTrue(fixture.discovery.requests.get(0).startLine().contains("?index=1&"), "the version of its own list");
     }
 
     /** Guards against one bad peer that harms the rest. */
