--- a/sidecar/src/test/java/martenlatch/sidecar/AdminOperationsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/AdminOperationsTest.java
@@ -91,7 +91,7 @@
         SidecarFixture fixture = fixture(good()).start();
         List<RawHttpClient> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            silent.add(RawHttpClient.to(fixture.sidecar.adminAddress())
+            silent.add(RawHttpClient.connect(fixture.sidecar.adminAddress())
                     .send(i % 2 == 0 ? "" : "POST /drain HTTP/1.1\r\nHo"));
         }
         assertEquals(200, fixture.operate("GET /ready", "").status());
--- a/sidecar/src/test/java/martenlatch/sidecar/LongResponsesTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LongResponsesTest.java
@@ -158,7 +158,7 @@
         for (int i = 0; i < clients; i++) {
             // One after the other has begun: the decisions' first limit is small, and a begun answer frees
             // its place.
-            RawHttpClient client = RawHttpClient.to(fixture.sidecar.address(), 32 * 1024);
+            RawHttpClient client = RawHttpClient.connect(fixture.sidecar.address(), 32 * 1024);
             RawHttpClient.Message head =
                     client.send(fixture.request("order", DEADLINE_MS)).readHead();
             assertEquals(200, head.status());
--- a/sidecar/src/test/java/martenlatch/sidecar/RawHttpClient.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/RawHttpClient.java
@@ -36,7 +36,7 @@
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    static RawHttpClient to(InetSocketAddress address) throws IOException {
+    static RawHttpClient connect(InetSocketAddress address) throws IOException {
         return new RawHttpClient(new Socket(address.getAddress(), address.getPort()));
     }
 
@@ -46,7 +46,7 @@
     }
 
     /** Connects with a small buffer for what is received, as on a poor link. */
-    static RawHttpClient to(InetSocketAddress address, int receiveBuffer) throws IOException {
+    static RawHttpClient connect(InetSocketAddress address, int receiveBuffer) throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(receiveBuffer);
         socket.connect(address);
--- a/sidecar/src/test/java/martenlatch/sidecar/ShutdownRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ShutdownRaceTest.java
@@ -115,7 +115,7 @@
     }
 
     private static boolean accepts(InetSocketAddress address) {
-        try (RawHttpClient wire = RawHttpClient.to(address)) {
+        try (RawHttpClient wire = RawHttpClient.connect(address)) {
             return true;
         } catch (IOException e) {
             return false;
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
@@ -146,7 +146,7 @@
     }
 
     RawHttpClient client() throws IOException {
-        return RawHttpClient.to(sidecar.address());
+        return RawHttpClient.connect(sidecar.address());
     }
 
     /** A request of a class, GET for one that may be repeated and else POST with a body. */
@@ -171,7 +171,7 @@
 
     /** A call of an operator's; answers are {@code {"..."}} with a status. */
     RawHttpClient.Message operate(String call, String body) throws IOException {
-        try (RawHttpClient wire = RawHttpClient.to(sidecar.adminAddress())) {
+        try (RawHttpClient wire = RawHttpClient.connect(sidecar.adminAddress())) {
             return wire.send(call + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                     .read();
         }
