--- a/sidecar/src/test/java/martenlatch/sidecar/AdminOperationsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/AdminOperationsTest.java
@@ -99,7 +99,7 @@
         RawHttpClient.Message late = silent.get(59).read();
         assertEquals(408, late.status());
         for (RawHttpClient wire : silent) {
-            wire.awaitEnd();
+            wire.awaitClose();
         }
         assertEquals(200, fixture.operate("GET /ready", "").status(), "half a call has drained nothing");
     }
@@ -279,7 +279,7 @@
         assertEquals(200, last.status(), "who is here is served");
         assertEquals("close", last.headers().get("connection"));
         assertEquals(200, fixture.ask("order", DEADLINE_MS).status(), "and so is who comes last");
-        idle.awaitEnd();
+        idle.awaitClose();
         assertTrue((System.nanoTime() - drained) / 1e6 < 4000, "not only when it has been idle for 5 s");
         release.countDown();
         RawHttpClient.Message late = inHand.read();
--- a/sidecar/src/test/java/martenlatch/sidecar/BodyReadingEndpoint.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/BodyReadingEndpoint.java
@@ -63,7 +63,7 @@
             while (true) {
                 RawHttpClient.Message head = wire.readHead();
                 if (early != null) {
-                    wire.send(early).awaitEnd();
+                    wire.send(early).awaitClose();
                     return;
                 }
                 byte[] body = wire.readBody(head, so -> {
--- a/sidecar/src/test/java/martenlatch/sidecar/ClientConnectionRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientConnectionRaceTest.java
@@ -61,7 +61,7 @@
     /** Guards against memory without end for a client far ahead: beyond a bound its bytes are read on. */
     @Test
     void whatIsHeldBackIsBounded() throws Exception {
-        fixture = new SidecarFixture(new FakeEndpoint((wire, request) -> wire.awaitEnd())).start();
+        fixture = new SidecarFixture(new FakeEndpoint((wire, request) -> wire.awaitClose())).start();
         try (RawHttpClient client = fixture.client()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 8; i++) {
@@ -102,7 +102,7 @@
         fixture.whileHeld(
                 () -> clients.add(fixture.client()), () -> clients.get(0).send(fixture.request("order", DEADLINE_MS)));
         assertEquals(200, clients.get(0).read().status());
-        clients.get(1).awaitEnd();
+        clients.get(1).awaitClose();
         assertEquals(
                 200,
                 clients.get(LEAST_CONNECTIONS)
--- a/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
@@ -96,7 +96,7 @@
         FakeEndpoint.Script script = (wire, request) -> {
             if (request.headers().get("x-request-id").equals("r2")) {
                 held.add(wire);
-                wire.awaitEnd();
+                wire.awaitClose();
                 return;
             }
             both.countDown();
@@ -166,7 +166,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"fin", "reset", "fin behind more than is held", "fin behind a flood"})
     void theEndOfAClientFarAheadOfItsAnswersIsSeen(String how) throws Exception {
-        fixture = new SidecarFixture(new FakeEndpoint((wire, request) -> wire.awaitEnd())).start();
+        fixture = new SidecarFixture(new FakeEndpoint((wire, request) -> wire.awaitClose())).start();
         RawHttpClient client = fixture.client();
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 8; i++) {
@@ -232,7 +232,7 @@
     /** A client that ends its side has left, as one that closes: nobody can tell them apart. */
     @Test
     void aClientThatEndsItsSideHasLeft() throws Exception {
-        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitEnd());
+        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitClose());
         fixture = new SidecarFixture(hung).start();
         try (RawHttpClient client = fixture.client()) {
             client.send(fixture.request("order", DEADLINE_MS));
--- a/sidecar/src/test/java/martenlatch/sidecar/ClientLimitsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientLimitsTest.java
@@ -61,7 +61,7 @@
         start(good());
         long began = System.nanoTime();
         try (RawHttpClient client = fixture.client()) {
-            client.awaitEnd();
+            client.awaitClose();
         }
         assertTrue((System.nanoTime() - began) / 1e6 < OWED_MS);
     }
@@ -226,7 +226,7 @@
             for (int i = 0; i < 40; i++) {
                 silent.add(fixture.client());
             }
-            silent.get(0).awaitEnd();
+            silent.get(0).awaitClose();
             assertEquals(
                     200, usual.send(fixture.request("read", DEADLINE_MS)).read().status());
             assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
@@ -246,8 +246,8 @@
             assertNotEquals(0, behind.read().status());
             Thread drain = new Thread(fixture.sidecar::drain);
             drain.start();
-            half.awaitEnd();
-            behind.awaitEnd();
+            half.awaitClose();
+            behind.awaitClose();
             drain.join();
         }
     }
--- a/sidecar/src/test/java/martenlatch/sidecar/ClosingTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClosingTest.java
@@ -158,7 +158,7 @@
     /** Guards against an end that is put off by as long as the loop was held up when it was told. */
     @Test
     void aLoopThatIsHeldUpAsItIsToldToEndEndsInTime() throws Exception {
-        before(new FakeEndpoint((wire, request) -> wire.awaitEnd())).start();
+        before(new FakeEndpoint((wire, request) -> wire.awaitClose())).start();
         try (RawHttpClient client = fixture.client()) {
             client.send(fixture.request("order", DEADLINE_MS));
             SidecarFixture.await("it is in hand", () -> fixture.attempts() == 1);
@@ -186,7 +186,7 @@
      */
     @Test
     void theEndGoesByTheDeadlinesThatHoldNow() throws Exception {
-        before(new FakeEndpoint((wire, request) -> wire.awaitEnd())).start();
+        before(new FakeEndpoint((wire, request) -> wire.awaitClose())).start();
         try (RawHttpClient client = fixture.client()) {
             client.send(fixture.request("order", DEADLINE_MS));
             SidecarFixture.await("it is in hand", () -> fixture.attempts() == 1);
--- a/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
@@ -63,7 +63,7 @@
                                     SidecarFixture.line(0, good, "terminating", 0),
                                     SidecarFixture.line(1, other.address(), "in_service", 0)));
                 } else {
-                    wire.awaitEnd();
+                    wire.awaitClose();
                 }
             };
             fixture.start();
@@ -87,7 +87,7 @@
         fixture.discovery.script = (wire, request) -> {
             int version = fixture.discovery.requests.size();
             if (version > 5) {
-                wire.awaitEnd();
+                wire.awaitClose();
             }
             FakeEndpoint.answer(
                     wire,
@@ -121,7 +121,7 @@
         int rejected = 4;
         List<Long> pollNanos = Collections.synchronizedList(new ArrayList<>());
         try (FakeEndpoint other = FakeEndpoint.serving();
-                FakeEndpoint moved = new FakeEndpoint((wire, request) -> wire.awaitEnd())) {
+                FakeEndpoint moved = new FakeEndpoint((wire, request) -> wire.awaitClose())) {
             fixture = new SidecarFixture(FakeEndpoint.serving()).start();
             moved.script = (wire, request) -> {
                 pollNanos.add(System.nanoTime());
@@ -133,7 +133,7 @@
                     String ready = SidecarFixture.line(1, other.address(), "in_service", 0);
                     FakeEndpoint.answer(wire, 200, "", SidecarFixture.list(2, true, drained, ready));
                 } else {
-                    wire.awaitEnd();
+                    wire.awaitClose();
                 }
             };
             Files.writeString(
@@ -157,7 +157,7 @@
             })
     void anAnswerThatBreaksOffIsNotWaitedFor(String half) throws Exception {
         try (FakeEndpoint other = FakeEndpoint.serving();
-                FakeEndpoint moved = new FakeEndpoint((wire, request) -> wire.awaitEnd())) {
+                FakeEndpoint moved = new FakeEndpoint((wire, request) -> wire.awaitClose())) {
             fixture = new SidecarFixture(FakeEndpoint.serving()).start();
             moved.script = (wire, request) -> {
                 switch (moved.requests.size()) {
@@ -178,7 +178,7 @@
                                 200,
                                 "",
                                 SidecarFixture.list(2, true, SidecarFixture.line(1, other.address(), "in_service", 0)));
-                    default -> wire.awaitEnd();
+                    default -> wire.awaitClose();
                 }
             };
             Files.writeString(
@@ -321,7 +321,7 @@
                     String ready = SidecarFixture.line(1, other.address(), "in_service", 0);
                     FakeEndpoint.answer(wire, 200, "", SidecarFixture.list(2, false, drained, ready));
                 } else {
-                    wire.awaitEnd();
+                    wire.awaitClose();
                 }
             };
             fixture.start();
@@ -354,7 +354,7 @@
                     String ready = SidecarFixture.line(1, other.address(), "in_service", 0);
                     FakeEndpoint.answer(wire, 200, "", SidecarFixture.list(2, false, drained, ready));
                 } else {
-                    wire.awaitEnd();
+                    wire.awaitClose();
                 }
             };
             fixture.start();
@@ -376,7 +376,7 @@
             if (request.startLine().endsWith("wait=1 HTTP/1.1")) {
                 FakeEndpoint.answer(wire, 200, "", SidecarFixture.list(1, false));
             } else {
-                wire.awaitEnd();
+                wire.awaitClose();
             }
         };
         fixture.start();
@@ -448,7 +448,7 @@
 
     private static void breakOff(RawHttpClient wire, String half) throws Exception {
         if (!half.equals("trickle")) {
-            wire.send(half).awaitEnd();
+            wire.send(half).awaitClose();
         }
         wire.send("HTTP/1.1 200 OK\r\nContent-Length: 3000\r\n\r\n{");
         while (true) {
--- a/sidecar/src/test/java/martenlatch/sidecar/LongRequestBodiesTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LongRequestBodiesTest.java
@@ -113,7 +113,7 @@
                 RawHttpClient.Message answer = client.read();
                 assertEquals("eaten", answer.body());
                 assertEquals("close", answer.headers().get("connection"));
-                client.awaitEnd();
+                client.awaitClose();
             }
             assertArrayEquals(sent, received.take());
             assertEquals(0, received.size(), "what comes behind the last request is none");
--- a/sidecar/src/test/java/martenlatch/sidecar/LostCallsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LostCallsTest.java
@@ -28,7 +28,7 @@
     private final AtomicInteger givenUp = new AtomicInteger();
     private final FakeEndpoint endpoint = new FakeEndpoint((wire, request) -> {
         if (request.startLine().startsWith("POST")) {
-            wire.awaitEnd();
+            wire.awaitClose();
             givenUp.incrementAndGet();
         } else {
             Thread.sleep(WORK_MS);
--- a/sidecar/src/test/java/martenlatch/sidecar/RawHttpClient.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/RawHttpClient.java
@@ -145,7 +145,7 @@
     }
 
     /** Waits until the other side has closed or reset the connection. */
-    void awaitEnd() throws IOException {
+    void awaitClose() throws IOException {
         try {
             in.transferTo(OutputStream.nullOutputStream());
         } catch (java.net.SocketTimeoutException e) {
--- a/sidecar/src/test/java/martenlatch/sidecar/ReloadTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ReloadTest.java
@@ -39,7 +39,7 @@
     private FakeEndpoint discoveryWith(int version, FakeEndpoint endpoint) throws IOException {
         return new FakeEndpoint((wire, request) -> {
             if (request.startLine().contains("index=")) {
-                wire.awaitEnd();
+                wire.awaitClose();
             } else {
                 FakeEndpoint.answer(
                         wire,
--- a/sidecar/src/test/java/martenlatch/sidecar/ShutdownRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ShutdownRaceTest.java
@@ -54,7 +54,7 @@
             // It has been read before the last call.
             assertEquals(
                     200, idle.send(fixture.request("order", DEADLINE_MS)).read().status());
-            idle.awaitEnd();
+            idle.awaitClose();
             long lastCall = System.nanoTime();
             try {
                 half.send(request.substring(sent));
@@ -94,7 +94,7 @@
             SidecarFixture.await("it is in hand", () -> fixture.attempts() == 1);
             Thread drain = new Thread(fixture.sidecar::drain);
             drain.start();
-            idle.awaitEnd();
+            idle.awaitClose();
             long lastCall = System.nanoTime();
             release.countDown();
             // Longer than any other client is waited for.
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
@@ -58,7 +58,7 @@
     SidecarFixture(FakeEndpoint... endpoints) throws IOException {
         this.endpoints.addAll(List.of(endpoints));
         // Discovery holds its answer back until the test has one.
-        discovery = new FakeEndpoint((wire, request) -> wire.awaitEnd());
+        discovery = new FakeEndpoint((wire, request) -> wire.awaitClose());
     }
 
     /** A fixture with one endpoint in its list, at an address of the test's. */
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
@@ -191,7 +191,7 @@
     /** Guards against a hang that holds everything: the attempt is given up and its connection closed. */
     @Test
     void anAttemptThatIsGivenUpClosesItsConnection() throws Exception {
-        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitEnd());
+        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitClose());
         start(hung);
         RawHttpClient.Message answer = fixture.ask("order", 300);
         assertEquals(502, answer.status(), "it may have run");
@@ -201,7 +201,7 @@
 
     @Test
     void aClientThatGoesAwayTakesItsAttemptsAlong() throws Exception {
-        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitEnd());
+        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitClose());
         start(hung);
         try (RawHttpClient client = fixture.client()) {
             client.send(fixture.request("order", DEADLINE_MS));
@@ -229,7 +229,7 @@
     void attemptsBeyondTheLastConnectionEndInOrder() throws Exception {
         FakeEndpoint[] hung = new FakeEndpoint[4];
         for (int i = 0; i < hung.length; i++) {
-            hung[i] = new FakeEndpoint((wire, request) -> wire.awaitEnd());
+            hung[i] = new FakeEndpoint((wire, request) -> wire.awaitClose());
         }
         fixture = new SidecarFixture(hung);
         fixture.sockets = 1;
@@ -249,7 +249,7 @@
     /** Guards against running out of descriptors: beyond the bound clients are refused in good order. */
     @Test
     void clientsBeyondTheBoundAreRefused() throws Exception {
-        fixture = new SidecarFixture(new FakeEndpoint((wire, request) -> wire.awaitEnd()));
+        fixture = new SidecarFixture(new FakeEndpoint((wire, request) -> wire.awaitClose()));
         fixture.sockets = 1;
         fixture.start();
         List<RawHttpClient> clients = new ArrayList<>();
@@ -261,7 +261,7 @@
         for (int i = 0; i < 12; i++) {
             clients.add(fixture.client());
         }
-        clients.get(4).awaitEnd();
+        clients.get(4).awaitClose();
         for (int i = 12; i < 16; i++) {
             clients.get(i).send("POST /api HTTP/1.1\r\n");
         }
@@ -468,7 +468,7 @@
         } catch (IOException e) {
             assertTrue(served > 1, "a connection that stands goes on for a while");
         }
-        idle.awaitEnd();
+        idle.awaitClose();
         assertTrue(drain.isAlive(), "it waits for what is in hand");
         release.countDown();
         RawHttpClient.Message answer = inHand.read();
@@ -484,7 +484,7 @@
      */
     @Test
     void aDrainAnswersInTimeWhatNoEndpointAnswers() throws Exception {
-        start(new FakeEndpoint((wire, request) -> wire.awaitEnd()));
+        start(new FakeEndpoint((wire, request) -> wire.awaitClose()));
         RawHttpClient unsafe = fixture.client().send(fixture.request("order", DEADLINE_MS));
         RawHttpClient safe = fixture.client().send(fixture.request("read", DEADLINE_MS));
         SidecarFixture.await("both are at the endpoint", () -> fixture.attempts() == 2);
--- a/sidecar/src/test/java/martenlatch/sidecar/SpoiltAnswerTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SpoiltAnswerTest.java
@@ -52,7 +52,7 @@
                 "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"
             })
     void aSpoiltAnswerIsAFailedAttemptAtOnce(String answer) throws Exception {
-        start((wire, request) -> wire.send(answer).awaitEnd());
+        start((wire, request) -> wire.send(answer).awaitClose());
         long began = System.nanoTime();
         assertEquals(502, fixture.ask("order", DEADLINE_MS).status());
         assertTrue((System.nanoTime() - began) / 1e6 < DEADLINE_MS / 2.0, "at once");
