--- a/sidecar/src/test/java/martenlatch/sidecar/AdminOperationsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/AdminOperationsTest.java
@@ -91,7 +91,7 @@
         SidecarFixture fixture = fixture(good()).start();
         List<RawHttpClient> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            silent.add(RawHttpClient.to(fixture.sidecar.adminAddress())
+            silent.add(RawHttpClient.connect(fixture.sidecar.adminAddress())
                     .send(i % 2 == 0 ? "" : "POST /drain HTTP/1.1\r\nHo"));
         }
         assertEquals(200, fixture.operate("GET /ready", "").status());
@@ -99,7 +99,7 @@
         RawHttpClient.Message late = silent.get(59).read();
         assertEquals(408, late.status());
         for (RawHttpClient wire : silent) {
-            wire.awaitEnd();
+            wire.awaitClose();
         }
         assertEquals(200, fixture.operate("GET /ready", "").status(), "half a call has drained nothing");
     }
@@ -279,7 +279,7 @@
         assertEquals(200, last.status(), "who is here is served");
         assertEquals("close", last.headers().get("connection"));
         assertEquals(200, fixture.ask("order", DEADLINE_MS).status(), "and so is who comes last");
-        idle.awaitEnd();
+        idle.awaitClose();
         assertTrue((System.nanoTime() - drained) / 1e6 < 4000, "not only when it has been idle for 5 s");
         release.countDown();
         RawHttpClient.Message late = inHand.read();
@@ -351,7 +351,7 @@
         hold.countDown();
         for (RawHttpClient wire : waiting) {
             RawHttpClient.Message answer = wire.read();
-            assertTrue(answer.status() == 200 || answer.status() == 503, answer.line());
+            assertTrue(answer.status() == 200 || answer.status() == 503, answer.startLine());
             assertEquals("close", answer.headers().get("connection"));
         }
         SidecarFixture.await("it sees its heir", () -> old.logged().contains("another process serves this address"));
--- a/sidecar/src/test/java/martenlatch/sidecar/LostCallsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LostCallsTest.java
@@ -27,8 +27,8 @@
 
     private final AtomicInteger givenUp = new AtomicInteger();
     private final FakeEndpoint endpoint = new FakeEndpoint((wire, request) -> {
-        if (request.line().startsWith("POST")) {
-            wire.awaitEnd();
+        if (request.startLine().startsWith("POST")) {
+            wire.awaitClose();
             givenUp.incrementAndGet();
         } else {
             Thread.sleep(WORK_MS);
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
@@ -58,7 +58,7 @@
     SidecarFixture(FakeEndpoint... endpoints) throws IOException {
         this.endpoints.addAll(List.of(endpoints));
         // Discovery holds its answer back until the test has one.
-        discovery = new FakeEndpoint((wire, request) -> wire.awaitEnd());
+        discovery = new FakeEndpoint((wire, request) -> wire.awaitClose());
     }
 
     /** A fixture with one endpoint in its list, at an address of the test's. */
@@ -146,7 +146,7 @@
     }
 
     RawHttpClient client() throws IOException {
-        return RawHttpClient.to(sidecar.address());
+        return RawHttpClient.connect(sidecar.address());
     }
 
     /** A request of a class, GET for one that may be repeated and else POST with a body. */
@@ -171,7 +171,7 @@
 
     /** A call of an operator's; answers are {@code {"..."}} with a status. */
     RawHttpClient.Message operate(String call, String body) throws IOException {
-        try (RawHttpClient wire = RawHttpClient.to(sidecar.adminAddress())) {
+        try (RawHttpClient wire = RawHttpClient.connect(sidecar.adminAddress())) {
             return wire.send(call + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                     .read();
         }
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
@@ -53,7 +53,7 @@
         assertEquals("served", answer.body());
         assertEquals("text/x", answer.headers().get("content-type"));
         RawHttpClient.Message seen = fixture.endpoints.get(0).requests.get(0);
-        assertEquals("POST /api?q=1 HTTP/1.1", seen.line());
+        assertEquals("POST /api?q=1 HTTP/1.1", seen.startLine());
         assertEquals("hello", seen.body());
         assertEquals("r0", seen.headers().get("x-request-id"));
         assertEquals("k1", seen.headers().get("idempotency-key"));
@@ -191,7 +191,7 @@
     /** Guards against a hang that holds everything: the attempt is given up and its connection closed. */
     @Test
     void anAttemptThatIsGivenUpClosesItsConnection() throws Exception {
-        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitEnd());
+        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitClose());
         start(hung);
         RawHttpClient.Message answer = fixture.ask("order", 300);
         assertEquals(502, answer.status(), "it may have run");
@@ -201,7 +201,7 @@
 
     @Test
     void aClientThatGoesAwayTakesItsAttemptsAlong() throws Exception {
-        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitEnd());
+        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitClose());
         start(hung);
         try (RawHttpClient client = fixture.client()) {
             client.send(fixture.request("order", DEADLINE_MS));
@@ -229,7 +229,7 @@
     void attemptsBeyondTheLastConnectionEndInOrder() throws Exception {
         FakeEndpoint[] hung = new FakeEndpoint[4];
         for (int i = 0; i < hung.length; i++) {
-            hung[i] = new FakeEndpoint((wire, request) -> wire.awaitEnd());
+            hung[i] = new FakeEndpoint((wire, request) -> wire.awaitClose());
         }
         fixture = new SidecarFixture(hung);
         fixture.sockets = 1;
@@ -249,7 +249,7 @@
     /** Guards against running out of descriptors: beyond the bound clients are refused in good order. */
     @Test
     void clientsBeyondTheBoundAreRefused() throws Exception {
-        fixture = new SidecarFixture(new FakeEndpoint((wire, request) -> wire.awaitEnd()));
+        fixture = new SidecarFixture(new FakeEndpoint((wire, request) -> wire.awaitClose()));
         fixture.sockets = 1;
         fixture.start();
         List<RawHttpClient> clients = new ArrayList<>();
@@ -261,7 +261,7 @@
         for (int i = 0; i < 12; i++) {
             clients.add(fixture.client());
         }
-        clients.get(4).awaitEnd();
+        clients.get(4).awaitClose();
         for (int i = 12; i < 16; i++) {
             clients.get(i).send("POST /api HTTP/1.1\r\n");
         }
@@ -378,7 +378,7 @@
                         "GET /registry/instances?index=1&wait=1 HTTP/1.1",
                         "GET /registry/instances?index=7&wait=4000 HTTP/1.1"),
                 fixture.discovery.requests.stream()
-                        .map(RawHttpClient.Message::line)
+                        .map(RawHttpClient.Message::startLine)
                         .toList());
         assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
         assertEquals(0, before.requests.size(), "it drains");
@@ -468,7 +468,7 @@
         } catch (IOException e) {
             assertTrue(served > 1, "a connection that stands goes on for a while");
         }
-        idle.awaitEnd();
+        idle.awaitClose();
         assertTrue(drain.isAlive(), "it waits for what is in hand");
         release.countDown();
         RawHttpClient.Message answer = inHand.read();
@@ -484,7 +484,7 @@
      */
     @Test
     void aDrainAnswersInTimeWhatNoEndpointAnswers() throws Exception {
-        start(new FakeEndpoint((wire, request) -> wire.awaitEnd()));
+        start(new FakeEndpoint((wire, request) -> wire.awaitClose()));
         RawHttpClient unsafe = fixture.client().send(fixture.request("order", DEADLINE_MS));
         RawHttpClient safe = fixture.client().send(fixture.request("read", DEADLINE_MS));
         SidecarFixture.await("both are at the endpoint", () -> fixture.attempts() == 2);
@@ -506,7 +506,7 @@
         SidecarFixture.await("the watch is on", () -> !fixture.discovery.requests.isEmpty());
         assertEquals(0, fixture.endpoints.get(0).connections.get());
         assertEquals(1, fixture.discovery.requests.size());
-        assertTrue(fixture.discovery.requests.get(0).line().contains("?index=1&"), "the version of its own list");
+        assertTrue(fixture.discovery.requests.get(0).startLine().contains("?index=1&"), "the version of its own list");
     }
 
     /** Guards against one bad peer that harms the rest. */
