--- a/sidecar/src/test/java/martenlatch/sidecar/BodyReadingEndpoint.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/BodyReadingEndpoint.java
@@ -95,7 +95,7 @@
         }
         for (Thread thread : threads) {
             thread.interrupt();
-            thread.join(SidecarFixture.PATIENCE_MS);
+            thread.join(SidecarFixture.AWAIT_TIMEOUT_MS);
         }
     }
 }
--- a/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
@@ -116,7 +116,7 @@
         // Both endpoints have an idle connection now.
         SidecarFixture.settle();
         RawHttpClient client = fixture.client().send(fixture.request("read", DEADLINE_MS));
-        RawHttpClient attempt = held.poll(SidecarFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        RawHttpClient attempt = held.poll(SidecarFixture.AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (resetFirst) {
             fixture.whileHeld(attempt::reset, client::close);
         } else {
--- a/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
@@ -309,7 +309,7 @@
     void whereListsArePolledDiscoveryIsHeardBeforeTheFirstClient(int rejections) throws Exception {
         try (FakeEndpoint other = FakeEndpoint.serving()) {
             fixture = new SidecarFixture(FakeEndpoint.serving());
-            fixture.maxListWaitMs = SidecarFixture.PATIENCE_MS;
+            fixture.maxListWaitMs = SidecarFixture.AWAIT_TIMEOUT_MS;
             AtomicInteger polls = new AtomicInteger();
             fixture.discovery.script = (wire, request) -> {
                 int poll = polls.incrementAndGet();
@@ -341,7 +341,7 @@
         int rejectedAfterMs = 2600;
         try (FakeEndpoint other = FakeEndpoint.serving()) {
             fixture = new SidecarFixture(FakeEndpoint.serving());
-            fixture.maxListWaitMs = SidecarFixture.PATIENCE_MS;
+            fixture.maxListWaitMs = SidecarFixture.AWAIT_TIMEOUT_MS;
             AtomicInteger polls = new AtomicInteger();
             fixture.discovery.script = (wire, request) -> {
                 int poll = polls.incrementAndGet();
@@ -371,7 +371,7 @@
     @Test
     void aDiscoveryWithNothingNewerConfirmsTheListAtOnce() throws Exception {
         fixture = new SidecarFixture(FakeEndpoint.serving());
-        fixture.maxListWaitMs = SidecarFixture.PATIENCE_MS;
+        fixture.maxListWaitMs = SidecarFixture.AWAIT_TIMEOUT_MS;
         fixture.discovery.script = (wire, request) -> {
             if (request.line().endsWith("wait=1 HTTP/1.1")) {
                 FakeEndpoint.answer(wire, 200, "", SidecarFixture.list(1, false));
--- a/sidecar/src/test/java/martenlatch/sidecar/FakeEndpoint.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/FakeEndpoint.java
@@ -110,7 +110,7 @@
         listener.close();
         try {
             if (acceptor != null) {
-                acceptor.join(SidecarFixture.PATIENCE_MS);
+                acceptor.join(SidecarFixture.AWAIT_TIMEOUT_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
@@ -20,7 +20,7 @@
 /** A sidecar before fake endpoints, with a fake discovery; all on loopback. */
 final class SidecarFixture implements Closeable {
 
-    static final long PATIENCE_MS = 20_000;
+    static final long AWAIT_TIMEOUT_MS = 20_000;
 
     final List<FakeEndpoint> endpoints = new ArrayList<>();
     final FakeEndpoint discovery;
@@ -239,7 +239,7 @@
 
     static void await(CountDownLatch latch) {
         try {
-            assertTrue(latch.await(PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(latch.await(AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS));
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
@@ -254,7 +254,7 @@
     }
 
     static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
+        long until = System.nanoTime() + AWAIT_TIMEOUT_MS * 1_000_000;
         while (!condition.getAsBoolean()) {
             assertTrue(System.nanoTime() < until, what);
             Thread.sleep(2);
