--- a/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
@@ -60,7 +60,7 @@
         assertEquals("served", fixture.ask("order", DEADLINE_MS).body());
         SidecarFixture.settle();
         RawHttpClient[] client = new RawHttpClient[1];
-        SidecarFixture.Deed connect = () -> client[0] = fixture.client();
+        SidecarFixture.Action connect = () -> client[0] = fixture.client();
         if (accepted) {
             connect.run();
         }
@@ -281,7 +281,7 @@
             RawHttpClient client = fixture.client().send(fixture.request("order", DEADLINE_MS));
             RawHttpClient endpoint = new RawHttpClient(place.accept());
             endpoint.read();
-            SidecarFixture.Deed answers = () -> FakeEndpoint.answer(endpoint, 200, "", "first");
+            SidecarFixture.Action answers = () -> FakeEndpoint.answer(endpoint, 200, "", "first");
             if (answerFirst) {
                 fixture.whileHeld(answers, client::close);
             } else {
--- a/sidecar/src/test/java/martenlatch/sidecar/ClosingTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClosingTest.java
@@ -46,7 +46,7 @@
     }
 
     /** Does something when the loop has read what there was, and is about to do what is due by then. */
-    private void justBefore(double dueMs, SidecarFixture.Deed deed) throws Exception {
+    private void justBefore(double dueMs, SidecarFixture.Action deed) throws Exception {
         EventLoop loop = fixture.sidecar.loop();
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch again = new CountDownLatch(1);
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
@@ -212,12 +212,12 @@
     }
 
     /** What a test does while the sidecar hears nothing. */
-    interface Deed {
+    interface Action {
         void run() throws Exception;
     }
 
     /** Does all of this in one turn of the sidecar's loop, which is held up meanwhile. */
-    void whileHeld(Deed... deeds) throws Exception {
+    void whileHeld(Action... deeds) throws Exception {
         // The system tells first of what it has told before, until it has found that quiet: by two turns.
         tableSizes();
         tableSizes();
@@ -229,7 +229,7 @@
         });
         await(held);
         try {
-            for (Deed deed : deeds) {
+            for (Action deed : deeds) {
                 deed.run();
             }
         } finally {
