--- a/sidecar/src/test/java/martenlatch/sidecar/ClientConnectionRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientConnectionRaceTest.java
@@ -99,7 +99,7 @@
                             .status());
         }
         // The system tells of them in this order, and the first client has been idle the longest.
-        fixture.whileHeld(
+        fixture.whileEventLoopBlocked(
                 () -> clients.add(fixture.client()), () -> clients.get(0).send(fixture.request("order", DEADLINE_MS)));
         assertEquals(200, clients.get(0).read().status());
         clients.get(1).awaitEnd();
--- a/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
@@ -64,7 +64,7 @@
         if (accepted) {
             connect.run();
         }
-        fixture.whileHeld(
+        fixture.whileEventLoopBlocked(
                 () -> {
                     if (!accepted) {
                         connect.run();
@@ -118,9 +118,9 @@
         RawHttpClient client = fixture.client().send(fixture.request("read", DEADLINE_MS));
         RawHttpClient attempt = held.poll(SidecarFixture.AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (resetFirst) {
-            fixture.whileHeld(attempt::reset, client::close);
+            fixture.whileEventLoopBlocked(attempt::reset, client::close);
         } else {
-            fixture.whileHeld(client::close, attempt::reset);
+            fixture.whileEventLoopBlocked(client::close, attempt::reset);
         }
         assertNothingIsPending();
         assertEquals("served", fixture.ask("read", DEADLINE_MS).body());
@@ -257,9 +257,9 @@
             first.read();
             try (LateEndpoint late = new LateEndpoint(place)) {
                 if (causeFirst) {
-                    fixture.whileHeld(first::reset, client::close);
+                    fixture.whileEventLoopBlocked(first::reset, client::close);
                 } else {
-                    fixture.whileHeld(client::close, first::reset);
+                    fixture.whileEventLoopBlocked(client::close, first::reset);
                 }
                 fixture.awaitPending(0, NOTICED_MS);
                 late.open();
@@ -283,9 +283,9 @@
             endpoint.read();
             SidecarFixture.Action answers = () -> FakeEndpoint.answer(endpoint, 200, "", "first");
             if (answerFirst) {
-                fixture.whileHeld(answers, client::close);
+                fixture.whileEventLoopBlocked(answers, client::close);
             } else {
-                fixture.whileHeld(client::close, answers);
+                fixture.whileEventLoopBlocked(client::close, answers);
             }
             fixture.awaitPending(0, NOTICED_MS);
             SidecarFixture.settle();
--- a/sidecar/src/test/java/martenlatch/sidecar/ClosingTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClosingTest.java
@@ -163,7 +163,7 @@
             client.send(fixture.request("order", DEADLINE_MS));
             SidecarFixture.await("it is in hand", () -> fixture.attempts() == 1);
             Thread drain = new Thread(fixture.sidecar::drain);
-            fixture.whileHeld(
+            fixture.whileEventLoopBlocked(
                     drain::start,
                     () -> SidecarFixture.await(
                             "it has been told", () -> fixture.logged().contains("draining")),
--- a/sidecar/src/test/java/martenlatch/sidecar/ConnectionReuseRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ConnectionReuseRaceTest.java
@@ -42,7 +42,7 @@
             RawHttpClient endpoint = new RawHttpClient(place.accept());
             endpoint.read();
             long until = System.nanoTime() + SHORT_MS * 1_000_000L;
-            fixture.whileHeld(() -> FakeEndpoint.answer(endpoint, 200, "", "first"), () -> {
+            fixture.whileEventLoopBlocked(() -> FakeEndpoint.answer(endpoint, 200, "", "first"), () -> {
                 while (System.nanoTime() < until) {
                     Thread.onSpinWait();
                 }
@@ -67,7 +67,7 @@
             client.send(fixture.request("order", DEADLINE_MS));
             RawHttpClient endpoint = new RawHttpClient(place.accept());
             endpoint.read();
-            fixture.whileHeld(
+            fixture.whileEventLoopBlocked(
                     () -> endpoint.send(
                             "HTTP/1.1 200 x\r\nContent-Length: 5\r\n\r\n" + (what.equals("whole") ? "first" : "fir")),
                     endpoint::reset);
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
@@ -217,7 +217,7 @@
     }
 
     /** Does all of this in one turn of the sidecar's loop, which is held up meanwhile. */
-    void whileHeld(Action... deeds) throws Exception {
+    void whileEventLoopBlocked(Action... deeds) throws Exception {
         // The system tells first of what it has told before, until it has found that quiet: by two turns.
         tableSizes();
         tableSizes();
