--- a/sidecar/src/test/java/martenlatch/sidecar/AdminOperationsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/AdminOperationsTest.java
@@ -166,7 +166,7 @@
         int before = first.requests.size();
         for (int round = 0; round < 3; round++) {
             for (int i = 0; i < 5; i++) {
-                assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+                assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             }
             answers.add(
                     round == 0
@@ -206,16 +206,16 @@
         SidecarFixture next = fixture(first, second).start();
         assertTrue(next.logged().contains("endpoints disabled before this start: [s0]"), next.logged());
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, next.ask("order", DEADLINE_MS).status());
+            assertEquals(200, next.sendRequest("order", DEADLINE_MS).status());
         }
         assertEquals(0, first.requests.size());
         assertEquals(200, next.operate("POST /endpoints/disable", name("s1")).status());
         SidecarFixture.await(
                 "the old one hears of it", () -> old.logged().contains("endpoints disabled by operators: [s0, s1]"));
-        assertEquals(503, old.ask("order", DEADLINE_MS).status(), "none is left");
+        assertEquals(503, old.sendRequest("order", DEADLINE_MS).status(), "none is left");
         assertEquals(200, next.operate("POST /endpoints/enable", name("s0")).status());
         SidecarFixture.await("and of this", () -> old.logged().contains("endpoints disabled by operators: [s1]"));
-        assertEquals(200, old.ask("order", DEADLINE_MS).status());
+        assertEquals(200, old.sendRequest("order", DEADLINE_MS).status());
         assertEquals(1, first.requests.size());
     }
 
@@ -229,7 +229,7 @@
         assertEquals(500, answer.status());
         assertTrue(answer.body().contains("could not be kept"), answer.body());
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         }
         assertEquals(0, fixture.endpoints.get(0).requests.size());
     }
@@ -278,7 +278,7 @@
                 used.send(fixture.request("order", DEADLINE_MS)).read();
         assertEquals(200, last.status(), "who is here is served");
         assertEquals("close", last.headers().get("connection"));
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status(), "and so is who comes last");
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status(), "and so is who comes last");
         idle.awaitEnd();
         assertTrue((System.nanoTime() - drained) / 1e6 < 4000, "not only when it has been idle for 5 s");
         release.countDown();
@@ -383,7 +383,7 @@
                 throw new java.io.UncheckedIOException(e);
             }
         });
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         drain.join();
     }
 }
--- a/sidecar/src/test/java/martenlatch/sidecar/ChurnTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ChurnTest.java
@@ -52,10 +52,10 @@
             }
             tell(SidecarFixture.list(round + 2, false, lines.toArray(String[]::new)));
             if (round % 20 == 0) {
-                assertEquals(200, fixture.ask("read", DEADLINE_MS).status());
+                assertEquals(200, fixture.sendRequest("read", DEADLINE_MS).status());
             }
         }
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(
                 List.of(0, 1),
                 fixture.sidecar
@@ -73,14 +73,14 @@
             fixture.start();
             SidecarFixture.await("a watch is on", () -> fixture.discovery.requests.size() == 1);
             for (int i = 0; i < 4; i++) {
-                assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+                assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             }
             // The new one drains, so nothing may go to its address, whoever had it before.
             tell(SidecarFixture.list(2, false, SidecarFixture.line(7, endpoint.address(), "terminating", 1000)));
             SidecarFixture.await("connections to the former are closed", () -> endpoint.open.get() == 0);
             int before = endpoint.requests.size();
             for (int i = 0; i < 20; i++) {
-                assertEquals("other", fixture.ask("order", DEADLINE_MS).body());
+                assertEquals("other", fixture.sendRequest("order", DEADLINE_MS).body());
             }
             assertEquals(before, endpoint.requests.size());
         } finally {
--- a/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
@@ -57,7 +57,7 @@
     void aRequestWhoseClientHasLeftIsNotForwarded(boolean accepted, boolean reset) throws Exception {
         fixture = new SidecarFixture(FakeEndpoint.answering(200, "", "served")).start();
         // The endpoint has an idle connection now: an attempt would be written at once.
-        assertEquals("served", fixture.ask("order", DEADLINE_MS).body());
+        assertEquals("served", fixture.sendRequest("order", DEADLINE_MS).body());
         SidecarFixture.settle();
         RawHttpClient[] client = new RawHttpClient[1];
         SidecarFixture.Action connect = () -> client[0] = fixture.client();
@@ -78,7 +78,7 @@
                         client[0].close();
                     }
                 });
-        assertEquals("served", fixture.ask("order", DEADLINE_MS).body());
+        assertEquals("served", fixture.sendRequest("order", DEADLINE_MS).body());
         assertNothingIsPending();
         assertEquals(0, attemptsOf("r1"));
         assertEquals(1, attemptsOf("r2"));
@@ -123,7 +123,7 @@
             fixture.whileEventLoopBlocked(client::close, attempt::reset);
         }
         assertNothingIsPending();
-        assertEquals("served", fixture.ask("read", DEADLINE_MS).body());
+        assertEquals("served", fixture.sendRequest("read", DEADLINE_MS).body());
         assertEquals(1, attemptsOf("r2"));
         assertEquals(List.of(), List.copyOf(held));
     }
@@ -155,7 +155,7 @@
                             .map(request -> request.headers().get("x-request-id"))
                             .toList());
             // Nothing is held against the endpoint: it is asked at once.
-            assertEquals("late", fixture.ask("order", DEADLINE_MS).body());
+            assertEquals("late", fixture.sendRequest("order", DEADLINE_MS).body());
         }
     }
 
@@ -175,7 +175,7 @@
         client.send(all.toString());
         SidecarFixture.await("some are at the endpoint", () -> fixture.attempts() > 0);
         // Once another client has its answer, all that came before has been dealt with.
-        fixture.ask("order", DEADLINE_MS);
+        fixture.sendRequest("order", DEADLINE_MS);
         long began = System.nanoTime();
         if (how.endsWith("held")) {
             client.send("POST /api HTTP/1.1\r\nContent-Length: 50000\r\n\r\n" + "x".repeat(40_000));
@@ -226,7 +226,7 @@
                     request.body().length() < Integer.parseInt(request.headers().get("content-length")),
                     "none came whole"));
         }
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
     }
 
     /** A client that ends its side has left, as one that closes: nobody can tell them apart. */
@@ -263,7 +263,7 @@
                 }
                 fixture.awaitPending(0, NOTICED_MS);
                 late.open();
-                assertEquals("late", fixture.ask("order", DEADLINE_MS).body());
+                assertEquals("late", fixture.sendRequest("order", DEADLINE_MS).body());
                 assertEquals(
                         List.of("r1"),
                         late.requests.stream()
@@ -291,7 +291,7 @@
             SidecarFixture.settle();
             Thread serves = new Thread(() -> serveNext(place, endpoint));
             serves.start();
-            assertEquals("second", fixture.ask("order", DEADLINE_MS).body());
+            assertEquals("second", fixture.sendRequest("order", DEADLINE_MS).body());
             serves.join();
         }
     }
--- a/sidecar/src/test/java/martenlatch/sidecar/ClientLimitsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientLimitsTest.java
@@ -138,7 +138,7 @@
             assertEquals(400, client.send(head + framing + HIDDEN).read().status());
             assertEnded(client);
         }
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(1, fixture.attempts(), "nothing of it was sent on");
     }
 
@@ -166,7 +166,7 @@
             assertEquals(413, client.read().status());
             assertEnded(client);
         }
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
     }
 
     @Test
@@ -197,7 +197,7 @@
             client.send(all.toString());
             SidecarFixture.await("the first is out", () -> fixture.attempts() > 0);
             // Once another client has its answer, all that came in the first read has been dealt with.
-            assertEquals(503, fixture.ask("order", DEADLINE_MS).status(), "the module has enough");
+            assertEquals(503, fixture.sendRequest("order", DEADLINE_MS).status(), "the module has enough");
             release.countDown();
             int sent = 0;
             for (int i = 0; i < 8; i++) {
@@ -229,7 +229,7 @@
             silent.get(0).awaitEnd();
             assertEquals(
                     200, usual.send(fixture.request("read", DEADLINE_MS)).read().status());
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         }
         for (RawHttpClient client : silent) {
             client.close();
@@ -256,7 +256,7 @@
     @Test
     void aDeadlineFarAwayIsBoundedByTheClass() throws Exception {
         start(good());
-        assertEquals(200, fixture.ask("order", 999_999_999).status());
+        assertEquals(200, fixture.sendRequest("order", 999_999_999).status());
         int told = Integer.parseInt(
                 fixture.endpoints.get(0).requests.get(0).headers().get("x-deadline-ms"));
         assertTrue(told <= 9000, "what the endpoint is told: " + told);
--- a/sidecar/src/test/java/martenlatch/sidecar/DeduplicationWindowRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DeduplicationWindowRaceTest.java
@@ -47,7 +47,7 @@
                 assertTrue(SidecarFixture.elapsedMs(began) >= 2500, "it was to be repeated within the window");
                 assertTrue(SidecarFixture.elapsedMs(began) < NOTICED_MS, "given up is answered at once");
                 late.open();
-                assertEquals("late", fixture.ask("order", DEADLINE_MS).body());
+                assertEquals("late", fixture.sendRequest("order", DEADLINE_MS).body());
                 assertEquals(
                         List.of("r1"),
                         late.requests.stream()
--- a/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
@@ -68,7 +68,7 @@
             };
             fixture.start();
             SidecarFixture.await("it asks anew", () -> fixture.discovery.requests.size() >= silent + 2);
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size(), "what it missed is known now");
             assertTrue(fixture.discovery.connections.get() >= 2, "the silent connection is not used again");
             assertTrue(fixture.logged().contains("discovery watch timed out"), fixture.logged());
@@ -141,7 +141,7 @@
             // The poll interval of the fixture is ten minutes: pauses that go by it alone would take minutes.
             fixture.sidecar.reload();
             SidecarFixture.await("it polls again and again", () -> pollNanos.size() > rejected + 1);
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size(), "and has learned of the drain");
         }
     }
@@ -188,7 +188,7 @@
             SidecarFixture.await("it asks anew, and goes on", () -> moved.requests.size() == 4);
             assertTrue(moved.requests.get(1).line().contains("wait=20000"), "the usual wait is much longer");
             assertTrue(SidecarFixture.elapsedMs(began) < 10_000, "and is not waited for");
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size());
             assertTrue(fixture.logged().contains("in the middle of a response"), fixture.logged());
         }
@@ -213,10 +213,10 @@
             answers.add(indented);
             answers.add(SidecarFixture.list(7, false));
             SidecarFixture.await("both are taken", () -> fixture.discovery.requests.size() == 3);
-            assertEquals("other", fixture.ask("order", DEADLINE_MS).body());
+            assertEquals("other", fixture.sendRequest("order", DEADLINE_MS).body());
             answers.add(SidecarFixture.list(3, true, SidecarFixture.line(0, first, "in_service", 0)));
             SidecarFixture.await("so is this", () -> fixture.discovery.requests.size() == 4);
-            assertEquals("served", fixture.ask("order", DEADLINE_MS).body());
+            assertEquals("served", fixture.sendRequest("order", DEADLINE_MS).body());
             assertEquals(
                     List.of("index=1&", "index=7&", "index=7&", "index=3&"),
                     fixture.discovery.requests.stream()
@@ -259,7 +259,7 @@
             assertEquals("served", unsafe.read().body(), "it never ran, so another one may have it");
             unsafe.close();
             late.open();
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(List.of(), late.requests);
         }
     }
@@ -295,7 +295,7 @@
             };
             fixture.start();
             assertEquals("waits", seen.get(0));
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size());
         }
     }
@@ -325,7 +325,7 @@
                 }
             };
             fixture.start();
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size(), "the endpoint of the old list has left");
             assertEquals(0, fixture.endpoints.get(0).requests.size());
         }
@@ -358,7 +358,7 @@
                 }
             };
             fixture.start();
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size(), "the endpoint of the old list has left");
             assertEquals(0, fixture.endpoints.get(0).requests.size());
         }
@@ -382,7 +382,7 @@
         fixture.start();
         SidecarFixture.await("a watch is started", () -> fixture.discovery.requests.size() == 2);
         assertTrue(fixture.discovery.requests.get(1).line().contains("index=1&wait=20000"));
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertFalse(fixture.logged().contains("from the configuration's endpoint list"), fixture.logged());
     }
 
@@ -393,7 +393,7 @@
         fixture.maxListWaitMs = 1500;
         fixture.discovery.script = (wire, request) -> FakeEndpoint.answer(wire, 503, "", "");
         fixture.start();
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertTrue(fixture.logged().contains("endpoint list: TIMED_OUT"), fixture.logged());
     }
 
@@ -403,7 +403,7 @@
         fixture = new SidecarFixture(FakeEndpoint.serving());
         fixture.membership = "pushed";
         fixture.start();
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertTrue(fixture.discovery.requests.size() > 1, "it is asked again and again");
     }
 
@@ -431,7 +431,7 @@
                     () -> agentAt(agentAddress, SidecarFixture.list(2, true, drained, ready)),
                     CompletableFuture.delayedExecutor(listensAfterMs, TimeUnit.MILLISECONDS));
             fixture.start();
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size(), "the agent knows that the other one has left");
             assertEquals(0, fixture.endpoints.get(0).requests.size());
             agent.join().close();
--- a/sidecar/src/test/java/martenlatch/sidecar/LongResponsesTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LongResponsesTest.java
@@ -135,7 +135,7 @@
             Thread.sleep(100);
             wire.reset();
         });
-        assertEquals(502, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(502, fixture.sendRequest("order", DEADLINE_MS).status());
     }
 
     /**
--- a/sidecar/src/test/java/martenlatch/sidecar/LostCallsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LostCallsTest.java
@@ -70,7 +70,7 @@
         for (int round = 0; round < ROUNDS; round++) {
             List<RawHttpClient> lost = lose(LOST_AT_ONCE, LOST_MS);
             while (givenUp.get() < (round + 1) * LOST_AT_ONCE) {
-                assertEquals(200, fixture.ask("read", AIM_MS).status());
+                assertEquals(200, fixture.sendRequest("read", AIM_MS).status());
             }
             for (RawHttpClient client : lost) {
                 int status = client.read().status();
--- a/sidecar/src/test/java/martenlatch/sidecar/ReloadTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ReloadTest.java
@@ -72,10 +72,10 @@
                     "GET /registry/instances?index=1&wait=4000 HTTP/1.1",
                     next.requests.get(1).line());
             SidecarFixture.await("the old watch is dropped", () -> fixture.discovery.open.get() == 0);
-            assertEquals("after", fixture.ask("order", DEADLINE_MS).body());
+            assertEquals("after", fixture.sendRequest("order", DEADLINE_MS).body());
             reloadFor(last.address());
             SidecarFixture.await("and again", () -> last.requests.size() == 2);
-            assertEquals("before", fixture.ask("order", DEADLINE_MS).body());
+            assertEquals("before", fixture.sendRequest("order", DEADLINE_MS).body());
         }
         assertFalse(fixture.logged().contains("discovery failed"), fixture.logged());
     }
@@ -139,7 +139,7 @@
             FakeEndpoint.answer(wire, 200, "", "before");
         };
         fixture.start();
-        assertEquals(400, fixture.ask("print", DEADLINE_MS).status());
+        assertEquals(400, fixture.sendRequest("print", DEADLINE_MS).status());
         try (RawHttpClient inHand = fixture.client()) {
             inHand.send(fixture.request("order", DEADLINE_MS));
             SidecarFixture.await("it is in hand", () -> before.requests.size() == 1);
@@ -150,8 +150,8 @@
                     fixture.config().replace("\"order\"", "\"print\"").replace("\"try-limit\":3", "\"try-limit\":1"));
             fixture.sidecar.reload();
             SidecarFixture.await("it is told", () -> fixture.logged().contains("settings changed"));
-            assertEquals(200, fixture.ask("print", DEADLINE_MS).status());
-            assertEquals(400, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("print", DEADLINE_MS).status());
+            assertEquals(400, fixture.sendRequest("order", DEADLINE_MS).status());
             release.countDown();
             assertEquals("before", inHand.read().body());
             assertEquals("before", second.read().body(), "tried again, as it was to be when it came");
@@ -159,7 +159,7 @@
         }
         before.script = (wire, request) -> wire.reset();
         int sent = before.requests.size();
-        assertEquals(503, fixture.ask("read", DEADLINE_MS).status());
+        assertEquals(503, fixture.sendRequest("read", DEADLINE_MS).status());
         assertEquals(sent + 1, before.requests.size(), "one attempt at most from now on");
     }
 
@@ -195,7 +195,7 @@
                 good.substring(0, last) + (spoilt == null ? "" : spoilt) + good.substring(last + part.length()));
         fixture.sidecar.reload();
         SidecarFixture.await("it is told", () -> fixture.logged().contains(told));
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(1, fixture.discovery.open.get(), "the old watch goes on");
         assertEquals(0, after.connections.get());
     }
@@ -210,7 +210,7 @@
         Files.writeString(fixture.configFile, "{");
         fixture.sidecar.reload();
         SidecarFixture.await("it is told", () -> fixture.logged().contains("is not JSON"));
-        assertEquals("before", fixture.ask("order", DEADLINE_MS).body());
+        assertEquals("before", fixture.sendRequest("order", DEADLINE_MS).body());
         assertEquals(1, fixture.discovery.open.get(), "the old watch goes on");
         assertTrue(fixture.logged().contains("configuration not reloaded"), fixture.logged());
     }
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
@@ -158,7 +158,7 @@
                 : "POST /api?q=1 HTTP/1.1\r\n" + head + "Idempotency-Key: k1\r\nContent-Length: 5\r\n\r\nhello";
     }
 
-    RawHttpClient.Message ask(String kind, int deadlineMs) throws IOException {
+    RawHttpClient.Message sendRequest(String kind, int deadlineMs) throws IOException {
         try (RawHttpClient wire = client()) {
             return wire.send(request(kind, deadlineMs)).read();
         }
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
@@ -48,7 +48,7 @@
     @Test
     void aRequestAndItsAnswerGoThroughUnchanged() throws Exception {
         start(good());
-        RawHttpClient.Message answer = fixture.ask("order", DEADLINE_MS);
+        RawHttpClient.Message answer = fixture.sendRequest("order", DEADLINE_MS);
         assertEquals(200, answer.status());
         assertEquals("served", answer.body());
         assertEquals("text/x", answer.headers().get("content-type"));
@@ -149,7 +149,7 @@
             }
         };
         start(new FakeEndpoint(script), new FakeEndpoint(script));
-        RawHttpClient.Message answer = fixture.ask("order", DEADLINE_MS);
+        RawHttpClient.Message answer = fixture.sendRequest("order", DEADLINE_MS);
         assertEquals(502, answer.status());
         assertFalse(answer.body().contains("mine"), "an endpoint's refusal or error is not passed on");
         assertEquals(1, fixture.attempts());
@@ -184,7 +184,7 @@
             other.script = once;
         }
         for (int i = 0; i < 3; i++) {
-            assertEquals(200, fixture.ask(kind, DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest(kind, DEADLINE_MS).status());
         }
     }
 
@@ -193,7 +193,7 @@
     void anAttemptThatIsGivenUpClosesItsConnection() throws Exception {
         FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitEnd());
         start(hung);
-        RawHttpClient.Message answer = fixture.ask("order", 300);
+        RawHttpClient.Message answer = fixture.sendRequest("order", 300);
         assertEquals(502, answer.status(), "it may have run");
         SidecarFixture.await("the connection is closed", () -> hung.open.get() == 0);
         assertEquals(1, fixture.attempts());
@@ -215,7 +215,7 @@
     void aRefusalComesAtOnceAndTellsWhenToComeBack() throws Exception {
         start();
         long began = System.nanoTime();
-        RawHttpClient.Message answer = fixture.ask("order", DEADLINE_MS);
+        RawHttpClient.Message answer = fixture.sendRequest("order", DEADLINE_MS);
         assertEquals(503, answer.status());
         assertEquals(0.5, Double.parseDouble(answer.headers().get("retry-after")));
         assertTrue((System.nanoTime() - began) / 1e6 < DEADLINE_MS / 2.0, "long before the deadline");
@@ -239,7 +239,7 @@
                 ahead.send(fixture.request("order", DEADLINE_MS));
             }
             SidecarFixture.await("all connections are busy", () -> fixture.attempts() == 8);
-            assertEquals(503, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(503, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(8, fixture.attempts());
             assertTrue(fixture.logged().contains("all 8 connections to endpoints are busy"), fixture.logged());
             assertFalse(fixture.logged().contains("module failed"), fixture.logged());
@@ -272,7 +272,7 @@
         SidecarFixture.await(
                 "the endpoint is let go", () -> fixture.endpoints.get(0).open.get() == 0);
         fixture.endpoints.get(0).script = (wire, request) -> FakeEndpoint.answer(wire, 200, "", "served");
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
     }
 
     // ---- what is no request ----
@@ -337,7 +337,7 @@
         fixture = new SidecarFixture(good());
         fixture.idleCloseMs = 400;
         fixture.start();
-        assertEquals(200, fixture.ask("read", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("read", DEADLINE_MS).status());
         SidecarFixture.await(
                 "the idle connection is closed",
                 () -> fixture.endpoints.get(0).open.get() == 0);
@@ -380,7 +380,7 @@
                 fixture.discovery.requests.stream()
                         .map(RawHttpClient.Message::line)
                         .toList());
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(0, before.requests.size(), "it drains");
         assertEquals(1, after.requests.size());
         after.close();
@@ -396,7 +396,7 @@
         answers.add(failure);
         answers.add(failure);
         SidecarFixture.await("it asks again", () -> fixture.discovery.requests.size() >= 3);
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertTrue(fixture.logged().contains("discovery failed"), fixture.logged());
     }
 
@@ -409,11 +409,11 @@
         fixture.askWithinMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
         fixture.start();
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         FakeEndpoint now = moves ? good() : old;
         answers.add(SidecarFixture.list(2, false, SidecarFixture.line(0, now.address(), "in_service", started)));
         SidecarFixture.await("the old connection is closed", () -> old.open.get() == 0);
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(moves ? 1 : 2, old.connections.get());
         now.close();
     }
@@ -517,7 +517,7 @@
             fixture.client().send("GET /api HT").reset();
             fixture.client().send("\0\0\0\r\n\r\n").reset();
         }
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         try (RawHttpClient client = fixture.client()) {
             client.send("GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n");
             assertEquals(400, client.read().status());
--- a/sidecar/src/test/java/martenlatch/sidecar/SpoiltAnswerTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SpoiltAnswerTest.java
@@ -54,7 +54,7 @@
     void aSpoiltAnswerIsAFailedAttemptAtOnce(String answer) throws Exception {
         start((wire, request) -> wire.send(answer).awaitEnd());
         long began = System.nanoTime();
-        assertEquals(502, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(502, fixture.sendRequest("order", DEADLINE_MS).status());
         assertTrue((System.nanoTime() - began) / 1e6 < DEADLINE_MS / 2.0, "at once");
         SidecarFixture.await(
                 "the connection is closed", () -> fixture.endpoints.get(0).open.get() == 0);
@@ -65,10 +65,10 @@
     @Test
     void anEndpointsTooManyIsNoRefusalOfOurs() throws Exception {
         start((wire, request) -> FakeEndpoint.answer(wire, 429, "Retry-After: 1\r\n", "busy"));
-        assertEquals(502, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(502, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(1, fixture.attempts());
         // One that is safe to repeat is refused, as after every failure.
-        assertEquals(503, fixture.ask("read", DEADLINE_MS).status());
+        assertEquals(503, fixture.sendRequest("read", DEADLINE_MS).status());
     }
 
     @ParameterizedTest
@@ -81,7 +81,7 @@
                 wire.send(parts[1]);
             }
         });
-        assertEquals(502, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(502, fixture.sendRequest("order", DEADLINE_MS).status());
         SidecarFixture.await(
                 "the connection is closed", () -> fixture.endpoints.get(0).open.get() == 0);
     }
@@ -146,7 +146,7 @@
             wire.send("x");
         });
         for (int i = 0; i < 3; i++) {
-            assertEquals("r" + i, fixture.ask("order", DEADLINE_MS).body());
+            assertEquals("r" + i, fixture.sendRequest("order", DEADLINE_MS).body());
             SidecarFixture.await(
                     "it is closed", () -> fixture.endpoints.get(0).open.get() == 0);
         }
@@ -163,7 +163,7 @@
                 assertEquals(400, client.send(bad).read().status());
             }
         }
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(21, fixture.attempts(), "each was sent once");
     }
 }
