--- a/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
@@ -58,7 +58,7 @@
         fixture = new SidecarFixture(FakeEndpoint.answering(200, "", "served")).start();
         // The endpoint has an idle connection now: an attempt would be written at once.
         assertEquals("served", fixture.sendRequest("order", DEADLINE_MS).body());
-        SidecarFixture.settle();
+        SidecarFixture.awaitReuseDelay();
         RawHttpClient[] client = new RawHttpClient[1];
         SidecarFixture.Action connect = () -> client[0] = fixture.client();
         if (accepted) {
@@ -114,7 +114,7 @@
             assertEquals("served", other.read().body());
         }
         // Both endpoints have an idle connection now.
-        SidecarFixture.settle();
+        SidecarFixture.awaitReuseDelay();
         RawHttpClient client = fixture.client().send(fixture.request("read", DEADLINE_MS));
         RawHttpClient attempt = held.poll(SidecarFixture.AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (resetFirst) {
@@ -288,7 +288,7 @@
                 fixture.whileEventLoopBlocked(client::close, answers);
             }
             fixture.awaitPending(0, NOTICED_MS);
-            SidecarFixture.settle();
+            SidecarFixture.awaitReuseDelay();
             Thread serves = new Thread(() -> serveNext(place, endpoint));
             serves.start();
             assertEquals("second", fixture.sendRequest("order", DEADLINE_MS).body());
--- a/sidecar/src/test/java/martenlatch/sidecar/ConnectionReuseRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ConnectionReuseRaceTest.java
@@ -49,7 +49,7 @@
             });
             assertEquals("first", client.read().body());
             fixture.awaitPending(0, NOTICED_MS);
-            SidecarFixture.settle();
+            SidecarFixture.awaitReuseDelay();
             // Nothing of the time-out is left, neither on this connection nor on the endpoint's.
             client.send(fixture.request("order", DEADLINE_MS));
             endpoint.read();
--- a/sidecar/src/test/java/martenlatch/sidecar/LongRequestBodiesTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LongRequestBodiesTest.java
@@ -67,7 +67,7 @@
                             form.equals("length") ? sent : LongBodies.chunked(sent));
                     assertEquals("eaten", client.read().body());
                     assertArrayEquals(sent, received.take());
-                    SidecarFixture.settle();
+                    SidecarFixture.awaitReuseDelay();
                 }
             }
             assertEquals(1, endpoint.connections.get());
--- a/sidecar/src/test/java/martenlatch/sidecar/LongResponsesTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LongResponsesTest.java
@@ -69,7 +69,7 @@
             for (int i = 0; i < 3; i++) {
                 client.send(fixture.request(i == 1 ? "read" : "order", DEADLINE_MS));
                 assertArrayEquals(made, LongBodies.body(client));
-                SidecarFixture.settle();
+                SidecarFixture.awaitReuseDelay();
             }
         }
         assertEquals(
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
@@ -165,7 +165,7 @@
     }
 
     /** Lets a connection to an endpoint, on which an answer has come, stand for as long as it must. */
-    static void settle() throws InterruptedException {
+    static void awaitReuseDelay() throws InterruptedException {
         Thread.sleep(15);
     }
 
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
@@ -69,7 +69,7 @@
                 assertEquals(
                         200,
                         client.send(fixture.request("read", DEADLINE_MS)).read().status());
-                SidecarFixture.settle();
+                SidecarFixture.awaitReuseDelay();
             }
         }
         assertEquals(1, fixture.endpoints.get(0).connections.get());
--- a/sidecar/src/test/java/martenlatch/sidecar/SpoiltAnswerTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SpoiltAnswerTest.java
@@ -103,7 +103,7 @@
                         client.send(fixture.request("order", DEADLINE_MS))
                                 .read()
                                 .body());
-                SidecarFixture.settle();
+                SidecarFixture.awaitReuseDelay();
             }
         }
         assertEquals(1, fixture.endpoints.get(0).connections.get(), "and its connection is kept");
@@ -131,7 +131,7 @@
                         client.send(fixture.request("order", DEADLINE_MS)).read();
                 assertEquals(200, answer.status());
                 assertEquals("r" + i, answer.body());
-                SidecarFixture.settle();
+                SidecarFixture.awaitReuseDelay();
             }
         }
         assertEquals(10, fixture.endpoints.get(0).connections.get(), "none is used again");
