--- a/sidecar/src/test/java/martenlatch/sidecar/LostCallsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LostCallsTest.java
@@ -39,7 +39,7 @@
     private final List<RawHttpClient> clients = new ArrayList<>();
 
     LostCallsTest() throws IOException {
-        fixture.aimMs = AIM_MS;
+        fixture.latencyObjectiveMs = AIM_MS;
     }
 
     @AfterEach
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
@@ -30,7 +30,7 @@
     int idleCloseMs = 15_000;
     int askWithinMs = 600_000;
     int sockets = 1024;
-    int aimMs = 9000;
+    int latencyObjectiveMs = 9000;
     int dialMs = 2000;
     /** For so long endpoints drop repeats of the class "move". */
     int windowMs = 9000;
@@ -123,10 +123,10 @@
                         sockets,
                         list(1, true, lines.toArray(String[]::new)),
                         membership,
-                        aimMs,
-                        aimMs,
+                        latencyObjectiveMs,
+                        latencyObjectiveMs,
                         windowMs,
-                        aimMs,
+                        latencyObjectiveMs,
                         cancel,
                         dialMs,
                         idleCloseMs,
