--- a/sidecar/src/test/java/martenlatch/sidecar/DeduplicationWindowRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DeduplicationWindowRaceTest.java
@@ -34,7 +34,7 @@
         try (ServerSocket place = LateEndpoint.queue()) {
             fixture = SidecarFixture.withEndpointAt("127.0.0.1:" + place.getLocalPort());
             fixture.dialMs = 30_000;
-            fixture.windowMs = 3000;
+            fixture.deduplicationWindowMs = 3000;
             fixture.start();
             long began = System.nanoTime();
             RawHttpClient client = fixture.client().send(fixture.request("move", DEADLINE_MS));
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
@@ -33,7 +33,7 @@
     int latencyObjectiveMs = 9000;
     int dialMs = 2000;
     /** For so long endpoints drop repeats of the class "move". */
-    int windowMs = 9000;
+    int deduplicationWindowMs = 9000;
 
     boolean cancel = true;
     String membership = "on_request";
@@ -125,7 +125,7 @@
                         membership,
                         latencyObjectiveMs,
                         latencyObjectiveMs,
-                        windowMs,
+                        deduplicationWindowMs,
                         latencyObjectiveMs,
                         cancel,
                         dialMs,
