--- a/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
@@ -136,7 +136,7 @@
         try (LateEndpoint late = new LateEndpoint()) {
             fixture = SidecarFixture.withEndpointAt(late.address());
             fixture.cancel = how.endsWith("cancel");
-            fixture.dialMs = 30_000;
+            fixture.connectTimeoutMs = 30_000;
             fixture.start();
             long began = System.nanoTime();
             RawHttpClient leaves = fixture.client().send(fixture.request(kind, DEADLINE_MS));
--- a/sidecar/src/test/java/martenlatch/sidecar/DeduplicationWindowRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DeduplicationWindowRaceTest.java
@@ -33,7 +33,7 @@
     void aKeyedRepeatIsNotSentAfterItsWindow() throws Exception {
         try (ServerSocket place = LateEndpoint.queue()) {
             fixture = SidecarFixture.withEndpointAt("127.0.0.1:" + place.getLocalPort());
-            fixture.dialMs = 30_000;
+            fixture.connectTimeoutMs = 30_000;
             fixture.deduplicationWindowMs = 3000;
             fixture.start();
             long began = System.nanoTime();
--- a/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
@@ -237,7 +237,7 @@
                 FakeEndpoint other = FakeEndpoint.serving();
                 FakeEndpoint again = FakeEndpoint.serving()) {
             fixture = SidecarFixture.withEndpointAt(late.address());
-            fixture.dialMs = 30_000;
+            fixture.connectTimeoutMs = 30_000;
             fixture.askWithinMs = 20;
             fixture.discovery.script = (wire, request) -> FakeEndpoint.answer(wire, 200, "", answers.take());
             fixture.start();
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
@@ -31,7 +31,7 @@
     int askWithinMs = 600_000;
     int sockets = 1024;
     int latencyObjectiveMs = 9000;
-    int dialMs = 2000;
+    int connectTimeoutMs = 2000;
     /** For so long endpoints drop repeats of the class "move". */
     int deduplicationWindowMs = 9000;
 
@@ -72,7 +72,7 @@
     static SidecarFixture startedBefore(ServerSocket place, boolean cancel) throws IOException {
         SidecarFixture fixture = withEndpointAt("127.0.0.1:" + place.getLocalPort());
         fixture.cancel = cancel;
-        fixture.dialMs = 30_000;
+        fixture.connectTimeoutMs = 30_000;
         return fixture.start();
     }
 
@@ -128,7 +128,7 @@
                         deduplicationWindowMs,
                         latencyObjectiveMs,
                         cancel,
-                        dialMs,
+                        connectTimeoutMs,
                         idleCloseMs,
                         askWithinMs);
     }
