--- a/sidecar/src/test/java/martenlatch/sidecar/AdminOperationsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/AdminOperationsTest.java
@@ -159,7 +159,7 @@
         FakeEndpoint second = good();
         LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
         SidecarFixture fixture = fixture(first, second);
-        fixture.askWithinMs = 20;
+        fixture.pollIntervalMs = 20;
         fixture.discovery.script = (wire, request) -> FakeEndpoint.answer(wire, 200, "", answers.take());
         fixture.start();
         assertEquals(200, fixture.operate("POST /endpoints/disable", name("s0")).status());
--- a/sidecar/src/test/java/martenlatch/sidecar/ChurnTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ChurnTest.java
@@ -23,7 +23,7 @@
     private final LinkedBlockingQueue<String> lists = new LinkedBlockingQueue<>();
 
     ChurnTest() throws IOException {
-        fixture.askWithinMs = 20;
+        fixture.pollIntervalMs = 20;
         fixture.discovery.script = (wire, request) -> FakeEndpoint.answer(wire, 200, "", lists.take());
     }
 
--- a/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
@@ -44,7 +44,7 @@
         try (FakeEndpoint other = FakeEndpoint.serving()) {
             fixture = new SidecarFixture(FakeEndpoint.serving());
             fixture.membership = membership;
-            fixture.askWithinMs = 4000;
+            fixture.pollIntervalMs = 4000;
             // Where lists are pushed the first call is for the whole list.
             int silent = membership.equals("pushed") ? 2 : 1;
             fixture.discovery.script = (wire, request) -> {
@@ -106,7 +106,7 @@
                 wire.close();
             }
         };
-        fixture.askWithinMs = 2000;
+        fixture.pollIntervalMs = 2000;
         fixture.start();
         SidecarFixture.await("it goes on asking", () -> fixture.discovery.requests.size() > 5);
         assertFalse(fixture.logged().contains("discovery failed"), fixture.logged());
@@ -200,7 +200,7 @@
         LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
         try (FakeEndpoint other = FakeEndpoint.answering(200, "", "other")) {
             fixture = new SidecarFixture(FakeEndpoint.serving());
-            fixture.askWithinMs = 20;
+            fixture.pollIntervalMs = 20;
             fixture.discovery.script = (wire, request) -> FakeEndpoint.answer(wire, 200, "", answers.take());
             fixture.start();
             String first = fixture.endpoints.get(0).address();
@@ -238,7 +238,7 @@
                 FakeEndpoint again = FakeEndpoint.serving()) {
             fixture = SidecarFixture.withEndpointAt(late.address());
             fixture.connectTimeoutMs = 30_000;
-            fixture.askWithinMs = 20;
+            fixture.pollIntervalMs = 20;
             fixture.discovery.script = (wire, request) -> FakeEndpoint.answer(wire, 200, "", answers.take());
             fixture.start();
             RawHttpClient unsafe = fixture.client().send(fixture.request("order", DEADLINE_MS));
--- a/sidecar/src/test/java/martenlatch/sidecar/ReloadTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ReloadTest.java
@@ -59,7 +59,7 @@
     /** Guards against trust in the old place's version: the new one may count from anywhere. */
     @Test
     void theWholeListIsAskedForAtTheNewAddressAtOnce() throws Exception {
-        fixture.askWithinMs = 20;
+        fixture.pollIntervalMs = 20;
         fixture.start();
         SidecarFixture.await("a watch is on", () -> fixture.discovery.requests.size() == 1);
         try (FakeEndpoint next = discoveryWith(1, after);
@@ -83,7 +83,7 @@
     /** Guards against a fleet that is moved, asks the new place all at once, and is turned away by it. */
     @Test
     void aFleetThatIsMovedSpreadsItsFirstCalls() throws Exception {
-        fixture.askWithinMs = 2000;
+        fixture.pollIntervalMs = 2000;
         fixture.start();
         List<Double> waits = new ArrayList<>();
         try (FakeEndpoint one = discoveryWith(1, after);
@@ -185,7 +185,7 @@
                 "\"name\":\"n0\",||field name is missing"
             })
     void aPartOfAFileChangesNothing(String part, String spoilt, String told) throws Exception {
-        fixture.askWithinMs = 20;
+        fixture.pollIntervalMs = 20;
         fixture.start();
         SidecarFixture.await("a watch is on", () -> fixture.discovery.requests.size() == 1);
         String good = fixture.config().replace(fixture.discovery.address(), after.address());
@@ -202,7 +202,7 @@
 
     @Test
     void aFileThatCannotBeUsedChangesNothing() throws Exception {
-        fixture.askWithinMs = 20;
+        fixture.pollIntervalMs = 20;
         fixture.start();
         SidecarFixture.await("a watch is on", () -> fixture.discovery.requests.size() == 1);
         reloadFor("nowhere");
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
@@ -28,7 +28,7 @@
     Path configFile;
     Sidecar sidecar;
     int idleCloseMs = 15_000;
-    int askWithinMs = 600_000;
+    int pollIntervalMs = 600_000;
     int sockets = 1024;
     int latencyObjectiveMs = 9000;
     int connectTimeoutMs = 2000;
@@ -130,7 +130,7 @@
                         cancel,
                         connectTimeoutMs,
                         idleCloseMs,
-                        askWithinMs);
+                        pollIntervalMs);
     }
 
     SidecarFixture start() throws IOException {
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
@@ -364,7 +364,7 @@
         FakeEndpoint before = good();
         FakeEndpoint after = good();
         fixture = new SidecarFixture(before);
-        fixture.askWithinMs = 20;
+        fixture.pollIntervalMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
         fixture.start();
         answers.add(SidecarFixture.list(
@@ -390,7 +390,7 @@
     @ValueSource(strings = {"", "reset", "{\"version\":", "{\"version\":1}"})
     void aCallThatFailedIsMadeAgain(String failure) throws Exception {
         fixture = new SidecarFixture(good());
-        fixture.askWithinMs = 20;
+        fixture.pollIntervalMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
         fixture.start();
         answers.add(failure);
@@ -406,7 +406,7 @@
     void anEndpointThatMovesOrRestartsGetsNewConnections(boolean moves, long started) throws Exception {
         FakeEndpoint old = good();
         fixture = new SidecarFixture(old);
-        fixture.askWithinMs = 20;
+        fixture.pollIntervalMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
         fixture.start();
         assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
