--- a/sidecar/src/test/java/martenlatch/sidecar/BodyReadingEndpoint.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/BodyReadingEndpoint.java
@@ -27,7 +27,7 @@
         this.received = received;
         this.pauseMs = pauseMs;
         // Closed and opened again, its port might be another's by then.
-        place = FakeEndpoint.place();
+        place = FakeEndpoint.listeningOnly();
         listener = place.listener;
         start(this::accept);
     }
--- a/sidecar/src/test/java/martenlatch/sidecar/FakeEndpoint.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/FakeEndpoint.java
@@ -45,7 +45,7 @@
     }
 
     /** A place that listens, for whoever takes the connections there himself. */
-    static FakeEndpoint place() throws IOException {
+    static FakeEndpoint listeningOnly() throws IOException {
         return new FakeEndpoint(new InetSocketAddress("127.0.0.1", 0));
     }
 
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
@@ -63,7 +63,7 @@
 
     /** A fixture with one endpoint in its list, at an address of the test's. */
     static SidecarFixture withEndpointAt(String address) throws IOException {
-        SidecarFixture fixture = new SidecarFixture(FakeEndpoint.place());
+        SidecarFixture fixture = new SidecarFixture(FakeEndpoint.listeningOnly());
         fixture.known = List.of(line(0, address, "in_service", 0));
         return fixture;
     }
