--- a/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
@@ -57,14 +57,14 @@
     void aRequestWhoseClientHasLeftIsNotForwarded(boolean accepted, boolean reset) throws Exception {
         fixture = new SidecarFixture(FakeEndpoint.answering(200, "", "served")).start();
         // The endpoint has an idle connection now: an attempt would be written at once.
-        assertEquals("served", fixture.ask("order", DEADLINE_MS).body());
-        SidecarFixture.settle();
+        assertEquals("served", fixture.sendRequest("order", DEADLINE_MS).body());
+        SidecarFixture.awaitReuseDelay();
         RawHttpClient[] client = new RawHttpClient[1];
-        SidecarFixture.Deed connect = () -> client[0] = fixture.client();
+        SidecarFixture.Action connect = () -> client[0] = fixture.client();
         if (accepted) {
             connect.run();
         }
-        fixture.whileHeld(
+        fixture.whileEventLoopBlocked(
                 () -> {
                     if (!accepted) {
                         connect.run();
@@ -78,7 +78,7 @@
                         client[0].close();
                     }
                 });
-        assertEquals("served", fixture.ask("order", DEADLINE_MS).body());
+        assertEquals("served", fixture.sendRequest("order", DEADLINE_MS).body());
         assertNothingIsPending();
         assertEquals(0, attemptsOf("r1"));
         assertEquals(1, attemptsOf("r2"));
@@ -114,16 +114,16 @@
             assertEquals("served", other.read().body());
         }
         // Both endpoints have an idle connection now.
-        SidecarFixture.settle();
+        SidecarFixture.awaitReuseDelay();
         RawHttpClient client = fixture.client().send(fixture.request("read", DEADLINE_MS));
-        RawHttpClient attempt = held.poll(SidecarFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        RawHttpClient attempt = held.poll(SidecarFixture.AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (resetFirst) {
-            fixture.whileHeld(attempt::reset, client::close);
+            fixture.whileEventLoopBlocked(attempt::reset, client::close);
         } else {
-            fixture.whileHeld(client::close, attempt::reset);
+            fixture.whileEventLoopBlocked(client::close, attempt::reset);
         }
         assertNothingIsPending();
-        assertEquals("served", fixture.ask("read", DEADLINE_MS).body());
+        assertEquals("served", fixture.sendRequest("read", DEADLINE_MS).body());
         assertEquals(1, attemptsOf("r2"));
         assertEquals(List.of(), List.copyOf(held));
     }
@@ -136,7 +136,7 @@
         try (DelayedAcceptEndpoint late = new DelayedAcceptEndpoint()) {
             fixture = SidecarFixture.withEndpointAt(late.address());
             fixture.cancel = how.endsWith("cancel");
-            fixture.dialMs = 30_000;
+            fixture.connectTimeoutMs = 30_000;
             fixture.start();
             long began = System.nanoTime();
             RawHttpClient leaves = fixture.client().send(fixture.request(kind, DEADLINE_MS));
@@ -155,7 +155,7 @@
                             .map(request -> request.headers().get("x-request-id"))
                             .toList());
             // Nothing is held against the endpoint: it is asked at once.
-            assertEquals("late", fixture.ask("order", DEADLINE_MS).body());
+            assertEquals("late", fixture.sendRequest("order", DEADLINE_MS).body());
         }
     }
 
@@ -175,7 +175,7 @@
         client.send(all.toString());
         SidecarFixture.await("some are at the endpoint", () -> fixture.attempts() > 0);
         // Once another client has its answer, all that came before has been dealt with.
-        fixture.ask("order", DEADLINE_MS);
+        fixture.sendRequest("order", DEADLINE_MS);
         long began = System.nanoTime();
         if (how.endsWith("held")) {
             client.send("POST /api HTTP/1.1\r\nContent-Length: 50000\r\n\r\n" + "x".repeat(40_000));
@@ -226,7 +226,7 @@
                     request.body().length() < Integer.parseInt(request.headers().get("content-length")),
                     "none came whole"));
         }
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
     }
 
     /** A client that ends its side has left, as one that closes: nobody can tell them apart. */
@@ -257,13 +257,13 @@
             first.read();
             try (DelayedAcceptEndpoint late = new DelayedAcceptEndpoint(place)) {
                 if (causeFirst) {
-                    fixture.whileHeld(first::reset, client::close);
+                    fixture.whileEventLoopBlocked(first::reset, client::close);
                 } else {
-                    fixture.whileHeld(client::close, first::reset);
+                    fixture.whileEventLoopBlocked(client::close, first::reset);
                 }
                 fixture.awaitPending(0, NOTICED_MS);
                 late.startAccepting();
-                assertEquals("late", fixture.ask("order", DEADLINE_MS).body());
+                assertEquals("late", fixture.sendRequest("order", DEADLINE_MS).body());
                 assertEquals(
                         List.of("r1"),
                         late.requests.stream()
@@ -281,17 +281,17 @@
             RawHttpClient client = fixture.client().send(fixture.request("order", DEADLINE_MS));
             RawHttpClient endpoint = new RawHttpClient(place.accept());
             endpoint.read();
-            SidecarFixture.Deed answers = () -> FakeEndpoint.answer(endpoint, 200, "", "first");
+            SidecarFixture.Action answers = () -> FakeEndpoint.answer(endpoint, 200, "", "first");
             if (answerFirst) {
-                fixture.whileHeld(answers, client::close);
+                fixture.whileEventLoopBlocked(answers, client::close);
             } else {
-                fixture.whileHeld(client::close, answers);
+                fixture.whileEventLoopBlocked(client::close, answers);
             }
             fixture.awaitPending(0, NOTICED_MS);
-            SidecarFixture.settle();
+            SidecarFixture.awaitReuseDelay();
             Thread serves = new Thread(() -> serveNext(place, endpoint));
             serves.start();
-            assertEquals("second", fixture.ask("order", DEADLINE_MS).body());
+            assertEquals("second", fixture.sendRequest("order", DEADLINE_MS).body());
             serves.join();
         }
     }
--- a/sidecar/src/test/java/martenlatch/sidecar/DeduplicationWindowRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DeduplicationWindowRaceTest.java
@@ -33,8 +33,8 @@
     void aKeyedRepeatIsNotSentAfterItsWindow() throws Exception {
         try (ServerSocket place = DelayedAcceptEndpoint.listenWithShortBacklog()) {
             fixture = SidecarFixture.withEndpointAt("127.0.0.1:" + place.getLocalPort());
-            fixture.dialMs = 30_000;
-            fixture.windowMs = 3000;
+            fixture.connectTimeoutMs = 30_000;
+            fixture.deduplicationWindowMs = 3000;
             fixture.start();
             long began = System.nanoTime();
             RawHttpClient client = fixture.client().send(fixture.request("move", DEADLINE_MS));
@@ -47,7 +47,7 @@
                 assertTrue(SidecarFixture.elapsedMs(began) >= 2500, "it was to be repeated within the window");
                 assertTrue(SidecarFixture.elapsedMs(began) < NOTICED_MS, "given up is answered at once");
                 late.startAccepting();
-                assertEquals("late", fixture.ask("order", DEADLINE_MS).body());
+                assertEquals("late", fixture.sendRequest("order", DEADLINE_MS).body());
                 assertEquals(
                         List.of("r1"),
                         late.requests.stream()
