--- a/sidecar/src/main/java/martenlatch/numeric/TokenBucket.java
+++ b/sidecar/src/main/java/martenlatch/numeric/TokenBucket.java
@@ -6,7 +6,7 @@
     private final double tokensPerMs;
     private final double capacity;
     private double tokens;
-    /** When tokens were last added, in milliseconds; 0 before the first time. */
+    /** The time when tokens were last added, in milliseconds; 0 before the first time. */
     private double refilledAtMs;
 
     /** Creates a full bucket. */
@@ -15,7 +15,7 @@
         this.capacity = capacity;
     }
 
-    /** Takes one token if there is one; time must not run backwards. */
+    /** Takes one token if there is one and returns whether it did; {@code nowMs} must not decrease. */
     public boolean tryTake(double nowMs) {
         tokens = refilledAtMs == 0 ? capacity : Math.min(capacity, tokens + tokensPerMs * (nowMs - refilledAtMs));
         refilledAtMs = nowMs;
--- a/sidecar/src/main/java/martenlatch/numeric/package-info.java
+++ b/sidecar/src/main/java/martenlatch/numeric/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Numeric tools that know nothing of requests or endpoints: estimators, token buckets, hashes.
- * May depend on the Java platform only.
+ * Estimators, token buckets and hashes that are independent of requests and endpoints. This package may depend on the
+ * Java platform only.
  */
 package martenlatch.numeric;
--- a/sidecar/src/main/java/martenlatch/policy/ConcurrencyLimiter.java
+++ b/sidecar/src/main/java/martenlatch/policy/ConcurrencyLimiter.java
@@ -1,108 +1,128 @@
 package martenlatch.policy;
 
-import martenlatch.policy.PendingCall.Attempt;
+import martenlatch.policy.PendingRequest.Attempt;
 import martenlatch.policy.api.*;
 
-/** The limit on calls in flight, learned from how much of their latency objective answers take. */
+/**
+ * Limits the requests in flight. The limit adapts to congestion, which is the share of the time between base latency
+ * and latency objective that responses take.
+ */
 final class ConcurrencyLimiter {
 
-    static final double INITIAL_CALLS_PER_ENDPOINT = 4; // over all balancers: two for each of two cores
-    private static final double MIN_CALLS_PER_ENDPOINT = 0.5; // over all balancers: recovery has to show
-    private static final double TARGET_PRESSURE = 0.2; // share of the time from base time to objective
-    private static final double MIN_TARGET_SHARE = 0.5; // the part of that target left where the limit is small
-    private static final double AMPLE_LIMIT = 3; // the limit from which all of the target counts
-    private static final double PRESSURE_GAIN = 1.0 / 16; // weight of a new outcome in the pressure
-    private static final double CUT = 0.85; // factor on the limit at each cut
-    private static final double HANG_GAPS = 4; // an endpoint silent for so many of its usual gaps hangs
+    /** Initial limit of all balancers together: two requests for each of an endpoint's two cores. */
+    static final double INITIAL_REQUESTS_PER_ENDPOINT = 4;
+
+    /** Lowest limit of all balancers together; some requests must still be sent for a recovery to be noticed. */
+    private static final double MIN_REQUESTS_PER_ENDPOINT = 0.5;
+
+    private static final double TARGET_CONGESTION = 0.2; // share of the time from base latency to objective
+    private static final double MIN_TARGET_FACTOR = 0.5; // lowest factor on the target at a small limit
+    private static final double FULL_TARGET_LIMIT = 3; // limit from which the full target applies
+    private static final double CONGESTION_GAIN = 1.0 / 16; // weight of a new sample in the congestion
+    private static final double DECREASE_FACTOR = 0.85; // factor on the limit at each decrease
+    /** Silence, in usual response gaps, after which an endpoint counts as hung. */
+    private static final double HUNG_RESPONSE_GAPS = 4;
 
     private final BalancerState state;
     private final LocalityRouting locality;
-    double limit; // calls that may be in flight at once; 0 until the first endpoint list
-    /** Moving average of the share of their objective that answers took beyond the base time. */
-    double pressure;
+    double limit; // maximum number of requests in flight; 0 until the first endpoint list
+    /** Moving average of the share of the time between base latency and latency objective that responses took. */
+    double congestion;
 
-    private double nextCutMs;
-    private double quickGrowthUntil;
+    private double nextDecreaseMs;
+    private double fastGrowthLimit;
 
     ConcurrencyLimiter(BalancerState state, LocalityRouting locality) {
         this.state = state;
         this.locality = locality;
     }
 
-    /** Sets the limit from the first endpoint list; later lists leave it to what is learned. */
+    /** Sets the initial limit at the first endpoint list; later calls leave the adapted limit unchanged. */
     void initialize() {
         if (limit == 0) {
-            double calls = INITIAL_CALLS_PER_ENDPOINT * state.readyCount / state.settings.balancerCount();
-            limit = Math.min(SlotPool.MAX_SLOTS, Math.max(1, calls));
-            quickGrowthUntil = 2 * limit;
+            double initialLimit = INITIAL_REQUESTS_PER_ENDPOINT * state.readyCount / state.settings.balancerCount();
+            limit = Math.min(SlotPool.MAX_SLOTS, Math.max(1, initialLimit));
+            fastGrowthLimit = 2 * limit;
         }
     }
 
-    /** At a small limit answers are few, and one call more is a large step: it keeps further from the edge. */
-    double targetPressure() {
-        return TARGET_PRESSURE * Math.max(MIN_TARGET_SHARE, Math.min(1, limit / AMPLE_LIMIT));
+    /**
+     * Returns the congestion above which the limit decreases. It is lower for a small limit, where responses are few
+     * and one more request in flight is a large step.
+     */
+    double targetCongestion() {
+        return TARGET_CONGESTION * Math.max(MIN_TARGET_FACTOR, Math.min(1, limit / FULL_TARGET_LIMIT));
     }
 
-    /** Moves the limit by an outcome: down while answers take too much of the objective, else slowly up. */
-    void onAttemptFinished(double nowMs, PendingCall call, Attempt attempt, AttemptResult result) {
+    /** Adapts the limit to an outcome: decreases it while congestion is above the target, else slowly increases it. */
+    void onAttemptFinished(double nowMs, PendingRequest pending, Attempt attempt, AttemptResult result) {
         EndpointState endpoint = attempt.slot().endpoint;
-        if (result.outcome() == AttemptOutcome.TIMED_OUT && hangs(nowMs, endpoint)) {
+        if (result.outcome() == AttemptOutcome.TIMED_OUT && isHung(nowMs, endpoint)) {
             return;
         }
-        double sample = crowdingOf(call, result);
-        locality.recordCrowding(endpoint, sample);
+        double sample = congestionSample(pending, result);
+        locality.recordCongestion(endpoint, sample);
         if (result.outcome() == AttemptOutcome.OK) {
-            endpoint.recordAnswer(nowMs, sample);
+            endpoint.recordResponse(nowMs, sample);
         } else if (result.outcome() == AttemptOutcome.TIMED_OUT && isLoneTimeout(endpoint, attempt)) {
-            sample = Math.min(sample, endpoint.crowding);
+            sample = Math.min(sample, endpoint.congestion);
         }
-        // A balancer with few calls in flight has few answers a second: each has to count for more.
-        pressure += Math.max(PRESSURE_GAIN, 1 / (2 + 2 * limit)) * (sample - pressure);
-        if (pressure > targetPressure()) {
-            cut(nowMs, call);
+        // A balancer with few requests in flight gets few responses per second, so each sample has a larger weight.
+        congestion += Math.max(CONGESTION_GAIN, 1 / (2 + 2 * limit)) * (sample - congestion);
+        if (congestion > targetCongestion()) {
+            decrease(nowMs, pending);
         } else if (result.outcome() == AttemptOutcome.OK && state.inFlight * 2 >= limit) {
-            grow();
+            increase();
         }
     }
 
-    private double crowdingOf(PendingCall call, AttemptResult result) {
-        double baseMs = call.latency.baseMs();
-        double objectiveMs = call.requestClass.latencyObjectiveMs();
+    /** Returns the congestion that an outcome shows: 0 at the base latency or below, 1 at the objective, at most 2. */
+    private double congestionSample(PendingRequest pending, AttemptResult result) {
+        double baseMs = pending.latency.baseMs();
+        double objectiveMs = pending.requestClass.latencyObjectiveMs();
         double spareMs = Math.max(objectiveMs - baseMs, objectiveMs / 4);
         return switch (result.outcome()) {
             case OK, TIMED_OUT -> Math.max(0, Math.min(2, (result.durationMs() - baseMs) / spareMs));
             case REJECTED_QUEUE_FULL -> 1;
-            default -> pressure;
+            default -> congestion;
         };
     }
 
-    /** Whether its endpoint has since answered others fast: a lost answer shows no more crowding than those do. */
+    /**
+     * Returns whether the endpoint has responded fast to other attempts sent since. A single lost response then shows
+     * no more congestion than those responses do.
+     */
     private boolean isLoneTimeout(EndpointState endpoint, Attempt attempt) {
-        return endpoint.lastAnswerMs > attempt.sentAtMs()
-                && endpoint.crowding < targetPressure()
+        return endpoint.lastResponseMs > attempt.sentAtMs()
+                && endpoint.congestion < targetCongestion()
                 && endpoint.inFlight <= Math.max(1, limit / state.readyCount);
     }
 
-    /** Fewer calls help a crowded endpoint, which answers late, but not one that hangs and answers none. */
-    private boolean hangs(double nowMs, EndpointState endpoint) {
-        return endpoint.answerGapMs > 0
-                && nowMs - endpoint.lastAnswerMs > HANG_GAPS * endpoint.answerGapMs
-                && !state.suspectsSharedCause();
+    /**
+     * Returns whether the endpoint has stopped responding. A lower limit helps a congested endpoint, which responds
+     * late, but not a hung one.
+     */
+    private boolean isHung(double nowMs, EndpointState endpoint) {
+        return endpoint.responseGapMs > 0
+                && nowMs - endpoint.lastResponseMs > HUNG_RESPONSE_GAPS * endpoint.responseGapMs
+                && !state.suspectsCommonCause();
     }
 
-    private void cut(double nowMs, PendingCall call) {
-        if (nowMs >= nextCutMs) {
-            limit = Math.max(MIN_CALLS_PER_ENDPOINT * growthStep(), Math.min(limit, state.peakInFlight + 1) * CUT);
-            nextCutMs = nowMs + call.latency.typicalMs();
+    private void decrease(double nowMs, PendingRequest pending) {
+        if (nowMs >= nextDecreaseMs) {
+            limit = Math.max(
+                    MIN_REQUESTS_PER_ENDPOINT * growthStep(),
+                    Math.min(limit, state.peakInFlight + 1) * DECREASE_FACTOR);
+            nextDecreaseMs = nowMs + pending.latency.typicalMs();
         }
     }
 
-    private void grow() {
-        boolean quick = limit < quickGrowthUntil && pressure < targetPressure() / 2;
-        limit = Math.min(SlotPool.MAX_SLOTS, limit + Math.min(limit, (quick ? 1 : 1 / limit) * growthStep()));
+    private void increase() {
+        boolean fast = limit < fastGrowthLimit && congestion < targetCongestion() / 2;
+        limit = Math.min(SlotPool.MAX_SLOTS, limit + Math.min(limit, (fast ? 1 : 1 / limit) * growthStep()));
     }
 
-    /** This balancer's part of one call for each endpoint, at most one: all balancers together grow by that much. */
+    /** Returns this balancer's part of a growth by one request per endpoint over all balancers; at most one request. */
     private double growthStep() {
         return Math.min(1, (double) state.readyCount / state.settings.balancerCount());
     }
--- a/sidecar/src/main/java/martenlatch/policy/EndpointListPolling.java
+++ b/sidecar/src/main/java/martenlatch/policy/EndpointListPolling.java
@@ -4,43 +4,51 @@
 import martenlatch.policy.api.BalancerSettings;
 
 /**
- * Decides when discovery is polled. A change counts as notified {@link #MAX_LIST_AGE_MS} after discovery had it and
- * could be reached. The latest moment from which on that counts is when the present poll was sent: what that poll has
- * taken, the delay after it and the time of the next poll share this budget. Delays are random because balancers that
- * start, fail or move together must not poll together: a quick failure leaves more time to spread them.
+ * Decides when discovery is polled. Balancers must know a change within {@link #MAX_LIST_AGE_MS} after discovery has it
+ * and is reachable. If a poll fails, discovery may have become reachable just after the poll was sent. Therefore the
+ * duration of the failed poll, the delay after it and the duration of the next poll share this budget. Delays are
+ * random so that balancers that start, fail or move together do not poll together; a poll that fails early leaves more
+ * time to spread the next ones.
  */
 final class EndpointListPolling {
 
+    /** The longest time until a change is known, once discovery has it and is reachable. */
     private static final double MAX_LIST_AGE_MS = 6000;
-    private static final double POLL_DURATION_MS = 2000; // in which discovery answers a poll or rejects it
-    private static final double MIN_DELAY_MS = 1000; // bounds of what delays are drawn from
-    private static final double MAX_DELAY_MS = 3000;
-    private static final double START_DELAY_MS = 2000; // for a process that serves nobody until its list is current
-    private static final double FIRST_FAILURE_INTERVALS = 0.5; // the longest delay in poll intervals, by failures
-    private static final int MAX_FAILURE_INTERVALS = 3;
+
+    private static final double POLL_DURATION_MS = 2000; // the time within which discovery answers or rejects a poll
+    private static final double MIN_DELAY_MS = 1000; // lower bound on the longest delay after a failure
+    private static final double MAX_DELAY_MS = 3000; // upper bound on the longest delay
+    /** Shorter, because a new process serves no request until its list is current. */
+    private static final double MAX_START_DELAY_MS = 2000;
+    /** Longest delay after the first failure, in poll intervals. */
+    private static final double FIRST_FAILURE_INTERVALS = 0.5;
+
+    private static final int MAX_FAILURE_INTERVALS = 3; // longest delay after many failures, in poll intervals
 
     private final SplittableRandom random;
-    /** When the last poll was sent. */
+    /** The time when the last poll was sent. */
     private double polledAtMs = Double.NEGATIVE_INFINITY;
-    /** When the next poll is due; infinite while none is scheduled. */
+    /** The time when the next poll is due; infinite while none is scheduled. */
     private double dueAtMs = Double.POSITIVE_INFINITY;
 
-    /** Discovery has moved since the last poll was sent. */
+    /** True if the address of discovery has changed since the last poll was sent. */
     private boolean hasMoved;
 
-    private int failures;
+    private int failures; // polls that failed since the last list
 
     EndpointListPolling(SplittableRandom random) {
         this.random = random;
     }
 
-    /** The delay of the first poll; the time of the start is not known yet. */
+    /** Returns the delay of the first poll, which counts as due at any time because the start time is not known yet. */
     double delayAtStart(BalancerSettings settings) {
         dueAtMs = Double.NEGATIVE_INFINITY;
-        return random.nextDouble() * spreadOverFleet(settings, START_DELAY_MS);
+        return random.nextDouble() * spreadOverFleet(settings, MAX_START_DELAY_MS);
     }
 
-    /** A list has come, and the watch goes on; one from before the last move does not replace the poll that is due. */
+    /**
+     * Called when a list arrives and the watch stays open; a list from before a move leaves the next poll scheduled.
+     */
     void onList() {
         failures = 0;
         if (!hasMoved) {
@@ -49,9 +57,9 @@
     }
 
     /**
-     * A list has come and no watch is open, as after the first poll of a process; returns the delay of the poll that
-     * starts one. It comes after the first polls of a fleet that starts together: otherwise those would wait behind
-     * watches, which are not urgent while the list is as young.
+     * Called when a list arrives and no watch is open, as after the first poll of a process. Returns the delay of the
+     * poll that opens a watch. It is long enough for a fleet that starts together to complete its first polls, which
+     * would otherwise queue behind watches that are not urgent while the list is recent.
      */
     double delayAfterFirstList(double nowMs, BalancerSettings settings) {
         double withinMs = Math.min(MAX_DELAY_MS, settings.rules().pollIntervalMs() / 2);
@@ -60,7 +68,7 @@
         return Math.max(0, dueAtMs - nowMs);
     }
 
-    /** The poll has failed, or the watch has ended; returns the delay of the next poll. */
+    /** Called when a poll has failed or a watch has ended; returns the delay of the next poll. */
     double delayAfterFailure(double nowMs, BalancerSettings settings) {
         double intervals = Math.min(Math.max(FIRST_FAILURE_INTERVALS, failures++), MAX_FAILURE_INTERVALS);
         double allowedMs = intervals * settings.rules().pollIntervalMs();
@@ -68,8 +76,8 @@
     }
 
     /**
-     * Discovery is at another address from now on; returns the delay of the first poll there. A poll that is due before
-     * is not put off.
+     * Called when the address of discovery changes. Returns the delay of the first poll there; a poll that is already
+     * due earlier is not postponed.
      */
     double delayAfterMove(double nowMs, BalancerSettings settings) {
         hasMoved = true;
@@ -77,9 +85,9 @@
         return schedule(nowMs, spreadOverFleet(settings, allowedMs));
     }
 
-    /** Whether a poll is due now; it counts as sent then. Timers of polls that were sent earlier find none due. */
+    /** Returns whether a poll is due, and marks it as sent; a leftover timer of an earlier poll finds none due. */
     boolean takeDuePoll(double nowMs) {
-        // A timer may run a little before its time by the clock that it is compared with.
+        // A timer may fire slightly early by this clock.
         if (dueAtMs > nowMs + 1) {
             return false;
         }
@@ -89,23 +97,24 @@
         return true;
     }
 
+    /** Schedules the next poll at a random time within this period, unless it is due earlier; returns its delay. */
     private double schedule(double nowMs, double withinMs) {
         dueAtMs = Math.min(dueAtMs, nowMs + random.nextDouble() * withinMs);
         return Math.max(0, dueAtMs - nowMs);
     }
 
-    /** What the failed poll and the next one leave of the budget. */
+    /** Returns the part of the budget that the failed poll and the next poll leave for the delay between them. */
     private static double maxDelayAfterFailureMs(double failedAfterMs) {
-        double leftMs = MAX_LIST_AGE_MS - failedAfterMs - POLL_DURATION_MS;
-        if (leftMs < 0) {
-            // A watch that was open for long, and those of a whole fleet end together when discovery goes down; or a
-            // poll that has failed so late that no delay is short enough.
+        double remainingMs = MAX_LIST_AGE_MS - failedAfterMs - POLL_DURATION_MS;
+        if (remainingMs < 0) {
+            // Either a long-open watch ended, as those of a whole fleet do together when discovery goes down, or the
+            // poll failed so late that no delay is short enough.
             return MAX_DELAY_MS;
         }
-        return Math.max(MIN_DELAY_MS, Math.min(MAX_DELAY_MS, leftMs));
+        return Math.max(MIN_DELAY_MS, Math.min(MAX_DELAY_MS, remainingMs));
     }
 
-    /** One balancer alone need not spread its polls. */
+    /** Scales a delay by the number of balancers; a single balancer need not spread its polls. */
     private static double spreadOverFleet(BalancerSettings settings, double delayMs) {
         return delayMs * (1 - 1.0 / settings.balancerCount());
     }
--- a/sidecar/src/main/java/martenlatch/policy/EndpointState.java
+++ b/sidecar/src/main/java/martenlatch/policy/EndpointState.java
@@ -3,40 +3,42 @@
 import martenlatch.numeric.StringHash;
 import martenlatch.policy.api.*;
 
-/** What this balancer knows about one endpoint process. */
+/** The state and statistics that this balancer keeps of one endpoint process. */
 final class EndpointState {
 
-    static final double SLOWNESS_GAIN = 1.0 / 12; // weight of a sample in slowness and answer gap
+    static final double SLOWNESS_GAIN = 1.0 / 12; // weight of a new sample in slowness and response gap
 
-    static final double FAILURE_GAIN = 1.0 / 4; // weight of a new sample in an endpoint's failure rate and crowding
+    static final double FAILURE_GAIN = 1.0 / 4; // weight of a new sample in failure rate and congestion
 
     final String id;
-    final long hash;
-    /** As discovery last announced it, and as it counts: one disabled by operators counts as draining. */
+    final long hash; // of the id; determines the order on the ring
+    /** The entry as last listed by discovery. */
     Endpoint announced;
 
+    /** The entry that applies: {@link #announced}, but draining if operators have disabled the endpoint. */
     Endpoint effective;
-    boolean removed; // no longer known: attempts still in flight only give back what they hold
-    long heldSlots; // one bit for each of its slots in the pool
-    Slot spareSlot; // its next slot outside the pool, if it may have one
-    int inFlight;
-    int consecutiveFailures;
-    double failureRate; // moving average of failures among its outcomes
-    double lastAnswerMs; // when it last answered this balancer; 0 if unknown
-    double answerGapMs; // the usual gap between two answers; 0 if unknown
-    double crowding; // moving average of the crowding shown by its answers, on the scale of the limiter's pressure
-    double pausedUntilMs; // no new slot is offered before this time
-    /** A connect has failed while other connections to it worked, and nothing was answered since. */
+
+    boolean removed; // no longer known; attempts still in flight only release their slots
+    long heldSlots; // bit i is set while slot i is in the pool
+    Slot spareSlot; // next slot outside the pool, or null
+    int inFlight; // attempts in flight at this endpoint
+    int consecutiveFailures; // failures in a row; bounded, and halved at the end of a probation
+    double failureRate; // moving average of failures among outcomes
+    double lastResponseMs; // when this balancer last got a response; 0 if unknown
+    double responseGapMs; // moving average of the time between two responses; 0 if unknown
+    double congestion; // moving average of the congestion that responses show, on the limiter's scale
+    double pausedUntilMs; // no spare slot is offered before this time
+    /** True if connecting failed while another connection worked, and no attempt has succeeded since. */
     boolean connectFailed;
-    /** One slot at a time, until enough probation answers have come. */
+    /** True while the endpoint is restricted to one slot, until it has given enough good responses. */
     boolean onProbation;
 
-    int probationAnswers;
-    /** Its answer times as a multiple of its classes' typical ones, and the slot cost derived from that. */
+    int probationResponses; // good responses since the last ejection
+    /** Moving average of latency as a multiple of the request class's typical latency. */
     double slowness = 1;
 
-    double cost = 1;
-    double ringPosition; // position on the ring of balancers, equal at every balancer with the same endpoint list
+    double cost = 1; // factor on the ranks of its slots, derived from slowness
+    double ringPosition; // the same at every balancer that has the same endpoint list and ring
 
     EndpointState(Endpoint announced) {
         id = announced.id();
@@ -44,26 +46,29 @@
         hash = StringHash.fnv1a32(id);
     }
 
+    /** Returns whether the endpoint accepts new requests. */
     boolean isReady() {
         return effective.status() == EndpointStatus.READY;
     }
 
-    void recordAnswer(double nowMs, double answerCrowding) {
-        crowding += FAILURE_GAIN * (answerCrowding - crowding);
-        if (lastAnswerMs > 0) {
-            double gap = nowMs - lastAnswerMs;
-            answerGapMs += (answerGapMs == 0 ? 1 : SLOWNESS_GAIN) * (gap - answerGapMs);
+    /** Records the time of a good response and the congestion that it shows. */
+    void recordResponse(double nowMs, double responseCongestion) {
+        congestion += FAILURE_GAIN * (responseCongestion - congestion);
+        if (lastResponseMs > 0) {
+            double gapMs = nowMs - lastResponseMs;
+            responseGapMs += (responseGapMs == 0 ? 1 : SLOWNESS_GAIN) * (gapMs - responseGapMs);
         }
-        lastAnswerMs = nowMs;
+        lastResponseMs = nowMs;
     }
 
+    /** Discards the statistics on outcomes and latency. */
     void resetStatistics() {
         consecutiveFailures = 0;
         failureRate = 0;
         pausedUntilMs = 0;
         slowness = 1;
-        lastAnswerMs = 0;
-        crowding = 0;
-        answerGapMs = 0;
+        lastResponseMs = 0;
+        congestion = 0;
+        responseGapMs = 0;
     }
 }
--- a/sidecar/src/main/java/martenlatch/policy/LoadBalancer.java
+++ b/sidecar/src/main/java/martenlatch/policy/LoadBalancer.java
@@ -1,26 +1,30 @@
-// The types, events and actions of the decisions are declared in martenlatch.policy.api, one file each.
+// Settings, events and actions of the load balancer are declared in martenlatch.policy.api, one type per file.
 package martenlatch.policy;
 
 import java.util.*;
 import martenlatch.numeric.LatencyEstimator;
-import martenlatch.policy.PendingCall.Attempt;
+import martenlatch.policy.PendingRequest.Attempt;
 import martenlatch.policy.api.*;
 
 /**
- * One load balancer after Boxcar: a bounded pool of ranked slots on endpoints. Every call takes the lowest-ranked
- * free slot; a failed attempt discards its slot, and the call goes on to the next best one within bounds; calls
- * beyond the concurrency limit are rejected. Single-threaded; time comes with the events, in milliseconds.
+ * A load balancer that implements the Boxcar algorithm with a bounded pool of ranked slots on endpoints. Every request
+ * takes the lowest-ranked free slot. A failed attempt discards its slot, and the request is retried on the next slot
+ * within the retry limits. Requests beyond the concurrency limit are rejected. This class is not thread-safe, and it
+ * reads no clock: every event carries the current time in milliseconds.
+ *
+ * <p>In this package an endpoint sends a <em>response</em> to an attempt, and the client gets one final <em>answer</em>
+ * to its request.
  */
 public final class LoadBalancer implements BalancerEvents {
 
-    private static final double MAX_SLOWNESS = 8; // as a multiple of the typical time
-    private static final double TYPICAL_GAIN = 1.0 / 32; // weight of a sample in the typical answer time
-    private static final double TAIL_SHARE = 0.03; // of the answers exceeds the tail time of a class
-    private static final double TAIL_GAIN = 0.1; // how fast the tail time is learned
-    private static final int BASE_SAMPLES = 16; // answers averaged for one sample of the base time of a class
-    private static final double BASE_RISE = 1.02; // the largest factor on the base time at each sample
+    private static final double MAX_SLOWNESS_SAMPLE = 8; // limit for one sample, as a multiple of the typical latency
+    private static final double TYPICAL_GAIN = 1.0 / 32; // weight of a sample in the typical latency
+    private static final double TAIL_SHARE = 0.03; // share of the responses that exceed the tail latency of a class
+    private static final double TAIL_GAIN = 0.1; // step by which a sample moves the tail latency
+    private static final int BASE_SAMPLES = 16; // responses averaged for one sample of the base latency
+    private static final double MAX_BASE_RISE = 1.02; // largest factor by which one sample raises the base latency
 
-    private static final long POLL_TIMER = 1; // the name of the timer for the next poll of the endpoint list
+    private static final long POLL_TIMER = 1; // name of the timer for the next poll of the endpoint list
 
     private final BalancerActions actions;
     private final SplittableRandom random;
@@ -34,12 +38,12 @@
     private final SlotSelector selector;
     private final OutlierDetector outliers;
     private final EndpointRegistry registry;
-    private final Map<String, PendingCall> calls = new HashMap<>();
-    private final Map<String, LatencyEstimator> latencies = new HashMap<>(); // by name of class
+    private final Map<String, PendingRequest> pendingRequests = new HashMap<>();
+    private final Map<String, LatencyEstimator> latencies = new HashMap<>(); // by class name
 
     private double nextRefillMs;
 
-    /** Creates a load balancer that knows no endpoint yet; the seed makes its random choices repeatable. */
+    /** Creates a load balancer without endpoints; the same seed gives the same random choices. */
     public LoadBalancer(BalancerSettings settings, long seed, BalancerActions actions) {
         this.actions = actions;
         random = new SplittableRandom(seed);
@@ -54,7 +58,7 @@
         }
     }
 
-    /** Takes over settings; what was learned about a class stays with its name. */
+    /** Applies settings; a class that keeps its name keeps its latency estimates. */
     private void apply(BalancerSettings next) {
         next.classes().forEach(each -> latencies.computeIfAbsent(each.name(), name -> newEstimator(each)));
         List<String> names = next.classes().stream().map(RequestClass::name).toList();
@@ -66,12 +70,12 @@
     private static LatencyEstimator newEstimator(RequestClass requestClass) {
         double objectiveMs = requestClass.latencyObjectiveMs();
         return new LatencyEstimator(
-                objectiveMs / 4, objectiveMs, TYPICAL_GAIN, TAIL_SHARE, TAIL_GAIN, BASE_SAMPLES, BASE_RISE);
+                objectiveMs / 4, objectiveMs, TYPICAL_GAIN, TAIL_SHARE, TAIL_GAIN, BASE_SAMPLES, MAX_BASE_RISE);
     }
 
-    /** The number of requests that have no final answer yet, or still have an attempt in flight. */
-    public int pendingCalls() {
-        return calls.size();
+    /** Returns the number of requests that have no final answer yet or still have an attempt in flight. */
+    public int pendingRequests() {
+        return pendingRequests.size();
     }
 
     int knownEndpoints() {
@@ -81,137 +85,140 @@
     @Override
     public void onRequest(double nowMs, Request request) {
         state.settings.requireValid(request);
-        if (calls.containsKey(request.id())) {
+        if (pendingRequests.containsKey(request.id())) {
             throw new IllegalArgumentException("request " + request.id() + " is in flight already");
         }
-        refillWhenDue(nowMs);
+        refillIfDue(nowMs);
         LatencyEstimator latency =
                 latencies.get(state.settings.classes().get(request.classIndex()).name());
-        PendingCall call = new PendingCall(nowMs, request, state.settings, latency);
-        calls.put(request.id(), call);
+        PendingRequest pending = new PendingRequest(nowMs, request, state.settings, latency);
+        pendingRequests.put(request.id(), pending);
         locality.recordDemand(latency.baseMs());
         retries.onRequest();
-        if (!admission.admit(nowMs, call) || !forward(nowMs, call)) {
-            answer(call);
+        if (!admission.admit(nowMs, pending) || !forward(nowMs, pending)) {
+            rejectOrFail(pending);
         }
     }
 
-    /** Sends the call's next attempt; false if there is no slot for it. */
-    private boolean forward(double nowMs, PendingCall call) {
-        Slot slot = selector.select(nowMs, call);
+    /** Sends the request's next attempt; returns false if no slot is available. */
+    private boolean forward(double nowMs, PendingRequest pending) {
+        Slot slot = selector.select(nowMs, pending);
         if (slot == null) {
             return false;
         }
         pool.addToPool(nowMs, slot);
-        double timeoutMs = retries.attemptTimeoutMs(nowMs, call);
-        call.attempts.add(new Attempt(slot, nowMs));
-        call.inFlight++;
+        double timeoutMs = retries.attemptTimeoutMs(nowMs, pending);
+        pending.attempts.add(new Attempt(slot, nowMs));
+        pending.inFlight++;
         slot.busy = true;
         slot.endpoint.inFlight++;
         state.inFlight++;
         state.peakInFlight = Math.max(state.peakInFlight, state.inFlight);
-        actions.forward(call.request.id(), slot.endpoint.id, timeoutMs);
+        actions.forward(pending.request.id(), slot.endpoint.id, timeoutMs);
         return true;
     }
 
-    /** The final answer of a call that cannot be served: a rejection where repeating it is safe, else a failure. */
-    private void answer(PendingCall call) {
-        call.answered = true;
-        if (RetryPolicy.mayReject(call)) {
-            // Sent with every rejection, also where few clients are said to heed it: it costs nothing.
-            actions.reject(call.request.id(), state.settings.limits().maxRetryAfterMs() / 4);
+    /**
+     * Ends a request that cannot be served: with a rejection if the client may safely retry it, else with a failure.
+     */
+    private void rejectOrFail(PendingRequest pending) {
+        pending.answered = true;
+        if (RetryPolicy.mayReject(pending)) {
+            // Every rejection carries a retry delay, because it costs nothing even if few clients honour it.
+            actions.reject(pending.request.id(), state.settings.limits().maxRetryAfterMs() / 4);
         } else {
-            actions.fail(call.request.id());
+            actions.fail(pending.request.id());
         }
-        removeIfOver(call);
+        removeIfComplete(pending);
     }
 
-    private void removeIfOver(PendingCall call) {
-        if (call.answered && call.inFlight == 0) {
-            calls.remove(call.request.id());
+    private void removeIfComplete(PendingRequest pending) {
+        if (pending.answered && pending.inFlight == 0) {
+            pendingRequests.remove(pending.request.id());
         }
     }
 
     @Override
     public void onAttemptFinished(double nowMs, AttemptResult result) {
-        refillWhenDue(nowMs);
-        PendingCall call = calls.get(result.requestId());
-        if (call == null || !call.isInFlight(result.attempt())) {
+        refillIfDue(nowMs);
+        PendingRequest pending = pendingRequests.get(result.requestId());
+        if (pending == null || !pending.isInFlight(result.attempt())) {
             return;
         }
-        Attempt attempt = call.attempts.get(result.attempt());
-        call.ended.set(result.attempt());
-        call.inFlight--;
-        if (!result.outcome().neverExecuted() && call.mayHaveExecuted == null) {
-            call.mayHaveExecuted = attempt;
+        Attempt attempt = pending.attempts.get(result.attempt());
+        pending.endedAttempts.set(result.attempt());
+        pending.inFlight--;
+        if (!result.outcome().neverExecuted() && pending.firstPossiblyExecuted == null) {
+            pending.firstPossiblyExecuted = attempt;
         }
         admission.onAttemptFinished(nowMs, result.durationMs());
-        learn(nowMs, call, attempt.slot().endpoint, result);
-        limiter.onAttemptFinished(nowMs, call, attempt, result);
-        outliers.onAttemptFinished(nowMs, attempt.slot(), result.outcome(), isFailure(call, result));
+        recordLatency(nowMs, pending, attempt.slot().endpoint, result);
+        limiter.onAttemptFinished(nowMs, pending, attempt, result);
+        outliers.onAttemptFinished(nowMs, attempt.slot(), result.outcome(), isFailure(pending, result));
         registry.removeIfGone(nowMs, attempt.slot().endpoint);
         if (result.answered()) {
-            call.answered = true;
-        } else if (!call.answered && !(retries.mayRetry(nowMs, call, result.outcome()) && forward(nowMs, call))) {
-            answer(call);
+            pending.answered = true;
+        } else if (!pending.answered
+                && !(retries.mayRetry(nowMs, pending, result.outcome()) && forward(nowMs, pending))) {
+            rejectOrFail(pending);
         }
-        removeIfOver(call);
+        removeIfComplete(pending);
     }
 
-    /** Whether an outcome speaks against the endpoint: a time-out does so only after a long wait. */
-    private static boolean isFailure(PendingCall call, AttemptResult result) {
+    /** Returns whether an outcome counts as the endpoint's failure; a time-out does only beyond the tail latency. */
+    private static boolean isFailure(PendingRequest pending, AttemptResult result) {
         return switch (result.outcome()) {
             case FAILED, CONNECT_ERROR, RESET -> true;
-            case TIMED_OUT -> result.durationMs() >= call.latency.tailMs();
+            case TIMED_OUT -> result.durationMs() >= pending.latency.tailMs();
             default -> false;
         };
     }
 
-    private void learn(double nowMs, PendingCall call, EndpointState endpoint, AttemptResult result) {
+    private void recordLatency(double nowMs, PendingRequest pending, EndpointState endpoint, AttemptResult result) {
         boolean ok = result.outcome() == AttemptOutcome.OK;
         if (!ok && result.outcome() != AttemptOutcome.TIMED_OUT) {
             return;
         }
-        call.latency.recordTail(result.durationMs(), call.requestClass.deadlineMs());
+        pending.latency.recordTail(result.durationMs(), pending.requestClass.deadlineMs());
         if (state.warmCapacity(nowMs, endpoint) >= 1) {
-            double multiple = Math.min(result.durationMs() / call.latency.typicalMs(), MAX_SLOWNESS);
-            endpoint.slowness += EndpointState.SLOWNESS_GAIN * (multiple - endpoint.slowness);
+            double slownessSample = Math.min(result.durationMs() / pending.latency.typicalMs(), MAX_SLOWNESS_SAMPLE);
+            endpoint.slowness += EndpointState.SLOWNESS_GAIN * (slownessSample - endpoint.slowness);
             pool.updateCost(nowMs, endpoint, false);
         }
         if (ok) {
-            call.latency.recordSample(result.durationMs());
+            pending.latency.recordSample(result.durationMs());
         }
     }
 
     @Override
     public void onStreamStarted(double nowMs, String requestId, int attempt) {
-        refillWhenDue(nowMs);
-        PendingCall call = calls.get(requestId);
-        if (call != null) {
-            call.answered = true;
+        refillIfDue(nowMs);
+        PendingRequest pending = pendingRequests.get(requestId);
+        if (pending != null) {
+            pending.answered = true;
         }
     }
 
     @Override
     public void onClientDisconnected(double nowMs, String requestId) {
-        refillWhenDue(nowMs);
-        PendingCall call = calls.get(requestId);
-        if (call == null) {
+        refillIfDue(nowMs);
+        PendingRequest pending = pendingRequests.get(requestId);
+        if (pending == null) {
             return;
         }
-        call.answered = true;
-        // Nobody waits for these attempts any more: work that has not begun need not be done.
-        for (int i = 0; i < call.attempts.size() && state.settings.limits().cancellation(); i++) {
-            if (call.isInFlight(i)) {
+        pending.answered = true;
+        // Cancelling spares the endpoints work on requests whose client has gone.
+        for (int i = 0; i < pending.attempts.size() && state.settings.limits().cancellation(); i++) {
+            if (pending.isInFlight(i)) {
                 actions.cancelAttempt(requestId, i);
             }
         }
-        removeIfOver(call);
+        removeIfComplete(pending);
     }
 
-    private void refillWhenDue(double nowMs) {
+    private void refillIfDue(double nowMs) {
         if (nowMs >= nextRefillMs) {
-            nextRefillMs = nowMs + state.refillPauseMs();
+            nextRefillMs = nowMs + state.refillIntervalMs();
             locality.update(nowMs);
             state.counters
                     .takeReport(nowMs, state.settings.tier(), limiter.limit, state.probationCount, state.readyCount)
@@ -246,16 +253,16 @@
     @Override
     public void onEndpointsDisabled(double nowMs, Set<String> endpoints) {
         selector.cancelHealthChecks(endpoints);
-        // In this time one call of each balancer takes half of what an endpoint in slow start may get from all.
+        // Over this time, one request from each balancer uses half of the load that an endpoint in slow start can take.
         double longestTypicalMs = latencies.values().stream()
                 .mapToDouble(LatencyEstimator::typicalMs)
                 .max()
                 .orElse(0);
         EndpointRules rules = state.settings.rules();
         double overloadShare = rules.slowStartInitialShare() * rules.overloadMultiple();
-        double withinMs = 2 * state.settings.balancerCount() * longestTypicalMs / overloadShare;
-        for (EndpointState enabled : registry.setDisabled(nowMs, endpoints)) {
-            selector.scheduleHealthCheck(enabled, nowMs + withinMs * random.nextDouble());
+        double checkWindowMs = 2 * state.settings.balancerCount() * longestTypicalMs / overloadShare;
+        for (EndpointState reenabled : registry.setDisabled(nowMs, endpoints)) {
+            selector.scheduleHealthCheck(reenabled, nowMs + checkWindowMs * random.nextDouble());
         }
         limiter.initialize();
     }
@@ -269,7 +276,7 @@
 
     @Override
     public void onTimer(double nowMs, long name) {
-        refillWhenDue(nowMs);
+        refillIfDue(nowMs);
         if (name == POLL_TIMER && polling.takeDuePoll(nowMs)) {
             actions.pollEndpointList();
         }
--- a/sidecar/src/main/java/martenlatch/policy/OutlierDetector.java
+++ b/sidecar/src/main/java/martenlatch/policy/OutlierDetector.java
@@ -2,13 +2,15 @@
 
 import martenlatch.policy.api.*;
 
-/** Decides by the outcomes of attempts when an endpoint is ejected, on probation, and recovered. */
+/** Decides from the outcomes of attempts when an endpoint is ejected, put on probation and recovered. */
 final class OutlierDetector {
 
-    private static final double CHANCE_FAILURE_RATE = 0.4; // up to here failed answers count as chance
+    /** Failed responses up to this rate count as random failures. */
+    private static final double MAX_RANDOM_FAILURE_RATE = 0.4;
 
-    private static final int MAX_DOUBLINGS = 5; // the pause doubles with each failure in a row, up to so many times
-    private static final int MAX_RECOVERY_DOUBLINGS = 3; // of the answers that end a probation
+    private static final int MAX_PAUSE_DOUBLINGS = 5; // each failure in a row doubles the pause, up to this many times
+    /** Doublings of the number of good responses that end a probation. */
+    private static final int MAX_RECOVERY_DOUBLINGS = 3;
 
     private final BalancerState state;
     private final SlotPool pool;
@@ -20,7 +22,10 @@
         this.actions = actions;
     }
 
-    /** Frees the slot of an attempt that has ended, and judges its endpoint; {@code failed} if it speaks against it. */
+    /**
+     * Frees the slot of an attempt and updates its endpoint; {@code failed} if the endpoint is to blame for the
+     * outcome.
+     */
     void onAttemptFinished(double nowMs, Slot slot, AttemptOutcome outcome, boolean failed) {
         EndpointState endpoint = slot.endpoint;
         slot.busy = false;
@@ -32,7 +37,7 @@
         if (pool.recordConnection(slot, outcome)) {
             pool.discard(slot);
             pool.pause(nowMs, endpoint, state.settings.limits().connectTimeoutMs() * 2);
-        } else if (failed && !state.suspectsSharedCause()) {
+        } else if (failed && !state.suspectsCommonCause()) {
             pool.discard(slot);
             if (isOutlier(endpoint, outcome)) {
                 eject(nowMs, endpoint);
@@ -40,12 +45,12 @@
             pool.offerSpare(nowMs, endpoint);
         } else if (outcome == AttemptOutcome.OK) {
             endpoint.failureRate -= EndpointState.FAILURE_GAIN * endpoint.failureRate;
-            // Only an answer shows that an endpoint works: attempts at one that hangs end too, by time-out.
+            // Only a good response counts towards recovery; attempts at a hung endpoint also end, but by time-out.
             recordRecovery(nowMs, endpoint);
         }
         if (outcome == AttemptOutcome.REJECTED_QUEUE_FULL) {
             state.counters.countQueueFull();
-            // It is crowded, not faulty: the slot is discarded, and no other one offered for a while.
+            // The endpoint is congested, not faulty: it loses this slot and offers no other for a while.
             pool.discard(slot);
             pool.pause(nowMs, endpoint, state.settings.limits().connectTimeoutMs());
         }
@@ -54,22 +59,27 @@
         }
     }
 
-    /** Where a few of all answers fail at any endpoint, one failed answer says little; other failures are rarer. */
+    /**
+     * Counts a failure and returns whether to eject the endpoint. A single failed or reset response may be random, so
+     * those must exceed a rate; any other failure is rarer and ejects at once.
+     */
     private static boolean isOutlier(EndpointState endpoint, AttemptOutcome outcome) {
         endpoint.failureRate += EndpointState.FAILURE_GAIN * (1 - endpoint.failureRate);
         return endpoint.onProbation
                 || (outcome != AttemptOutcome.FAILED && outcome != AttemptOutcome.RESET)
-                || endpoint.failureRate > CHANCE_FAILURE_RATE;
+                || endpoint.failureRate > MAX_RANDOM_FAILURE_RATE;
     }
 
-    /** Pauses an endpoint, longer after each failure; at the second in a row it loses all its slots. */
+    /**
+     * Puts an endpoint on probation and pauses it, longer after each failure; the second in a row discards its slots.
+     */
     private void eject(double nowMs, EndpointState endpoint) {
-        endpoint.consecutiveFailures = Math.min(endpoint.consecutiveFailures + 1, MAX_DOUBLINGS);
-        endpoint.probationAnswers = 0;
+        endpoint.consecutiveFailures = Math.min(endpoint.consecutiveFailures + 1, MAX_PAUSE_DOUBLINGS);
+        endpoint.probationResponses = 0;
         if (!endpoint.onProbation) {
             endpoint.onProbation = true;
             state.probationCount++;
-            state.counters.countEjected();
+            state.counters.countEjection();
         }
         double pauseMs = state.settings.limits().connectTimeoutMs() * (1 << endpoint.consecutiveFailures);
         pool.pause(nowMs, endpoint, pauseMs);
@@ -78,10 +88,12 @@
         }
     }
 
+    /** Counts a good response; enough of them end a probation. */
     private void recordRecovery(double nowMs, EndpointState endpoint) {
         if (!endpoint.onProbation) {
             endpoint.consecutiveFailures = 0;
-        } else if (++endpoint.probationAnswers >= 1 << Math.min(endpoint.consecutiveFailures, MAX_RECOVERY_DOUBLINGS)) {
+        } else if (++endpoint.probationResponses
+                >= 1 << Math.min(endpoint.consecutiveFailures, MAX_RECOVERY_DOUBLINGS)) {
             endProbation(endpoint);
             endpoint.consecutiveFailures /= 2;
             pool.offerSpare(nowMs, endpoint);
@@ -95,6 +107,7 @@
         }
     }
 
+    /** Ends a probation and discards the endpoint's statistics. */
     void resetStatistics(EndpointState endpoint) {
         endProbation(endpoint);
         endpoint.resetStatistics();
--- a/sidecar/src/main/java/martenlatch/policy/Slot.java
+++ b/sidecar/src/main/java/martenlatch/policy/Slot.java
@@ -1,16 +1,16 @@
 package martenlatch.policy;
 
-/** The right to have one attempt at a time in flight at one endpoint; ordered by rank. */
+/** A permit for one attempt at a time at one endpoint; ordered by rank, with ties broken by hash, id and index. */
 final class Slot implements Comparable<Slot> {
 
     final EndpointState endpoint;
-    final int index; // the endpoint's slots count from 0
-    /** Computed from the endpoint's present ring position and cost; lower is used first. */
+    final int index; // index among the endpoint's slots, from 0
+    /** Derived from the endpoint's ring position and cost; the slot with the lowest rank is used first. */
     double rank;
 
-    boolean busy;
-    boolean connected; // an attempt was answered on it and no connection was lost since: one is established
-    boolean discarded; // has left the pool, perhaps with an attempt still in flight
+    boolean busy; // an attempt that took this slot is in flight
+    boolean connected; // an attempt got a response and no connection was lost since
+    boolean discarded; // removed from the pool; an attempt may still be in flight
 
     Slot(EndpointState endpoint, int index) {
         this.endpoint = endpoint;
--- a/sidecar/src/main/java/martenlatch/policy/SlotPool.java
+++ b/sidecar/src/main/java/martenlatch/policy/SlotPool.java
@@ -4,34 +4,44 @@
 import java.util.function.Predicate;
 import martenlatch.policy.api.*;
 
-/** The ranked slots: which are in the pool, which come next, and in which order calls take them. */
+/**
+ * Holds the slots that this balancer uses, and ranks them. Each ready endpoint also offers at most one spare slot,
+ * which is not in the pool but may be added to it.
+ */
 final class SlotPool {
 
-    static final int MAX_SLOTS = 256; // the most slots that a pool holds, whatever the size of the fleet
-    private static final int MIN_SLOTS = 4; // a call and its retries always find one
-    private static final double HEADROOM = 1.25; // of the pool over the recent peak of attempts
+    static final int MAX_SLOTS = 256; // maximum size of the pool, whatever the number of endpoints
+    private static final int MIN_SLOTS = 4; // enough for a request and its retries
+    /** Pool size as a multiple of the recent peak of attempts in flight. */
+    private static final double SIZE_HEADROOM = 1.25;
 
-    private static final double PEAK_DECAY = 0.996; // factor on the remembered peak at each refill
-    private static final int MAX_SLOTS_PER_ENDPOINT = 62; // the width of the bit mask
-    private static final double CONNECT_FAILURE_GAIN = 1.0 / 4; // weight of a new connect in the share that fails
-    private static final double CONNECT_FAILURE_DECAY = 0.99; // factor on that share at each refill
-    private static final double CONNECT_FAILURE_ROUNDS = 4; // rounds of ranks that such a share of 1 moves back
-    private static final double MIN_COST = 0.6; // a lower one would rest on too few samples
-    private static final double COST_CHANGE = 1.1; // factor by which a cost changes before ranks do
-    private static final double COST_STEP_BACK = 0.5; // rounds of ranks that a multiple of the cost moves back
-    private static final long RING_MIX = 0x9E3779B1L; // any large odd number: its powers reorder the ring
+    private static final double PEAK_DECAY = 0.996; // factor on the recent peak at each refill
+    private static final int MAX_SLOTS_PER_ENDPOINT = 62; // must fit the bits of EndpointState.heldSlots
+    /** Weight of a new connection attempt in the failure rate. */
+    private static final double CONNECT_FAILURE_GAIN = 1.0 / 4;
+
+    private static final double CONNECT_FAILURE_DECAY = 0.99; // factor on the failure rate at each refill
+    /** Rank penalty, in rounds over all balancers, at a failure rate of 1. */
+    private static final double CONNECT_FAILURE_PENALTY = 4;
+
+    private static final double MIN_COST = 0.6; // a lower cost would be based on too few samples
+    private static final double MIN_COST_CHANGE = 1.1; // factor by which a cost must change to change the ranks
+    /** Rank penalty, in rounds over all balancers, for each unit of cost above 1. */
+    private static final double COST_PENALTY = 0.5;
+    /** A large odd number, whose powers permute the order on the ring. */
+    private static final long RING_HASH_MULTIPLIER = 0x9E3779B1L;
 
     private final BalancerState state;
     private final LocalityRouting locality;
     private final BalancerActions actions;
     private final List<Slot> pool = new ArrayList<>();
-    /** The next slots outside the pool, one for each endpoint at most, by rank: own zone, and all other zones. */
+    /** Spare slots by rank, of endpoints in the own zone and in all other zones; at most one for each endpoint. */
     private final TreeSet<Slot> ownZoneSpares = new TreeSet<>();
 
     private final TreeSet<Slot> otherZonesSpares = new TreeSet<>();
     private final List<EndpointState> paused = new ArrayList<>();
-    private final List<EndpointState> warmingUp = new ArrayList<>();
-    private double connectFailureRate; // moving average of failures among attempts that had to establish a connection
+    private final List<EndpointState> inSlowStart = new ArrayList<>();
+    private double connectFailureRate; // moving average over attempts on slots without a connection
 
     SlotPool(BalancerState state, LocalityRouting locality, BalancerActions actions) {
         this.state = state;
@@ -39,22 +49,26 @@
         this.actions = actions;
     }
 
-    /** The first usable slot of the pool, else of those outside it while the pool may grow; null if there is none. */
-    Slot firstUsable(Predicate<Slot> usable) {
-        Slot best = null;
+    /**
+     * Returns the lowest-ranked usable free slot of the pool, else the lowest-ranked usable spare slot if the pool may
+     * grow, else null.
+     */
+    Slot lowestRankedUsable(Predicate<Slot> usable) {
+        Slot lowest = null;
         for (Slot slot : pool) {
-            if (!slot.busy && (best == null || compare(slot, best) < 0) && usable.test(slot)) {
-                best = slot;
+            if (!slot.busy && (lowest == null || compare(slot, lowest) < 0) && usable.test(slot)) {
+                lowest = slot;
             }
         }
-        if (best != null || pool.size() >= MAX_SLOTS) {
-            return best;
+        if (lowest != null || pool.size() >= MAX_SLOTS) {
+            return lowest;
         }
-        return first(
+        return lowerRanked(
                 ownZoneSpares.stream().filter(usable).findFirst().orElse(null),
                 otherZonesSpares.stream().filter(usable).findFirst().orElse(null));
     }
 
+    /** Returns a slot of the endpoint from the pool, else its spare slot, which may be null. */
     Slot anySlotOf(EndpointState endpoint) {
         return pool.stream()
                 .filter(slot -> slot.endpoint == endpoint)
@@ -62,7 +76,7 @@
                 .orElse(endpoint.spareSlot);
     }
 
-    /** Adds a spare slot to the pool, and offers the endpoint's next one; a slot of the pool stays as it is. */
+    /** Adds a spare slot to the pool and offers the endpoint's next one; does nothing with a slot of the pool. */
     void addToPool(double nowMs, Slot slot) {
         EndpointState endpoint = slot.endpoint;
         if (endpoint.spareSlot == slot) {
@@ -72,7 +86,7 @@
         }
     }
 
-    /** Removes a slot from the pool; with an endpoint's last slot its idle connections are closed. */
+    /** Removes a slot from the pool; closes the endpoint's idle connections if it holds no other slot or attempt. */
     void discard(Slot slot) {
         if (slot.discarded) {
             return;
@@ -85,6 +99,7 @@
         }
     }
 
+    /** Discards all slots of an endpoint. */
     void discardAll(EndpointState endpoint) {
         for (int i = pool.size() - 1; i >= 0; i--) {
             if (pool.get(i).endpoint == endpoint) {
@@ -93,17 +108,17 @@
         }
     }
 
-    /** Offers the endpoint's lowest slot outside the pool, or none if it may have no more. */
+    /** Replaces the endpoint's spare slot by its lowest slot outside the pool, or by none if it may have no more. */
     void offerSpare(double nowMs, EndpointState endpoint) {
         if (endpoint.spareSlot != null) {
             sparesOf(endpoint).remove(endpoint.spareSlot);
             endpoint.spareSlot = null;
         }
-        boolean single = endpoint.onProbation || state.warmCapacity(nowMs, endpoint) < 1;
+        boolean onlyOneSlot = endpoint.onProbation || state.warmCapacity(nowMs, endpoint) < 1;
         if (endpoint.removed
                 || !endpoint.isReady()
                 || nowMs < endpoint.pausedUntilMs
-                || Long.bitCount(endpoint.heldSlots) >= (single ? 1 : MAX_SLOTS_PER_ENDPOINT)
+                || Long.bitCount(endpoint.heldSlots) >= (onlyOneSlot ? 1 : MAX_SLOTS_PER_ENDPOINT)
                 || (endpoint.onProbation && endpoint.inFlight > 0)) {
             return;
         }
@@ -113,6 +128,7 @@
         sparesOf(endpoint).add(slot);
     }
 
+    /** Offers no spare slot of the endpoint for this time; slots in the pool stay usable. */
     void pause(double nowMs, EndpointState endpoint, double durationMs) {
         if (endpoint.pausedUntilMs <= nowMs) {
             paused.add(endpoint);
@@ -121,20 +137,21 @@
         offerSpare(nowMs, endpoint);
     }
 
-    void watchSlowStart(double nowMs, EndpointState endpoint) {
-        if (state.warmCapacity(nowMs, endpoint) < 1 && !warmingUp.contains(endpoint)) {
-            warmingUp.add(endpoint);
+    /** Has the endpoint's cost updated at each refill while it is in slow start. */
+    void trackSlowStart(double nowMs, EndpointState endpoint) {
+        if (state.warmCapacity(nowMs, endpoint) < 1 && !inSlowStart.contains(endpoint)) {
+            inSlowStart.add(endpoint);
         }
     }
 
-    /** Withdraws the spare slot of an endpoint that was removed, and forgets it. */
+    /** Withdraws the spare slot of a removed endpoint, and stops tracking the endpoint. */
     void remove(double nowMs, EndpointState endpoint) {
         offerSpare(nowMs, endpoint);
         paused.remove(endpoint);
-        warmingUp.remove(endpoint);
+        inSlowStart.remove(endpoint);
     }
 
-    /** Lets paused endpoints return, fits the pool's size to the recent peak, and swaps in lower-ranked slots. */
+    /** Resumes paused endpoints, adapts the pool's size to the recent peak, and swaps in lower-ranked spare slots. */
     void refill(double nowMs) {
         connectFailureRate *= CONNECT_FAILURE_DECAY;
         for (int i = paused.size() - 1; i >= 0; i--) {
@@ -142,37 +159,39 @@
                 offerSpare(nowMs, paused.remove(i));
             }
         }
-        for (int i = warmingUp.size() - 1; i >= 0; i--) {
-            EndpointState endpoint = warmingUp.get(i);
+        for (int i = inSlowStart.size() - 1; i >= 0; i--) {
+            EndpointState endpoint = inSlowStart.get(i);
             if (state.warmCapacity(nowMs, endpoint) >= 1) {
-                warmingUp.remove(i);
+                inSlowStart.remove(i);
             }
             updateCost(nowMs, endpoint, false);
         }
-        double size = Math.min(MAX_SLOTS, Math.max(MIN_SLOTS, Math.ceil(state.peakInFlight * HEADROOM)));
+        double size = Math.min(MAX_SLOTS, Math.max(MIN_SLOTS, Math.ceil(state.peakInFlight * SIZE_HEADROOM)));
         state.peakInFlight = Math.max(state.inFlight, state.peakInFlight * PEAK_DECAY);
-        while (pool.size() < size && firstSpare() != null) {
-            addToPool(nowMs, firstSpare());
+        while (pool.size() < size && lowestRankedSpare() != null) {
+            addToPool(nowMs, lowestRankedSpare());
         }
-        for (Slot worst = lastFree(); worst != null; worst = lastFree()) {
+        for (Slot highest = highestRankedFree(); highest != null; highest = highestRankedFree()) {
             boolean fits = pool.size() <= size;
-            if (fits && (firstSpare() == null || compare(firstSpare(), worst) >= 0)) {
+            if (fits && (lowestRankedSpare() == null || compare(lowestRankedSpare(), highest) >= 0)) {
                 return;
             }
-            discard(worst);
-            offerSpare(nowMs, worst.endpoint);
+            discard(highest);
+            offerSpare(nowMs, highest.endpoint);
             if (fits) {
-                addToPool(nowMs, firstSpare());
+                addToPool(nowMs, lowestRankedSpare());
             }
         }
     }
 
-    private Slot lastFree() {
+    /** Returns the highest-ranked free slot of the pool, or null. */
+    private Slot highestRankedFree() {
         return pool.stream().filter(slot -> !slot.busy).max(this::compare).orElse(null);
     }
 
-    private Slot firstSpare() {
-        return first(
+    /** Returns the lowest-ranked spare slot, or null. */
+    private Slot lowestRankedSpare() {
+        return lowerRanked(
                 ownZoneSpares.isEmpty() ? null : ownZoneSpares.first(),
                 otherZonesSpares.isEmpty() ? null : otherZonesSpares.first());
     }
@@ -181,7 +200,10 @@
         return state.isRemote(endpoint) ? otherZonesSpares : ownZoneSpares;
     }
 
-    /** Records what a slot's connection is like; true if a connect failed for once while other connections work. */
+    /**
+     * Records whether the slot has a connection after an attempt. Returns true for an endpoint's first failure to
+     * connect while another of its connections works.
+     */
     boolean recordConnection(Slot slot, AttemptOutcome outcome) {
         boolean failed = outcome == AttemptOutcome.CONNECT_ERROR;
         if (!slot.connected && outcome != AttemptOutcome.CANCELED && outcome != AttemptOutcome.NOT_EXECUTED) {
@@ -201,7 +223,7 @@
         return slot.endpoint.connectFailed;
     }
 
-    private Slot first(Slot a, Slot b) {
+    private Slot lowerRanked(Slot a, Slot b) {
         return a == null || (b != null && compare(b, a) < 0) ? b : a;
     }
 
@@ -210,17 +232,19 @@
         return order != 0 ? order : a.compareTo(b);
     }
 
-    /** Slots of other zones come later, and so do slots without a connection while new connects fail. */
+    /** Returns the rank plus penalties for a remote zone, and for a missing connection while connecting fails. */
     private double penalizedRank(Slot slot) {
         return slot.rank
                 + (state.isRemote(slot.endpoint) ? locality.remoteRankPenalty : 0)
-                + (slot.connected ? 0 : connectFailureRate * CONNECT_FAILURE_ROUNDS * state.settings.balancerCount());
+                + (slot.connected ? 0 : connectFailureRate * CONNECT_FAILURE_PENALTY * state.settings.balancerCount());
     }
 
-    /** Moves an endpoint's slots by what it can do: slow or warming ones get fewer calls. */
+    /**
+     * Updates the endpoint's cost from its slowness, and its ranks if the cost has changed enough or {@code always}.
+     */
     void updateCost(double nowMs, EndpointState endpoint, boolean always) {
         double cost = Math.max(MIN_COST, endpoint.slowness);
-        if (!always && cost < endpoint.cost * COST_CHANGE && cost > endpoint.cost / COST_CHANGE) {
+        if (!always && cost < endpoint.cost * MIN_COST_CHANGE && cost > endpoint.cost / MIN_COST_CHANGE) {
             return;
         }
         endpoint.cost = cost;
@@ -228,31 +252,35 @@
         offerSpare(nowMs, endpoint);
     }
 
+    /** Computes the ranks of all slots in the pool and of the spare slots of these endpoints. */
     void recomputeRanks(double nowMs, List<EndpointState> ready) {
         pool.forEach(slot -> slot.rank = rank(slot));
         ready.forEach(endpoint -> offerSpare(nowMs, endpoint));
     }
 
-    /** The base rank times the endpoint's cost; as that hardly moves the lowest slots, all move back a little. */
+    /** Returns the base rank times the cost, plus a penalty because the product hardly raises the lowest ranks. */
     private double rank(Slot slot) {
         double cost = slot.endpoint.cost;
-        return (baseRank(slot) + 0.5) * cost + Math.max(0, cost - 1) * state.settings.balancerCount() * COST_STEP_BACK;
+        return (baseRank(slot) + 0.5) * cost + Math.max(0, cost - 1) * state.settings.balancerCount() * COST_PENALTY;
     }
 
-    /** Boxcar's rank: how many calls the endpoint holds if every balancer uses its slots up to this one. */
+    /** Returns the Boxcar rank: the requests at the endpoint if every balancer uses its slots up to this one. */
     double baseRank(Slot slot) {
         int balancers = state.settings.balancerCount();
         return slot.index * balancers / state.relativeWeight(slot.endpoint)
                 + (state.settings.ownIndex() + slot.endpoint.ringPosition) % balancers;
     }
 
-    /** Sorts the ring. Many balancers use several rings: calls that leave one endpoint then go to several others. */
+    /**
+     * Returns the sort key of the endpoint on this balancer's ring. If balancers outnumber endpoints they use several
+     * rings, so that requests that leave one endpoint go to several others.
+     */
     long ringOrder(EndpointState endpoint) {
-        int perEndpoint = state.settings.balancerCount() / Math.max(1, state.readyCount);
-        int rings = Integer.highestOneBit(Math.max(1, perEndpoint));
+        int balancersPerEndpoint = state.settings.balancerCount() / Math.max(1, state.readyCount);
+        int rings = Integer.highestOneBit(Math.max(1, balancersPerEndpoint));
         long multiplier = 1;
         for (int i = state.settings.ownIndex() % rings; i > 0; i--) {
-            multiplier *= RING_MIX;
+            multiplier *= RING_HASH_MULTIPLIER;
         }
         return endpoint.hash * multiplier & 0xffffffffL;
     }
--- a/sidecar/src/main/java/martenlatch/policy/SlotSelector.java
+++ b/sidecar/src/main/java/martenlatch/policy/SlotSelector.java
@@ -2,15 +2,16 @@
 
 import java.util.*;
 
-/** Chooses the slot for an attempt: the lowest-ranked free one that the call may use. */
+/** Selects the slot for an attempt: the lowest-ranked free slot that the request may use. */
 final class SlotSelector {
 
-    private static final double MAX_CROWDING_MULTIPLE = 2; // of what the limit stands for, while answers are slow
+    /** During congestion, the highest rank that new requests may use, as a multiple of the limit over all balancers. */
+    private static final double MAX_CONGESTED_MULTIPLE = 2;
 
     private final BalancerState state;
     private final SlotPool pool;
     private final ConcurrencyLimiter limiter;
-    /** Endpoints put back into service by hand: when each is due to get one call as its health check. */
+    /** For each endpoint that operators have enabled again: when it is due to get one request as a health check. */
     private final Map<String, Double> healthChecksDueMs = new LinkedHashMap<>();
 
     SlotSelector(BalancerState state, SlotPool pool, ConcurrencyLimiter limiter) {
@@ -19,23 +20,32 @@
         this.limiter = limiter;
     }
 
-    /** The slot for the call's next attempt, or null if there is none. */
-    Slot select(double nowMs, PendingCall call) {
-        Slot slot = call.attempts.isEmpty() ? dueHealthCheck(nowMs, call) : null;
-        slot = slot != null ? slot : pool.firstUsable(s -> isAllowed(nowMs, call, s) && isPreferred(call, s.endpoint));
-        return slot != null ? slot : pool.firstUsable(s -> isAllowed(nowMs, call, s));
+    /** Returns the slot for the request's next attempt, or null if there is none. */
+    Slot select(double nowMs, PendingRequest pending) {
+        Slot slot = pending.attempts.isEmpty() ? dueHealthCheck(nowMs, pending) : null;
+        slot = slot != null
+                ? slot
+                : pool.lowestRankedUsable(s -> isAllowed(nowMs, pending, s) && isPreferred(pending, s.endpoint));
+        return slot != null ? slot : pool.lowestRankedUsable(s -> isAllowed(nowMs, pending, s));
     }
 
-    /** One call is to go to this endpoint, out of turn: high ranks are used late, those in slow start later still. */
+    /**
+     * Schedules one request to this endpoint regardless of rank. By rank alone an endpoint with high ranks would get
+     * its first request late, and one in slow start later still.
+     */
     void scheduleHealthCheck(EndpointState endpoint, double dueMs) {
         healthChecksDueMs.put(endpoint.id, dueMs);
     }
 
+    /** Cancels the scheduled health checks of these endpoints. */
     void cancelHealthChecks(Set<String> endpoints) {
         healthChecksDueMs.keySet().removeAll(endpoints);
     }
 
-    private Slot dueHealthCheck(double nowMs, PendingCall call) {
+    /**
+     * Returns a slot of an endpoint whose health check is due, or null; a check that is no longer needed is dropped.
+     */
+    private Slot dueHealthCheck(double nowMs, PendingRequest pending) {
         Iterator<Map.Entry<String, Double>> checks =
                 healthChecksDueMs.entrySet().iterator();
         while (checks.hasNext()) {
@@ -47,7 +57,7 @@
             Slot slot = pool.anySlotOf(endpoint);
             if (endpoint.inFlight > 0) {
                 checks.remove();
-            } else if (slot != null && mayExplore(call)) {
+            } else if (slot != null && mayProbe(pending)) {
                 checks.remove();
                 return slot;
             }
@@ -55,22 +65,31 @@
         return null;
     }
 
-    /** A call that can't be repeated must not be the one to find out whether an endpoint works. */
-    private boolean mayExplore(PendingCall call) {
-        return !call.requestClass.mustNotRepeat() || !state.settings.anyRepeatable();
+    /**
+     * Returns whether the request may be the one that finds out whether an endpoint works. One that must not repeat may
+     * do so only if no class is repeatable.
+     */
+    private boolean mayProbe(PendingRequest pending) {
+        return !pending.requestClass.mustNotRepeat() || !state.settings.hasRepeatableClass();
     }
 
-    private boolean isPreferred(PendingCall call, EndpointState endpoint) {
-        return (!endpoint.onProbation || mayExplore(call)) && !call.hasTried(endpoint);
+    /** Returns whether the request has not tried the endpoint and may use it in its present state of probation. */
+    private boolean isPreferred(PendingRequest pending, EndpointState endpoint) {
+        return (!endpoint.onProbation || mayProbe(pending)) && !pending.hasTried(endpoint);
     }
 
-    private boolean isAllowed(double nowMs, PendingCall call, Slot slot) {
+    /** Returns whether slow start, congestion and the deduplication scope allow this slot for the request. */
+    private boolean isAllowed(double nowMs, PendingRequest pending, Slot slot) {
         return respectsSlowStart(nowMs, slot)
-                && !(call.attempts.isEmpty() && wouldCrowd(slot))
-                && (call.mayHaveExecuted == null || RetryPolicy.isInDeduplicationScope(call, slot.endpoint));
+                && !(pending.attempts.isEmpty() && wouldCongest(slot))
+                && (pending.firstPossiblyExecuted == null
+                        || RetryPolicy.isInDeduplicationScope(pending, slot.endpoint));
     }
 
-    /** Ranks count the calls of all balancers: low ranks alone do not overload an endpoint in slow start. */
+    /**
+     * Returns whether the rank is low enough for an endpoint in slow start. A rank counts the requests of all
+     * balancers, so that a bound on the rank bounds the load on the endpoint.
+     */
     private boolean respectsSlowStart(double nowMs, Slot slot) {
         double capacity = state.warmCapacity(nowMs, slot.endpoint);
         if (capacity >= 1) {
@@ -78,16 +97,19 @@
         }
         double weight = state.relativeWeight(slot.endpoint);
         double evenShare = state.settings.balancerCount() * weight / Math.max(1, state.readyCount);
-        return pool.baseRank(slot) < capacity * Math.max(ConcurrencyLimiter.INITIAL_CALLS_PER_ENDPOINT, evenShare);
+        return pool.baseRank(slot) < capacity * Math.max(ConcurrencyLimiter.INITIAL_REQUESTS_PER_ENDPOINT, evenShare);
     }
 
-    /** Guards against a cascade: calls that leave an endpoint crowded by all balancers must not crowd the next. */
-    private boolean wouldCrowd(Slot slot) {
-        if (state.settings.tier() > 0 || limiter.pressure <= limiter.targetPressure() / 2) {
+    /**
+     * Returns whether the slot's rank is too high to use during congestion. This prevents a cascade in which requests
+     * that leave one congested endpoint congest the next one.
+     */
+    private boolean wouldCongest(Slot slot) {
+        if (state.settings.tier() > 0 || limiter.congestion <= limiter.targetCongestion() / 2) {
             return false;
         }
         double limit = Math.max(1, limiter.limit);
-        double maxCalls = MAX_CROWDING_MULTIPLE * limit * state.settings.balancerCount() / state.readyCount;
-        return pool.baseRank(slot) >= Math.max(ConcurrencyLimiter.INITIAL_CALLS_PER_ENDPOINT, maxCalls);
+        double maxRank = MAX_CONGESTED_MULTIPLE * limit * state.settings.balancerCount() / state.readyCount;
+        return pool.baseRank(slot) >= Math.max(ConcurrencyLimiter.INITIAL_REQUESTS_PER_ENDPOINT, maxRank);
     }
 }
--- a/sidecar/src/main/java/martenlatch/policy/api/AttemptLimits.java
+++ b/sidecar/src/main/java/martenlatch/policy/api/AttemptLimits.java
@@ -1,7 +1,7 @@
 package martenlatch.policy.api;
 
 /**
- * What a deployment allows for attempts and rejections.
+ * Limits on attempts and rejections.
  *
  * @param maxAttempts attempts for each request, 1 or more
  * @param hedging whether a second attempt may start while the first one is in flight
@@ -12,7 +12,7 @@
 public record AttemptLimits(
         int maxAttempts, boolean hedging, boolean cancellation, double maxRetryAfterMs, double connectTimeoutMs) {
 
-    /** Checks every value. */
+    /** Validates all components. */
     public AttemptLimits {
         Checks.requirePositive("limits.tries", maxAttempts);
         Checks.requireFinite("limits.maxCoolDown", maxRetryAfterMs);
--- a/sidecar/src/main/java/martenlatch/policy/api/AttemptResult.java
+++ b/sidecar/src/main/java/martenlatch/policy/api/AttemptResult.java
@@ -1,14 +1,14 @@
 package martenlatch.policy.api;
 
 /**
- * The end of one attempt.
+ * The result of one attempt.
  *
- * @param requestId the id of its request
- * @param attempt its number among the request's attempts, from 0
- * @param endpointId the endpoint that it was sent to
- * @param outcome how it ended
- * @param durationMs how long it was in flight, in milliseconds
- * @param answered whether the client has its final answer by now
+ * @param requestId the id of the request
+ * @param attempt the number of the attempt within the request, from 0
+ * @param endpointId the id of the endpoint that the attempt was sent to
+ * @param outcome how the attempt ended
+ * @param durationMs the time from sending the attempt to its end, in milliseconds
+ * @param answered whether the client already has its final answer
  * @param load the endpoint's load report, or {@link LoadReport#NONE}
  */
 public record AttemptResult(
@@ -20,7 +20,7 @@
         boolean answered,
         LoadReport load) {
 
-    /** Checks every value. */
+    /** Validates all components. */
     public AttemptResult {
         Checks.requirePresent("finished.request", requestId);
         Checks.requirePresent("finished.outcome", outcome);
--- a/sidecar/src/main/java/martenlatch/policy/api/BalancerActions.java
+++ b/sidecar/src/main/java/martenlatch/policy/api/BalancerActions.java
@@ -1,29 +1,31 @@
 package martenlatch.policy.api;
 
-/** What a load balancer has its host do, in the order of the calls. */
+/** Actions that a load balancer requests from its host, to be carried out in the order of the method calls. */
 public interface BalancerActions {
 
-    /** Starts the request's next attempt; attempts are numbered from 0. */
+    /**
+     * Sends the request's next attempt, which ends by time-out after {@code timeoutMs}; attempts are numbered from 0.
+     */
     void forward(String requestId, String endpointId, double timeoutMs);
 
-    /** Final answer: rejected, and safe to retry after so many milliseconds. */
+    /** Sends the final answer that the request is rejected and may safely be retried after this delay. */
     void reject(String requestId, double retryAfterMs);
 
-    /** Final answer: failed; it says nothing about whether the request was executed. */
+    /** Sends the final answer that the request failed; the request may or may not have been executed. */
     void fail(String requestId);
 
-    /** Stops waiting for one attempt. */
+    /** Cancels an attempt in flight. */
     void cancelAttempt(String requestId, int attempt);
 
-    /** Asks for {@link BalancerEvents#onTimer} after so many milliseconds. */
+    /** Schedules a call of {@link BalancerEvents#onTimer} with this name after this delay. */
     void scheduleTimer(double delayMs, long name);
 
-    /** Closes the idle connections to an endpoint. */
+    /** Closes all idle connections to an endpoint. */
     void closeIdleConnections(String endpointId);
 
-    /** Polls discovery for changes from now on. */
+    /** Polls discovery for the endpoint list and its later changes. */
     void pollEndpointList();
 
-    /** Tells the operators about overload. */
+    /** Reports overload to the operators. */
     void report(OverloadReport report);
 }
--- a/sidecar/src/main/java/martenlatch/policy/api/BalancerEvents.java
+++ b/sidecar/src/main/java/martenlatch/policy/api/BalancerEvents.java
@@ -4,41 +4,41 @@
 import java.util.Set;
 
 /**
- * What happens to a load balancer. Each call carries the host's clock in milliseconds, whose zero has no meaning and
- * which never runs backwards. No call may be made from within {@link BalancerActions}.
+ * Events that the host passes to a load balancer. {@code nowMs} is the host's monotonic clock in milliseconds, with an
+ * arbitrary origin. No method may be called from within a method of {@link BalancerActions}.
  */
 public interface BalancerEvents {
 
-    /** Discovery has sent a list, or changes to it, or a poll has failed. */
+    /** Called when discovery has sent a list or changes to it, or when a poll has failed or a watch has ended. */
     void onEndpointList(double nowMs, EndpointListKind kind, List<Endpoint> entries);
 
-    /** Discovery is at another address from now on, where nothing has been polled yet; the watch before is over. */
+    /** Called when the address of discovery changes: the previous watch is closed, the new address not polled yet. */
     void onDiscoveryMoved(double nowMs);
 
-    /** A list has come and no watch is open: a poll is to be scheduled that starts one. */
+    /** Called when a list has arrived and no watch is open, so that a poll must be scheduled to open one. */
     void onPollCompleted(double nowMs);
 
     /**
-     * Operators have disabled these endpoints, and no others: each counts as draining, whatever lists say, until a
-     * later call does not name it.
+     * Called when operators have changed the set of disabled endpoints. Each endpoint in the set counts as draining,
+     * whatever its listed status is, until a later call omits it.
      */
     void onEndpointsDisabled(double nowMs, Set<String> endpointIds);
 
-    /** New settings apply to the requests to come; pending ones keep their class and number of attempts. */
+    /** Called with new settings, which apply to new requests; pending ones keep their class and attempt limit. */
     void onSettingsChanged(double nowMs, BalancerSettings next);
 
-    /** A client has sent a request: it is owed one final answer. */
+    /** Called when a client has sent a request, which must get exactly one final answer. */
     void onRequest(double nowMs, Request request);
 
-    /** A streamed answer has begun. */
+    /** Called when a streamed response has started, after which the request is not retried. */
     void onStreamStarted(double nowMs, String requestId, int attempt);
 
-    /** An attempt has ended. */
+    /** Called when an attempt has ended. */
     void onAttemptFinished(double nowMs, AttemptResult result);
 
-    /** The client of a request has disconnected: it is owed nothing any more. */
+    /** Called when the client of a request has disconnected; the request needs no answer any more. */
     void onClientDisconnected(double nowMs, String requestId);
 
-    /** A timer of {@link BalancerActions#scheduleTimer} is due. */
+    /** Called when a timer set by {@link BalancerActions#scheduleTimer} is due. */
     void onTimer(double nowMs, long name);
 }
--- a/sidecar/src/main/java/martenlatch/policy/api/BalancerSettings.java
+++ b/sidecar/src/main/java/martenlatch/policy/api/BalancerSettings.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * Everything that a load balancer is told by its deployment.
+ * The settings of a load balancer.
  *
- * @param balancerCount balancers before these endpoints, 1 or more
- * @param ownIndex the index of this one among them, from 0
- * @param ownZone the index of its zone
- * @param tier 0 where clients from outside call it
- * @param pollsEndpointList whether the endpoint list is polled; else it is pushed
- * @param weighted whether the weights of endpoints count
- * @param overQuotaWeight what requests beyond a tenant's quota are worth, as a share
- * @param crossZonePrice the price of a request to another zone
- * @param classes the classes of requests, one or more
- * @param tenants the tenants; none where requests have no tenant
- * @param limits the limits on attempts
- * @param rules the rules on endpoints
+ * @param balancerCount the number of balancers that use these endpoints, 1 or more
+ * @param ownIndex the index of this balancer among them, from 0
+ * @param ownZone the index of this balancer's zone
+ * @param tier the tier of this balancer; 0 where it serves external clients
+ * @param pollsEndpointList whether the endpoint list is polled, rather than pushed
+ * @param weighted whether endpoint weights are used
+ * @param overQuotaWeight factor on the priority weight of requests over their tenant's quota
+ * @param crossZonePrice the price of a request to another zone, 0 or more
+ * @param classes the request classes, one or more
+ * @param tenants the tenants; empty where requests have no tenant
+ * @param limits the limits on attempts and rejections
+ * @param rules the rules for endpoints
  */
 public record BalancerSettings(
         int balancerCount,
@@ -32,7 +32,7 @@
         AttemptLimits limits,
         EndpointRules rules) {
 
-    /** Checks every value. */
+    /** Validates all components. */
     public BalancerSettings {
         Checks.requirePositive("balancers", balancerCount);
         Checks.requireNotNegative("ownNumber", ownIndex);
@@ -49,7 +49,7 @@
         }
     }
 
-    /** The highest priority weight of any class, above 0. */
+    /** Returns the highest priority weight of all classes, at least a tiny positive number. */
     public double maxPriorityWeight() {
         double max = Double.MIN_NORMAL;
         for (RequestClass requestClass : classes) {
@@ -58,8 +58,8 @@
         return max;
     }
 
-    /** Whether the requests of any class may be repeated. */
-    public boolean anyRepeatable() {
+    /** Returns whether the requests of at least one class may be repeated. */
+    public boolean hasRepeatableClass() {
         for (RequestClass requestClass : classes) {
             if (!requestClass.mustNotRepeat()) {
                 return true;
@@ -69,7 +69,7 @@
     }
 
     /**
-     * Checks that a request's class and tenant are among these settings.
+     * Checks that these settings contain the request's class and tenant.
      *
      * @throws IllegalArgumentException naming the request, the field and its value
      */
--- a/sidecar/src/main/java/martenlatch/policy/api/Checks.java
+++ b/sidecar/src/main/java/martenlatch/policy/api/Checks.java
@@ -1,6 +1,6 @@
 package martenlatch.policy.api;
 
-/** Checks of single values; the exception names the field and the value. */
+/** Checks of single values; the exception names the field, the rule and the value. */
 final class Checks {
 
     private Checks() {}
--- a/sidecar/src/main/java/martenlatch/policy/api/DeduplicationScope.java
+++ b/sidecar/src/main/java/martenlatch/policy/api/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package martenlatch.policy.api;
 
-/** The endpoints that share their memory of idempotency keys and drop each other's repeats. */
+/** The set of endpoints that share idempotency keys and so drop repeats of each other's requests. */
 public enum DeduplicationScope {
     /** All endpoints. */
     ALL,
--- a/sidecar/src/main/java/martenlatch/policy/api/Endpoint.java
+++ b/sidecar/src/main/java/martenlatch/policy/api/Endpoint.java
@@ -3,18 +3,18 @@
 /**
  * An entry of the endpoint list.
  *
- * @param id equal at every balancer
- * @param zone the index of its zone
- * @param machineType the index of its machine type
- * @param cell the index of its cell
- * @param startedMs when its process started, on the host's clock; 0 for the distant past
- * @param status what discovery says about it
- * @param weight its relative capacity, 0 or more
+ * @param id the id of the endpoint, the same at every balancer
+ * @param zone the index of the zone
+ * @param machineType the index of the machine type
+ * @param cell the index of the cell
+ * @param startedMs the start time of the process on the host's clock; 0 if it started long ago
+ * @param status the status that discovery lists
+ * @param weight the relative capacity, 0 or more
  */
 public record Endpoint(
         String id, int zone, int machineType, int cell, double startedMs, EndpointStatus status, double weight) {
 
-    /** Checks every value. */
+    /** Validates all components. */
     public Endpoint {
         Checks.requirePresent("server.id", id);
         Checks.requirePresent("server.state", status);
@@ -23,7 +23,7 @@
         Checks.requireNotNegative("server.weight", weight);
     }
 
-    /** The same endpoint with another status. */
+    /** Returns the same endpoint with another status. */
     public Endpoint withStatus(EndpointStatus next) {
         return new Endpoint(id, zone, machineType, cell, startedMs, next, weight);
     }
--- a/sidecar/src/main/java/martenlatch/policy/api/EndpointListKind.java
+++ b/sidecar/src/main/java/martenlatch/policy/api/EndpointListKind.java
@@ -1,13 +1,13 @@
 package martenlatch.policy.api;
 
-/** What came of a poll of discovery. */
+/** The kind of an update of the endpoint list. */
 public enum EndpointListKind {
-    /** A whole list known from before this process, perhaps old. */
+    /** A full list that was stored before this process started; it may be out of date. */
     CACHED,
-    /** A whole list: what it does not name is gone. */
+    /** A full list; endpoints that are missing from it are gone. */
     FULL,
-    /** Entries that have changed. */
+    /** Only the entries that have changed. */
     DELTA,
-    /** The poll failed, or the watch has ended. */
+    /** No list: the poll failed or the watch ended. */
     FAILED
 }
--- a/sidecar/src/main/java/martenlatch/policy/api/EndpointRules.java
+++ b/sidecar/src/main/java/martenlatch/policy/api/EndpointRules.java
@@ -1,14 +1,14 @@
 package martenlatch.policy.api;
 
 /**
- * The deployment's rules on endpoints in slow start and draining ones.
+ * Rules for slow start, draining and polling of endpoints.
  *
- * @param slowStartInitialShare the share of its capacity that an endpoint has at its start, above 0
- * @param slowStartMs how long its capacity grows, in milliseconds
- * @param overloadMultiple an endpoint in slow start fails at this multiple of its capacity, above 0
- * @param overloadWindowMs the time over which that is measured, in milliseconds; above 0
- * @param drainGraceMs the time within which nothing more may be sent to a draining endpoint, in milliseconds
- * @param pollIntervalMs the time within which the endpoint list is polled, in milliseconds; above 0
+ * @param slowStartInitialShare the share of its capacity that an endpoint has when it starts, above 0
+ * @param slowStartMs the time in which the capacity grows to its full value, in milliseconds
+ * @param overloadMultiple the multiple of its capacity at which an endpoint in slow start fails, above 0
+ * @param overloadWindowMs the time over which that load is measured, in milliseconds; above 0
+ * @param drainGraceMs the time after which no more requests may be sent to a draining endpoint, in milliseconds
+ * @param pollIntervalMs the longest time until the endpoint list is polled, in milliseconds; above 0
  */
 public record EndpointRules(
         double slowStartInitialShare,
@@ -18,7 +18,7 @@
         double drainGraceMs,
         double pollIntervalMs) {
 
-    /** Checks every value. */
+    /** Validates all components. */
     public EndpointRules {
         Checks.requirePositive("rules.coldShare", slowStartInitialShare);
         Checks.requireFinite("rules.coldShare", slowStartInitialShare);
--- a/sidecar/src/main/java/martenlatch/policy/api/EndpointStatus.java
+++ b/sidecar/src/main/java/martenlatch/policy/api/EndpointStatus.java
@@ -1,11 +1,11 @@
 package martenlatch.policy.api;
 
-/** What discovery says about an endpoint. */
+/** The status of an endpoint, as listed by discovery. */
 public enum EndpointStatus {
-    /** No longer there. */
+    /** No longer listed. */
     GONE,
-    /** Takes new requests. */
+    /** Accepts new requests. */
     READY,
-    /** Finishes the requests it has and takes no new ones. */
+    /** Finishes its pending requests and accepts no new ones. */
     DRAINING
 }
--- a/sidecar/src/main/java/martenlatch/policy/api/LoadReport.java
+++ b/sidecar/src/main/java/martenlatch/policy/api/LoadReport.java
@@ -1,12 +1,12 @@
 package martenlatch.policy.api;
 
 /**
- * An endpoint's own report of its load.
+ * The load that an endpoint reports about itself.
  *
- * @param inFlight requests that it has; negative where it did not say
+ * @param inFlight the number of requests at the endpoint; negative if not reported
  */
 public record LoadReport(double inFlight) {
 
-    /** No report. */
+    /** The value for an endpoint that reports no load. */
     public static final LoadReport NONE = new LoadReport(-1);
 }
--- a/sidecar/src/main/java/martenlatch/policy/api/OverloadCounters.java
+++ b/sidecar/src/main/java/martenlatch/policy/api/OverloadCounters.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** Counts what the next {@link OverloadReport} tells, at most one every ten seconds. */
+/** Counters for the next {@link OverloadReport}; at most one report is made every ten seconds. */
 public final class OverloadCounters {
 
     private static final double REPORT_INTERVAL_MS = 10_000;
@@ -23,11 +23,11 @@
     }
 
     /** Counts the ejection of an endpoint. */
-    public void countEjected() {
+    public void countEjection() {
         ejections++;
     }
 
-    /** The report of the last interval, once it is over and if there was anything to count. */
+    /** Returns the report of the last interval once it is over, if anything was counted, and resets the counters. */
     public Optional<OverloadReport> takeReport(
             double nowMs, int tier, double concurrencyLimit, int onProbation, int readyEndpoints) {
         if (nowMs < nextReportMs) {
--- a/sidecar/src/main/java/martenlatch/policy/api/OverloadReport.java
+++ b/sidecar/src/main/java/martenlatch/policy/api/OverloadReport.java
@@ -1,15 +1,15 @@
 package martenlatch.policy.api;
 
 /**
- * What a load balancer rejected and ejected since the last report.
+ * The requests that a load balancer rejected and the endpoints that it ejected since the last report.
  *
  * @param tier the tier of the balancer
  * @param rejected requests rejected at admission
- * @param concurrencyLimit calls that may be in flight at once, by now
+ * @param concurrencyLimit the current limit on requests in flight
  * @param queueFullResponses attempts that an endpoint rejected because its queue was full
- * @param ejections how often an endpoint was ejected
- * @param onProbation endpoints on probation, by now
- * @param readyEndpoints endpoints that are ready, by now
+ * @param ejections the number of endpoint ejections
+ * @param onProbation endpoints currently on probation
+ * @param readyEndpoints endpoints currently ready
  */
 public record OverloadReport(
         int tier,
@@ -20,7 +20,7 @@
         int onProbation,
         int readyEndpoints) {
 
-    /** The line for the log. */
+    /** Returns the report as a log line. */
     @Override
     public String toString() {
         return "tier " + tier + ": " + rejected + " requests rejected at a concurrency limit of " + concurrencyLimit
--- a/sidecar/src/main/java/martenlatch/policy/api/RequestClass.java
+++ b/sidecar/src/main/java/martenlatch/policy/api/RequestClass.java
@@ -1,17 +1,17 @@
 package martenlatch.policy.api;
 
 /**
- * A class of requests.
+ * A class of requests that share a latency objective, a priority and the rules for repeats.
  *
- * @param name its name in the settings
- * @param latencyObjectiveMs the time within which an answer is worth all of its weight, in milliseconds; above 0
+ * @param name the name in the settings
+ * @param latencyObjectiveMs the time within which an answer has its full priority weight, in milliseconds; above 0
  * @param deadlineMs the longest time that a client waits, in milliseconds; above 0
- * @param priorityWeight what an answer in time is worth, 0 or more
- * @param latePriorityWeight what an answer after the objective is worth, 0 or more
+ * @param priorityWeight the weight of an answer within the objective, 0 or more
+ * @param latePriorityWeight the weight of an answer after the objective, 0 or more
  * @param idempotency whether a request may be repeated
- * @param deduplicationScope which endpoints drop repeats, with {@link Idempotency#IDEMPOTENCY_KEY}
- * @param deduplicationWindowMs for how long they do, in milliseconds; above 0 with an idempotency key
- * @param streaming whether answers are streamed
+ * @param deduplicationScope the endpoints that drop repeats; used with {@link Idempotency#IDEMPOTENCY_KEY}
+ * @param deduplicationWindowMs the time for which they do so, in milliseconds; above 0 with an idempotency key
+ * @param streaming whether responses are streamed
  */
 public record RequestClass(
         String name,
@@ -24,7 +24,7 @@
         double deduplicationWindowMs,
         boolean streaming) {
 
-    /** Checks every value. */
+    /** Validates all components. */
     public RequestClass {
         Checks.requirePositive("classes[].aim", latencyObjectiveMs);
         Checks.requireFinite("classes[].aim", latencyObjectiveMs);
@@ -40,17 +40,17 @@
         }
     }
 
-    /** Whether a request may be repeated anywhere and at any time. */
+    /** Returns whether a request may be repeated anywhere and at any time. */
     public boolean isIdempotent() {
         return idempotency == Idempotency.IDEMPOTENT;
     }
 
-    /** Whether endpoints drop the repeats of a request by its idempotency key. */
+    /** Returns whether endpoints drop repeats of a request by its idempotency key. */
     public boolean usesIdempotencyKey() {
         return idempotency == Idempotency.IDEMPOTENCY_KEY;
     }
 
-    /** Whether a request must never be executed twice. */
+    /** Returns whether a request must never be executed twice. */
     public boolean mustNotRepeat() {
         return idempotency == Idempotency.NON_IDEMPOTENT;
     }
--- a/sidecar/src/main/java/martenlatch/policy/api/Tenant.java
+++ b/sidecar/src/main/java/martenlatch/policy/api/Tenant.java
@@ -1,15 +1,15 @@
 package martenlatch.policy.api;
 
 /**
- * A tenant.
+ * A tenant, whose requests share a quota.
  *
- * @param name its name in the settings
- * @param quotaPerSecond requests a second over all balancers, 0 or more
- * @param serviceShare its share of the service, 0 or more
+ * @param name the name in the settings
+ * @param quotaPerSecond the quota over all balancers, in requests per second; 0 or more
+ * @param serviceShare the tenant's share of the service, 0 or more
  */
 public record Tenant(String name, double quotaPerSecond, double serviceShare) {
 
-    /** Checks every value. */
+    /** Validates all components. */
     public Tenant {
         Checks.requireNotNegative("tenants[].allowance", quotaPerSecond);
         Checks.requireFinite("tenants[].allowance", quotaPerSecond);
--- a/sidecar/src/main/java/martenlatch/simulator/ActionWriter.java
+++ b/sidecar/src/main/java/martenlatch/simulator/ActionWriter.java
@@ -6,14 +6,14 @@
 import martenlatch.policy.api.BalancerActions;
 import martenlatch.policy.api.OverloadReport;
 
-/** Writes the actions of a load balancer into the reply that is being made. */
+/** Writes the actions of a load balancer to the current reply in the simulator's wire format. */
 final class ActionWriter implements BalancerActions {
 
-    /** Whole numbers below this are exact, and written without a decimal point. */
-    private static final double MAX_WHOLE = 1e15;
+    /** Whole numbers below this magnitude are exact in a double, and are written without a decimal point. */
+    private static final double MAX_EXACT_WHOLE_NUMBER = 1e15;
 
-    /** The fields of one action. */
-    private interface Fields {
+    /** Writes the fields of one action. */
+    private interface FieldWriter {
         void write() throws IOException;
     }
 
@@ -23,7 +23,7 @@
         this.out = out;
     }
 
-    private void write(String kind, Fields fields) {
+    private void write(String kind, FieldWriter fields) {
         try {
             out.writeStartObject();
             out.writeStringField("kind", kind);
@@ -36,7 +36,7 @@
 
     private void writeNumber(String name, double value) throws IOException {
         out.writeFieldName(name);
-        if (value == Math.rint(value) && Math.abs(value) < MAX_WHOLE) {
+        if (value == Math.rint(value) && Math.abs(value) < MAX_EXACT_WHOLE_NUMBER) {
             out.writeNumber((long) value);
         } else {
             out.writeNumber(value);
--- a/sidecar/src/main/java/martenlatch/simulator/Batch.java
+++ b/sidecar/src/main/java/martenlatch/simulator/Batch.java
@@ -5,18 +5,18 @@
 import martenlatch.policy.api.Endpoint;
 
 /**
- * One batch of the simulator.
+ * A batch of simulator events.
  *
  * @param number the number of the batch, which its reply repeats
- * @param nowMs the time of all events, in milliseconds
- * @param parts the events by instance, in their order
+ * @param nowMs the time of all its events, in milliseconds
+ * @param parts the events grouped by instance, in the order of the wire
  */
 record Batch(long number, double nowMs, List<Part> parts) {
 
-    /** The events of one instance. */
+    /** The events of one load balancer instance. */
     record Part(String instance, List<Event> events) {}
 
-    /** One event, with whichever fields it had; the others keep these values. */
+    /** An event. A field that is absent on the wire keeps the default value given here. */
     static final class Event {
         String kind = "";
         String requestId = "";
@@ -30,9 +30,9 @@
         int listKind;
         int listNumber;
         long number;
-        boolean retried;
+        boolean clientRetry;
         boolean answered;
-        /** Requests in flight as the endpoint reports them, or below 0 where it does not. */
+        /** The number of requests in flight that the endpoint reports; negative if it reports none. */
         double outstanding = -1;
 
         List<Endpoint> endpoints = List.of();
--- a/sidecar/src/main/java/martenlatch/simulator/BatchReader.java
+++ b/sidecar/src/main/java/martenlatch/simulator/BatchReader.java
@@ -14,16 +14,17 @@
 import martenlatch.simulator.Batch.Event;
 import martenlatch.simulator.Batch.Part;
 
-/** Reads batches from the simulator's wire. Unknown fields are skipped. */
+/** Reads batches in the simulator's wire format. Unknown fields are skipped. */
 final class BatchReader {
 
     private static final EndpointStatus[] STATUSES = {EndpointStatus.GONE, EndpointStatus.READY, EndpointStatus.DRAINING
     };
 
     private final JsonParser parser;
-    /** Where the parser is, for error messages: below 0 and null where that is not read yet. */
+    /** The number of the batch being read, for error messages; negative until it is read. */
     private long batchNumber = -1;
 
+    /** The instance whose part is being read, for error messages; null until it is read. */
     private String instance;
 
     BatchReader(InputStream input) throws IOException {
@@ -33,29 +34,31 @@
                 .createParser(input);
     }
 
-    /** The number of the batch that was read last, or below 0. */
+    /** Returns the number of the current batch; negative if it is not read yet. */
     long batchNumber() {
         return batchNumber;
     }
 
-    /** The instance whose part is being read, or null. */
+    /** Returns the instance whose part is being read, or null. */
     String instance() {
         return instance;
     }
 
-    /** Reads a batch completely, so that a malformed one is not acted on; null at the end of the input. */
+    /**
+     * Reads a complete batch, so that no event of a malformed batch is handled; returns null at the end of the input.
+     */
     Batch read() throws IOException {
         if (parser.nextToken() == null) {
             return null;
         }
         batchNumber = -1;
         instance = null;
-        expect(JsonToken.START_OBJECT, "a batch");
+        requireToken(JsonToken.START_OBJECT, "a batch");
         double nowMs = Double.NaN;
         List<Part> parts = null;
-        while (next() != JsonToken.END_OBJECT) {
+        while (nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
-            next();
+            nextToken();
             switch (name) {
                 case "wall-ms" -> nowMs = parser.getDoubleValue();
                 case "batch" -> batchNumber = parser.getLongValue();
@@ -71,21 +74,21 @@
     }
 
     private List<Part> readParts() throws IOException {
-        expect(JsonToken.START_ARRAY, "parts");
+        requireToken(JsonToken.START_ARRAY, "parts");
         List<Part> parts = new ArrayList<>();
-        while (next() != JsonToken.END_ARRAY) {
+        while (nextToken() != JsonToken.END_ARRAY) {
             parts.add(readPart());
         }
         return parts;
     }
 
     private Part readPart() throws IOException {
-        expect(JsonToken.START_OBJECT, "a part");
+        requireToken(JsonToken.START_OBJECT, "a part");
         instance = null;
         List<Event> events = List.of();
-        while (next() != JsonToken.END_OBJECT) {
+        while (nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
-            next();
+            nextToken();
             switch (name) {
                 case "i" -> instance = parser.getText();
                 case "in" -> events = readEvents();
@@ -99,10 +102,10 @@
     }
 
     private List<Event> readEvents() throws IOException {
-        expect(JsonToken.START_ARRAY, "events");
+        requireToken(JsonToken.START_ARRAY, "events");
         List<Event> events = new ArrayList<>();
-        while (next() != JsonToken.END_ARRAY) {
-            expect(JsonToken.START_OBJECT, "an event");
+        while (nextToken() != JsonToken.END_ARRAY) {
+            requireToken(JsonToken.START_OBJECT, "an event");
             events.add(readEvent());
         }
         return events;
@@ -110,9 +113,9 @@
 
     private Event readEvent() throws IOException {
         Event event = new Event();
-        while (next() != JsonToken.END_OBJECT) {
+        while (nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
-            if (next() != JsonToken.VALUE_NULL) {
+            if (nextToken() != JsonToken.VALUE_NULL) {
                 readField(event, name);
             }
         }
@@ -134,27 +137,27 @@
             case "mode" -> event.listKind = parser.getIntValue();
             case "ref" -> event.listNumber = parser.getIntValue();
             case "name", "init-seed" -> event.number = parser.getNumberValue().longValue();
-            case "resent" -> event.retried = parser.getBooleanValue();
+            case "resent" -> event.clientRetry = parser.getBooleanValue();
             case "done-flag" -> event.answered = parser.getBooleanValue();
             case "stats" -> event.outstanding = readOutstanding(event.outstanding);
             case "entries" -> event.endpoints = readEndpoints();
             case "params" -> {
-                expect(JsonToken.START_OBJECT, "params");
+                requireToken(JsonToken.START_OBJECT, "params");
                 event.settings = (Map<String, Object>) JsonValues.read(parser);
             }
             default -> parser.skipChildren();
         }
     }
 
-    private double readOutstanding(double absent) throws IOException {
+    private double readOutstanding(double defaultValue) throws IOException {
         if (parser.currentToken() != JsonToken.START_OBJECT) {
             parser.skipChildren();
-            return absent;
+            return defaultValue;
         }
-        double outstanding = absent;
-        while (next() != JsonToken.END_OBJECT) {
+        double outstanding = defaultValue;
+        while (nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
-            next();
+            nextToken();
             if (name.equals("outstanding")) {
                 outstanding = parser.getDoubleValue();
             } else {
@@ -165,10 +168,10 @@
     }
 
     private List<Endpoint> readEndpoints() throws IOException {
-        expect(JsonToken.START_ARRAY, "entries");
+        requireToken(JsonToken.START_ARRAY, "entries");
         List<Endpoint> endpoints = new ArrayList<>();
-        while (next() != JsonToken.END_ARRAY) {
-            expect(JsonToken.START_OBJECT, "an entry");
+        while (nextToken() != JsonToken.END_ARRAY) {
+            requireToken(JsonToken.START_OBJECT, "an entry");
             endpoints.add(readEndpoint());
         }
         return endpoints;
@@ -177,20 +180,20 @@
     private Endpoint readEndpoint() throws IOException {
         String id = null;
         int zone = 0;
-        int machineKind = 0;
+        int machineType = 0;
         int cell = 0;
         double startedMs = 0;
         int status = 0;
         double weight = 1;
-        while (next() != JsonToken.END_OBJECT) {
+        while (nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
-            if (next() == JsonToken.VALUE_NULL) {
+            if (nextToken() == JsonToken.VALUE_NULL) {
                 continue;
             }
             switch (name) {
                 case "endpoint" -> id = parser.getText();
                 case "hall" -> zone = parser.getIntValue();
-                case "sku" -> machineKind = parser.getIntValue();
+                case "sku" -> machineType = parser.getIntValue();
                 case "cell" -> cell = parser.getIntValue();
                 case "launched-ms" -> startedMs = parser.getDoubleValue();
                 case "state" -> status = parser.getIntValue();
@@ -201,10 +204,10 @@
         if (status < 0 || status >= STATUSES.length) {
             throw new IOException("unknown state " + status);
         }
-        return new Endpoint(id, zone, machineKind, cell, startedMs, STATUSES[status], weight);
+        return new Endpoint(id, zone, machineType, cell, startedMs, STATUSES[status], weight);
     }
 
-    private JsonToken next() throws IOException {
+    private JsonToken nextToken() throws IOException {
         JsonToken token = parser.nextToken();
         if (token == null) {
             throw new IOException("the input ends within a batch");
@@ -212,10 +215,10 @@
         return token;
     }
 
-    private void expect(JsonToken wanted, String what) throws IOException {
-        if (parser.currentToken() != wanted) {
+    private void requireToken(JsonToken expected, String what) throws IOException {
+        if (parser.currentToken() != expected) {
             throw new IOException(
-                    what + " should begin with " + wanted + " but " + parser.currentToken() + " was found");
+                    what + " should begin with " + expected + " but " + parser.currentToken() + " was found");
         }
     }
 }
--- a/sidecar/src/main/java/martenlatch/simulator/SimulatorAdapter.java
+++ b/sidecar/src/main/java/martenlatch/simulator/SimulatorAdapter.java
@@ -25,49 +25,49 @@
 import martenlatch.simulator.Batch.Part;
 
 /**
- * Runs load balancers on the simulator's wire: reads batches of events, hands each event to the balancer of its
- * instance, and writes one reply a batch. Every decision is the balancers' own.
+ * Runs load balancers for the simulator: reads batches of events, passes each event to the balancer of its instance,
+ * and writes one reply for each batch. The adapter makes no decisions of its own.
  */
 public final class SimulatorAdapter {
 
     private static final EndpointListKind[] LIST_KINDS = {
         EndpointListKind.CACHED, EndpointListKind.FULL, EndpointListKind.DELTA, EndpointListKind.FAILED
     };
-    private static final int LIST_COUNT = 16;
-    private static final int REPLY_BYTES = 1 << 16;
+    private static final int MAX_LISTS = 16;
+    private static final int INITIAL_REPLY_BYTES = 1 << 16;
 
     private final BatchReader reader;
     private final OutputStream output;
-    /** The reply that is being made: sent as a whole, so that nothing of a bad batch is acted on. */
-    private final ByteArrayOutputStream reply = new ByteArrayOutputStream(REPLY_BYTES);
+    /** The reply to the current batch; it is sent as a whole, so that a malformed batch produces no actions. */
+    private final ByteArrayOutputStream reply = new ByteArrayOutputStream(INITIAL_REPLY_BYTES);
 
     private final JsonGenerator generator;
     private final ActionWriter actions;
     private final PrintStream errors;
     private final Map<String, LoadBalancer> balancers = new HashMap<>();
-    /** The endpoint lists that events refer to by number. */
+    /** The endpoint lists that events refer to by index. */
     private final List<List<Endpoint>> lists = new ArrayList<>();
 
-    private final Set<String> unknownKinds = new HashSet<>();
-    /** The instance whose events are being handled, or null. */
+    private final Set<String> reportedUnknownKinds = new HashSet<>();
+    /** The instance whose events are being handled, for error messages; null between parts. */
     private String instance;
 
-    /** Creates an adapter between these streams; warnings are printed to {@code errors}. */
+    /** Creates an adapter that reads {@code input}, replies to {@code output} and prints warnings to {@code errors}. */
     public SimulatorAdapter(InputStream input, OutputStream output, PrintStream errors) throws IOException {
         reader = new BatchReader(input);
         this.output = output;
         this.errors = errors;
         generator = new JsonFactory().createGenerator(reply).setRootValueSeparator(null);
         actions = new ActionWriter(generator);
-        for (int i = 0; i < LIST_COUNT; i++) {
+        for (int i = 0; i < MAX_LISTS; i++) {
             lists.add(List.of());
         }
     }
 
     /**
-     * Replies to batches until the input ends.
+     * Reads and replies to batches until the input ends.
      *
-     * @throws SimulatorWireException if a batch cannot be acted on
+     * @throws SimulatorWireException if a batch is malformed or cannot be handled
      */
     public void run() throws IOException {
         try {
@@ -81,13 +81,14 @@
         }
     }
 
+    /** Returns the batch and instance at which an error occurred. */
     private String position() {
         String batch = reader.batchNumber() < 0 ? "(number unread)" : String.valueOf(reader.batchNumber());
-        String where = instance != null ? instance : reader.instance();
-        return "batch " + batch + (where == null ? "" : ", instance " + where);
+        String currentInstance = instance != null ? instance : reader.instance();
+        return "batch " + batch + (currentInstance == null ? "" : ", instance " + currentInstance);
     }
 
-    /** The first line of a message; a parser's second line only tells where in the input the error is. */
+    /** Returns the first line of a message; the second line of a parser's message is only the position in the input. */
     private static String firstLine(Exception e) {
         String message = e.getMessage() == null ? e.toString() : e.getMessage();
         return message.lines().findFirst().orElse("");
@@ -122,7 +123,7 @@
         instance = null;
     }
 
-    /** Hands one event to the balancer that it is for. */
+    /** Passes an event to the balancer of the current instance. */
     private void dispatch(Batch batch, Event event) throws IOException {
         double nowMs = batch.nowMs();
         switch (event.kind) {
@@ -143,13 +144,13 @@
                                         event.requestClass,
                                         event.tenant,
                                         event.deadlineMs,
-                                        event.retried));
+                                        event.clientRetry));
             case "Accepted" -> balancer().onStreamStarted(nowMs, event.requestId, event.attempt);
             case "Finished" -> balancer().onAttemptFinished(nowMs, attemptResult(event));
             case "CancelledByClient" -> balancer().onClientDisconnected(nowMs, event.requestId);
             case "Fired" -> balancer().onTimer(nowMs, event.number);
             case "PingResult", "NeighbourSays" -> balancer();
-            default -> warnOfUnknownKind(batch, event.kind);
+            default -> warnOnceOfUnknownKind(batch, event.kind);
         }
     }
 
@@ -174,8 +175,8 @@
                 event.outstanding < 0 ? LoadReport.NONE : new LoadReport(event.outstanding));
     }
 
-    private void warnOfUnknownKind(Batch batch, String kind) {
-        if (unknownKinds.add(kind)) {
+    private void warnOnceOfUnknownKind(Batch batch, String kind) {
+        if (reportedUnknownKinds.add(kind)) {
             errors.println("martenlatch: batch " + batch.number() + ", instance " + instance + ": events of kind '"
                     + kind + "' are unknown and skipped");
         }
@@ -190,14 +191,14 @@
     }
 
     private static int requireListNumber(int number) throws IOException {
-        if (number < 0 || number >= LIST_COUNT) {
+        if (number < 0 || number >= MAX_LISTS) {
             throw new IOException("list number " + number + " is out of range");
         }
         return number;
     }
 
-    private static AttemptOutcome outcome(String word) throws IOException {
-        return switch (word) {
+    private static AttemptOutcome outcome(String reason) throws IOException {
+        return switch (reason) {
             case "Ok" -> AttemptOutcome.OK;
             case "Failed" -> AttemptOutcome.FAILED;
             case "QueueFull" -> AttemptOutcome.REJECTED_QUEUE_FULL;
@@ -206,7 +207,7 @@
             case "ResetByPeer" -> AttemptOutcome.RESET;
             case "Canceled" -> AttemptOutcome.CANCELED;
             case "Ignored" -> AttemptOutcome.NOT_EXECUTED;
-            default -> throw new IOException("unknown outcome '" + word + "'");
+            default -> throw new IOException("unknown outcome '" + reason + "'");
         };
     }
 }
--- a/sidecar/src/main/java/martenlatch/simulator/SimulatorWireException.java
+++ b/sidecar/src/main/java/martenlatch/simulator/SimulatorWireException.java
@@ -1,6 +1,6 @@
 package martenlatch.simulator;
 
-/** Input of the simulator that cannot be acted on; the message names the batch and, where known, the instance. */
+/** Thrown when simulator input cannot be handled; the message names the batch and, if known, the instance. */
 public final class SimulatorWireException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
--- a/sidecar/src/main/java/martenlatch/simulator/package-info.java
+++ b/sidecar/src/main/java/martenlatch/simulator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The adapter to the simulator: the same load balancer on the simulator's wire format. It may use {@code policy} and
- * {@code config}, and a JSON parser.
+ * The adapter that connects the load balancer to the simulator's wire format. It may use {@code policy}, {@code config}
+ * and a JSON parser.
  */
 package martenlatch.simulator;
--- a/sidecar/src/test/java/martenlatch/policy/BadInputTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/BadInputTest.java
@@ -84,7 +84,7 @@
         refused("tenant", 5, () -> f.balancer.onRequest(f.now, new Request("x", 0, 5, f.now + 100, false)));
         refused(first, "in flight", () -> f.balancer.onRequest(f.now, new Request(first, 0, 0, f.now + 100, false)));
         assertEquals(before, f.host.all);
-        assertEquals(1, f.balancer.pendingCalls());
+        assertEquals(1, f.balancer.pendingRequests());
     }
 
     @Test
--- a/sidecar/src/test/java/martenlatch/policy/DecisionSequence.java
+++ b/sidecar/src/test/java/martenlatch/policy/DecisionSequence.java
@@ -130,7 +130,7 @@
             now = until;
             step();
         }
-        lines.accept("open " + balancer.pendingCalls() + " known " + balancer.knownEndpoints());
+        lines.accept("open " + balancer.pendingRequests() + " known " + balancer.knownEndpoints());
     }
 
     private void step() {
--- a/sidecar/src/test/java/martenlatch/policy/EmbeddingExampleTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/EmbeddingExampleTest.java
@@ -56,6 +56,6 @@
                 now + 12, new AttemptResult("r1", 0, "10.0.0.1:80", AttemptOutcome.OK, 12, true, LoadReport.NONE));
         // README: end
         assertEquals(1, recorder.sent.size());
-        assertEquals(0, balancer.pendingCalls());
+        assertEquals(0, balancer.pendingRequests());
     }
 }
--- a/sidecar/src/test/java/martenlatch/policy/EndpointRegistryTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/EndpointRegistryTest.java
@@ -163,12 +163,12 @@
             f.change(BalancerFixture.endpoint("s" + i, 0, f.now, EndpointStatus.READY));
             f.request(BalancerFixture.IDEMPOTENT);
             f.change(BalancerFixture.endpoint("s" + i, 0, f.now, EndpointStatus.GONE));
-            while (f.balancer.pendingCalls() > 0) {
+            while (f.balancer.pendingRequests() > 0) {
                 f.finish(f.host.last(), AttemptOutcome.RESET, 1);
             }
             f.now += 50;
         }
         assertEquals(0, f.balancer.knownEndpoints());
-        assertEquals(0, f.balancer.pendingCalls());
+        assertEquals(0, f.balancer.pendingRequests());
     }
 }
--- a/sidecar/src/test/java/martenlatch/policy/RandomEventsTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/RandomEventsTest.java
@@ -203,7 +203,7 @@
         assertTrue(judge.seen.values().stream().allMatch(c -> c.over), "a request was lost");
         assertTrue(open.isEmpty());
         assertEquals(0, judge.out);
-        assertEquals(0, balancer.pendingCalls(), "state is left over");
+        assertEquals(0, balancer.pendingRequests(), "state is left over");
     }
 
     private static void fireTimers(Judge judge, LoadBalancer balancer) {
