--- a/sidecar/src/test/java/martenlatch/policy/AdmissionControllerTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/AdmissionControllerTest.java
@@ -8,78 +8,80 @@
 import martenlatch.policy.api.Tenant;
 import org.junit.jupiter.api.Test;
 
-/** Which calls are admitted. */
+/** Tests which requests are admitted. */
 class AdmissionControllerTest {
 
     @Test
-    void aFullPoolRejectsCallsAndKeepsNoQueue() {
-        BalancerFixture f = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(8));
+    void fullPoolRejectsRequestsWithoutQueueing() {
+        BalancerFixture fixture = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(8));
         for (int i = 0; i < 300; i++) {
-            f.request(BalancerFixture.IDEMPOTENT);
+            fixture.request(BalancerFixture.IDEMPOTENT);
         }
-        assertEquals(256, f.host.sent.size());
-        assertEquals(44, f.host.refused.size());
-        f.finish(f.host.sent.get(0), AttemptOutcome.OK, 10);
-        assertEquals(256, f.host.sent.size(), "a refused call must not be sent later");
+        assertEquals(256, fixture.actions.sent.size());
+        assertEquals(44, fixture.actions.rejected.size());
+        fixture.finish(fixture.actions.sent.get(0), AttemptOutcome.OK, 10);
+        assertEquals(256, fixture.actions.sent.size(), "a rejected request must not be sent later");
     }
 
     @Test
-    void noEndpointsMeansARejection() {
-        BalancerFixture f = BalancerFixture.of(1, 0, 0).list(List.of());
-        f.request(BalancerFixture.NON_IDEMPOTENT);
-        assertEquals(List.of("r0"), f.host.refused);
+    void requestWithoutEndpointsIsRejected() {
+        BalancerFixture fixture = BalancerFixture.of(1, 0, 0).list(List.of());
+        fixture.request(BalancerFixture.NON_IDEMPOTENT);
+        assertEquals(List.of("r0"), fixture.actions.rejected);
     }
 
-    /** Guards against refusing work that other endpoints have already sunk time into. */
+    /**
+     * Guards against rejecting requests in a lower tier, which would waste the work that the tiers before have done.
+     */
     @Test
-    void lowerTiersDoNotShed() {
-        BalancerFixture f = BalancerFixture.of(10, 0, 1).list(BalancerFixture.endpoints(20));
+    void lowerTierDoesNotShedLoad() {
+        BalancerFixture fixture = BalancerFixture.of(10, 0, 1).list(BalancerFixture.endpoints(20));
         for (int i = 0; i < 100; i++) {
-            f.request(BalancerFixture.IDEMPOTENT);
+            fixture.request(BalancerFixture.IDEMPOTENT);
         }
-        assertEquals(100, f.host.sent.size());
+        assertEquals(100, fixture.actions.sent.size());
     }
 
-    /** Guards against a tenant's flood: what is beyond its allowance gives way first. */
+    /** Guards against one tenant's flood: requests over its quota must leave room for tenants within theirs. */
     @Test
-    void trafficBeyondATenantsShareGivesWayFirst() {
-        BalancerFixture f = new BalancerFixture(
+    void requestsOverQuotaAreRejectedFirst() {
+        BalancerFixture fixture = new BalancerFixture(
                 BalancerFixture.settings(10, 0, 0, true, new Tenant("flood", 10, 0.1), new Tenant("calm", 1000, 0.9)));
-        f.list(BalancerFixture.endpoints(20));
+        fixture.list(BalancerFixture.endpoints(20));
         for (int i = 0; i < 50; i++) {
-            f.request(BalancerFixture.IDEMPOTENT, 0);
+            fixture.request(BalancerFixture.IDEMPOTENT, 0);
         }
-        int flooded = f.host.sent.size();
+        int sentOverQuota = fixture.actions.sent.size();
         for (int i = 0; i < 50; i++) {
-            f.request(BalancerFixture.IDEMPOTENT, 1);
+            fixture.request(BalancerFixture.IDEMPOTENT, 1);
         }
-        assertTrue(flooded < f.host.sent.size(), "room is left for the tenant within its share");
-        assertEquals(8, f.host.sent.size());
+        assertTrue(sentOverQuota < fixture.actions.sent.size(), "room is left for the tenant within its quota");
+        assertEquals(8, fixture.actions.sent.size());
     }
 
-    /** Guards against a flood that takes a small limit's only slot whenever it falls free (h430bb6). */
+    /** Guards against a flood over quota that takes the only slot of a small limit whenever it is free (h430bb6). */
     @Test
-    void aFloodDoesNotTakeASmallLimitsLastSlot() {
-        BalancerFixture f = new BalancerFixture(
+    void floodOverQuotaDoesNotTakeTheOnlySlotOfASmallLimit() {
+        BalancerFixture fixture = new BalancerFixture(
                 BalancerFixture.settings(10, 0, 0, true, new Tenant("flood", 0, 0.1), new Tenant("calm", 1000, 0.9)));
-        f.list(BalancerFixture.endpoints(4));
-        f.request(BalancerFixture.IDEMPOTENT, 0);
-        f.now += 10;
+        fixture.list(BalancerFixture.endpoints(4));
+        fixture.request(BalancerFixture.IDEMPOTENT, 0);
+        fixture.nowMs += 10;
         for (int i = 0; i < 20; i++) {
-            f.request(BalancerFixture.IDEMPOTENT, 0);
+            fixture.request(BalancerFixture.IDEMPOTENT, 0);
         }
-        assertTrue(f.host.sent.size() <= 1, "the flood got " + f.host.sent.size());
-        f.request(BalancerFixture.IDEMPOTENT, 1);
-        assertEquals("r21", f.host.last().requestId());
-        f.request(BalancerFixture.IDEMPOTENT, 1);
+        assertTrue(fixture.actions.sent.size() <= 1, "the flood got " + fixture.actions.sent.size());
+        fixture.request(BalancerFixture.IDEMPOTENT, 1);
+        assertEquals("r21", fixture.actions.last().requestId());
+        fixture.request(BalancerFixture.IDEMPOTENT, 1);
         assertEquals(
                 List.of("r22"),
-                f.host.refused.subList(f.host.refused.size() - 1, f.host.refused.size()),
+                fixture.actions.rejected.subList(fixture.actions.rejected.size() - 1, fixture.actions.rejected.size()),
                 "the limit is full");
-        f.finish(f.host.last(), AttemptOutcome.OK, 10);
-        f.now += 500;
-        int before = f.host.sent.size();
-        f.request(BalancerFixture.IDEMPOTENT, 0);
-        assertEquals(before, f.host.sent.size(), "a call within its share was turned away just now");
+        fixture.finish(fixture.actions.last(), AttemptOutcome.OK, 10);
+        fixture.nowMs += 500;
+        int sentBefore = fixture.actions.sent.size();
+        fixture.request(BalancerFixture.IDEMPOTENT, 0);
+        assertEquals(sentBefore, fixture.actions.sent.size(), "a request within its quota was rejected just before");
     }
 }
--- a/sidecar/src/test/java/martenlatch/policy/BadInputTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/BadInputTest.java
@@ -22,82 +22,92 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A host that breaks the contract is told which field and value, before anything is done. */
+/** Invalid input is rejected before it has any effect, with an exception that names the field and the value. */
 class BadInputTest {
 
-    private static void refused(String field, Object value, Executable call) {
+    private static void assertRejected(String field, Object value, Executable call) {
         String message = assertThrows(IllegalArgumentException.class, call).getMessage();
         assertTrue(message.contains(field) && message.contains(String.valueOf(value)), message);
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {-1, Double.NaN, Double.POSITIVE_INFINITY})
-    void numbersThatCannotBeAreNamed(double bad) {
-        refused(
+    void invalidNumberIsNamed(double invalid) {
+        assertRejected(
                 "classes[].aim",
-                bad,
+                invalid,
                 () -> new RequestClass(
-                        "c", bad, 1000, 1, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false));
-        refused(
+                        "c", invalid, 1000, 1, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false));
+        assertRejected(
                 "classes[].deadline",
-                bad,
+                invalid,
                 () -> new RequestClass(
-                        "c", 100, bad, 1, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false));
-        refused(
+                        "c", 100, invalid, 1, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false));
+        assertRejected(
                 "classes[].worth",
-                bad,
+                invalid,
                 () -> new RequestClass(
-                        "c", 100, 1000, bad, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false));
-        refused("limits.connectTimeout", bad, () -> new AttemptLimits(3, true, true, 2000, bad));
-        refused("limits.maxCoolDown", bad, () -> new AttemptLimits(3, true, true, bad, 200));
-        refused("rules.coldShare", bad, () -> new EndpointRules(bad, 8000, 3, 1000, 1000, 10_000));
-        refused("rules.coldMs", bad, () -> new EndpointRules(0.3, bad, 3, 1000, 1000, 10_000));
-        refused("rules.askWithin", bad, () -> new EndpointRules(0.3, 8000, 3, 1000, 1000, bad));
-        refused("tenants[].allowance", bad, () -> new Tenant("t", bad, 1));
-        refused("server.weight", bad, () -> new Endpoint("s", 0, 0, 0, 0, EndpointStatus.READY, bad));
-        refused(
+                        "c", 100, 1000, invalid, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false));
+        assertRejected("limits.connectTimeout", invalid, () -> new AttemptLimits(3, true, true, 2000, invalid));
+        assertRejected("limits.maxCoolDown", invalid, () -> new AttemptLimits(3, true, true, invalid, 200));
+        assertRejected("rules.coldShare", invalid, () -> new EndpointRules(invalid, 8000, 3, 1000, 1000, 10_000));
+        assertRejected("rules.coldMs", invalid, () -> new EndpointRules(0.3, invalid, 3, 1000, 1000, 10_000));
+        assertRejected("rules.askWithin", invalid, () -> new EndpointRules(0.3, 8000, 3, 1000, 1000, invalid));
+        assertRejected("tenants[].allowance", invalid, () -> new Tenant("t", invalid, 1));
+        assertRejected("server.weight", invalid, () -> new Endpoint("s", 0, 0, 0, 0, EndpointStatus.READY, invalid));
+        assertRejected(
                 "finished.took",
-                bad,
-                () -> new AttemptResult("r", 0, "s", AttemptOutcome.OK, bad, true, LoadReport.NONE));
+                invalid,
+                () -> new AttemptResult("r", 0, "s", AttemptOutcome.OK, invalid, true, LoadReport.NONE));
     }
 
     @Test
-    void whatIsMissingIsNamed() {
-        refused("request.id", null, () -> new Request(null, 0, 0, 1000, false));
-        refused("request.deadline", Double.NaN, () -> new Request("r", 0, 0, Double.NaN, false));
-        refused("finished.outcome", null, () -> new AttemptResult("r", 0, "s", null, 5, true, LoadReport.NONE));
-        refused(
+    void missingValueIsNamed() {
+        assertRejected("request.id", null, () -> new Request(null, 0, 0, 1000, false));
+        assertRejected("request.deadline", Double.NaN, () -> new Request("r", 0, 0, Double.NaN, false));
+        assertRejected("finished.outcome", null, () -> new AttemptResult("r", 0, "s", null, 5, true, LoadReport.NONE));
+        assertRejected(
                 "finished.attempt",
                 -1,
                 () -> new AttemptResult("r", -1, "s", AttemptOutcome.OK, 5, true, LoadReport.NONE));
-        refused("server.id", null, () -> new Endpoint(null, 0, 0, 0, 0, EndpointStatus.READY, 1));
-        refused("server.state", null, () -> new Endpoint("s", 0, 0, 0, 0, null, 1));
+        assertRejected("server.id", null, () -> new Endpoint(null, 0, 0, 0, 0, EndpointStatus.READY, 1));
+        assertRejected("server.state", null, () -> new Endpoint("s", 0, 0, 0, 0, null, 1));
     }
 
     @Test
-    void aBadRequestChangesNothing() {
-        BalancerFixture f = BalancerFixture.of(10, 0, 0).list(BalancerFixture.endpoints(3));
-        String first = f.request(BalancerFixture.IDEMPOTENT);
-        f.now += 60_000;
-        List<String> before = List.copyOf(f.host.all);
-        refused("class", 9, () -> f.balancer.onRequest(f.now, new Request("x", 9, 0, f.now + 100, false)));
-        refused("tenant", 5, () -> f.balancer.onRequest(f.now, new Request("x", 0, 5, f.now + 100, false)));
-        refused(first, "in flight", () -> f.balancer.onRequest(f.now, new Request(first, 0, 0, f.now + 100, false)));
-        assertEquals(before, f.host.all);
-        assertEquals(1, f.balancer.pendingRequests());
+    void invalidRequestHasNoEffect() {
+        BalancerFixture fixture = BalancerFixture.of(10, 0, 0).list(BalancerFixture.endpoints(3));
+        String firstId = fixture.request(BalancerFixture.IDEMPOTENT);
+        fixture.nowMs += 60_000;
+        List<String> before = List.copyOf(fixture.actions.all);
+        assertRejected(
+                "class",
+                9,
+                () -> fixture.balancer.onRequest(fixture.nowMs, new Request("x", 9, 0, fixture.nowMs + 100, false)));
+        assertRejected(
+                "tenant",
+                5,
+                () -> fixture.balancer.onRequest(fixture.nowMs, new Request("x", 0, 5, fixture.nowMs + 100, false)));
+        assertRejected(
+                firstId,
+                "in flight",
+                () -> fixture.balancer.onRequest(
+                        fixture.nowMs, new Request(firstId, 0, 0, fixture.nowMs + 100, false)));
+        assertEquals(before, fixture.actions.all);
+        assertEquals(1, fixture.balancer.pendingRequests());
     }
 
     @Test
-    void extremeButLegalFleetsGetLegalAnswers() {
+    void extremeFleetSizesAreSupported() {
         for (List<Endpoint> list :
                 List.of(List.<Endpoint>of(), List.of(BalancerFixture.endpoint("d", 0, 0, EndpointStatus.DRAINING)))) {
-            BalancerFixture f = BalancerFixture.of(1, 0, 0).list(list);
-            String refused = f.request(BalancerFixture.NON_IDEMPOTENT);
-            assertEquals(List.of(refused), f.host.refused);
-            assertTrue(f.host.sent.isEmpty());
+            BalancerFixture fixture = BalancerFixture.of(1, 0, 0).list(list);
+            String id = fixture.request(BalancerFixture.NON_IDEMPOTENT);
+            assertEquals(List.of(id), fixture.actions.rejected);
+            assertTrue(fixture.actions.sent.isEmpty());
         }
-        BalancerFixture many = BalancerFixture.of(5000, 4999, 0).list(BalancerFixture.endpoints(1));
-        many.request(BalancerFixture.NON_IDEMPOTENT);
-        assertEquals("s0", many.host.last().endpointId());
+        BalancerFixture manyBalancers = BalancerFixture.of(5000, 4999, 0).list(BalancerFixture.endpoints(1));
+        manyBalancers.request(BalancerFixture.NON_IDEMPOTENT);
+        assertEquals("s0", manyBalancers.actions.last().endpointId());
     }
 }
--- a/sidecar/src/test/java/martenlatch/policy/BalancerFixture.java
+++ b/sidecar/src/test/java/martenlatch/policy/BalancerFixture.java
@@ -17,32 +17,32 @@
 import martenlatch.policy.api.RequestClass;
 import martenlatch.policy.api.Tenant;
 
-/** A balancer with a recording host and a clock set by hand. */
+/** A load balancer with a recording host and a clock that the test sets. */
 final class BalancerFixture {
 
     static final int IDEMPOTENT = 0;
     static final int NON_IDEMPOTENT = 1;
-    static final int KEYED_BY_CELL = 2;
+    static final int IDEMPOTENCY_KEY_BY_CELL = 2;
 
-    final RecordingActions host = new RecordingActions();
+    final RecordingActions actions = new RecordingActions();
     final LoadBalancer balancer;
-    double now = 1_000_000;
-    private int requests;
+    double nowMs = 1_000_000;
+    private int requestCount;
 
     BalancerFixture(BalancerSettings settings) {
         this(settings, 7);
     }
 
     BalancerFixture(BalancerSettings settings, long seed) {
-        balancer = new LoadBalancer(settings, seed, host);
+        balancer = new LoadBalancer(settings, seed, actions);
     }
 
-    static BalancerSettings settings(int balancers, int own, int tier, boolean parallel, Tenant... tenants) {
-        return settings(balancers, own, tier, parallel, 10_000, tenants);
+    static BalancerSettings settings(int balancerCount, int ownIndex, int tier, boolean hedging, Tenant... tenants) {
+        return settings(balancerCount, ownIndex, tier, hedging, 10_000, tenants);
     }
 
     static BalancerSettings settings(
-            int balancers, int own, int tier, boolean parallel, double pollIntervalMs, Tenant... tenants) {
+            int balancerCount, int ownIndex, int tier, boolean hedging, double pollIntervalMs, Tenant... tenants) {
         List<RequestClass> classes = List.of(
                 new RequestClass("read", 1000, 3000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                 new RequestClass(
@@ -50,8 +50,8 @@
                 new RequestClass(
                         "save", 1000, 3000, 1, 0.5, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL, 800, false));
         return new BalancerSettings(
-                balancers,
-                own,
+                balancerCount,
+                ownIndex,
                 0,
                 tier,
                 false,
@@ -60,20 +60,20 @@
                 0,
                 classes,
                 List.of(tenants),
-                new AttemptLimits(3, parallel, true, 2000, 200),
+                new AttemptLimits(3, hedging, true, 2000, 200),
                 new EndpointRules(0.3, 8000, 3, 1000, 1000, pollIntervalMs));
     }
 
-    static BalancerFixture of(int balancers, int own, int tier) {
-        return new BalancerFixture(settings(balancers, own, tier, true));
+    static BalancerFixture of(int balancerCount, int ownIndex, int tier) {
+        return new BalancerFixture(settings(balancerCount, ownIndex, tier, true));
     }
 
     static Endpoint endpoint(String id) {
         return new Endpoint(id, 0, 0, 0, 0, EndpointStatus.READY, 1);
     }
 
-    static Endpoint endpoint(String id, int cell, double startedMs, EndpointStatus state) {
-        return new Endpoint(id, 0, 0, cell, startedMs, state, 1);
+    static Endpoint endpoint(String id, int cell, double startedMs, EndpointStatus status) {
+        return new Endpoint(id, 0, 0, cell, startedMs, status, 1);
     }
 
     static List<Endpoint> endpoints(int count) {
@@ -84,60 +84,64 @@
         return list;
     }
 
-    BalancerFixture list(List<Endpoint> servers) {
-        balancer.onEndpointList(now, EndpointListKind.FULL, servers);
+    /** Applies a full endpoint list. */
+    BalancerFixture list(List<Endpoint> endpoints) {
+        balancer.onEndpointList(nowMs, EndpointListKind.FULL, endpoints);
         return this;
     }
 
-    void change(Endpoint... servers) {
-        balancer.onEndpointList(now, EndpointListKind.DELTA, List.of(servers));
+    /** Applies changes to the endpoint list. */
+    void change(Endpoint... endpoints) {
+        balancer.onEndpointList(nowMs, EndpointListKind.DELTA, List.of(endpoints));
     }
 
-    String request(int kind) {
-        return request(kind, 0);
+    /** Sends a request of this class, of tenant 0, and returns its id. */
+    String request(int classIndex) {
+        return request(classIndex, 0);
     }
 
-    String request(int kind, int tenant) {
-        String id = "r" + requests++;
-        balancer.onRequest(now, new Request(id, kind, tenant, now + 3000, false));
+    /** Sends a request of this class and tenant, and returns its id. */
+    String request(int classIndex, int tenantIndex) {
+        String id = "r" + requestCount++;
+        balancer.onRequest(nowMs, new Request(id, classIndex, tenantIndex, nowMs + 3000, false));
         return id;
     }
 
-    void finish(RecordingActions.Sent sent, AttemptOutcome outcome, double tookMs) {
+    void finish(RecordingActions.SentAttempt sent, AttemptOutcome outcome, double durationMs) {
         balancer.onAttemptFinished(
-                now,
+                nowMs,
                 new AttemptResult(
                         sent.requestId(),
                         sent.attempt(),
                         sent.endpointId(),
                         outcome,
-                        tookMs,
+                        durationMs,
                         outcome == AttemptOutcome.OK,
                         LoadReport.NONE));
     }
 
-    /** Has an endpoint fail two calls in a row, which is more than chance, and tells which. */
-    String failTwice(AttemptOutcome outcome) {
+    /** Fails two requests in a row at one endpoint, which ejects it, and returns the endpoint's id. */
+    String failTwoRequests(AttemptOutcome outcome) {
         request(IDEMPOTENT);
-        RecordingActions.Sent first = host.last();
+        RecordingActions.SentAttempt first = actions.last();
         finish(first, outcome, 2);
         do {
-            now += 300;
+            nowMs += 300;
             request(IDEMPOTENT);
-        } while (!host.last().endpointId().equals(first.endpointId()));
-        finish(host.last(), outcome, 2);
+        } while (!actions.last().endpointId().equals(first.endpointId()));
+        finish(actions.last(), outcome, 2);
         return first.endpointId();
     }
 
-    /** The ranks that the design gives to an endpoint's first slot, worked out apart from the load balancer. */
+    /** Computes an endpoint's hash independently of the load balancer. */
     static long hash(String id) {
-        int h = 0x811c9dc5;
+        int hash = 0x811c9dc5;
         for (int i = 0; i < id.length(); i++) {
-            h = (h ^ id.charAt(i)) * 0x01000193;
+            hash = (hash ^ id.charAt(i)) * 0x01000193;
         }
-        h ^= h >>> 16;
-        h *= 0x7feb352d;
-        h ^= h >>> 15;
-        return h & 0xffffffffL;
+        hash ^= hash >>> 16;
+        hash *= 0x7feb352d;
+        hash ^= hash >>> 15;
+        return hash & 0xffffffffL;
     }
 }
--- a/sidecar/src/test/java/martenlatch/policy/ConcurrencyLimiterTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/ConcurrencyLimiterTest.java
@@ -10,55 +10,56 @@
 import martenlatch.policy.api.LoadReport;
 import org.junit.jupiter.api.Test;
 
-/** How the concurrency limit follows what answers take. */
+/** Tests how the concurrency limit adapts to latency. */
 class ConcurrencyLimiterTest {
 
-    /** Guards against the first tier's jam (incident i5f5502): the ceiling alone bounds nothing. */
+    /** Guards against overload of the first tier at the start (incident i5f5502): the pool's size alone is no limit. */
     @Test
-    void theFirstTierStartsCarefully() {
-        BalancerFixture f = BalancerFixture.of(10, 0, 0).list(BalancerFixture.endpoints(20));
+    void firstTierStartsWithALowLimit() {
+        BalancerFixture fixture = BalancerFixture.of(10, 0, 0).list(BalancerFixture.endpoints(20));
         for (int i = 0; i < 100; i++) {
-            f.request(BalancerFixture.IDEMPOTENT);
+            fixture.request(BalancerFixture.IDEMPOTENT);
         }
-        assertEquals(8, f.host.sent.size(), "four calls a server over ten balancers");
-        assertEquals(92, f.host.refused.size());
+        assertEquals(8, fixture.actions.sent.size(), "four requests per endpoint, shared by ten balancers");
+        assertEquals(92, fixture.actions.rejected.size());
     }
 
-    /** Guards against a jam that stays: answers that eat the latency objective must bring the limit down. */
+    /** Guards against lasting overload: responses that use up the latency objective must lower the limit. */
     @Test
-    void slowAnswersLowerTheLimitAndQuickOnesRaiseIt() {
-        BalancerFixture f = BalancerFixture.of(10, 0, 0).list(BalancerFixture.endpoints(20));
-        int quick = atOnceAfter(f, 100, 60);
-        int slow = atOnceAfter(f, 900, 60);
-        assertTrue(quick > 16, "grew to " + quick);
-        assertTrue(slow < quick / 2, "fell to " + slow);
-        assertTrue(atOnceAfter(f, 100, 200) > slow, "grows again");
+    void slowResponsesLowerTheLimitAndFastOnesRaiseIt() {
+        BalancerFixture fixture = BalancerFixture.of(10, 0, 0).list(BalancerFixture.endpoints(20));
+        int fast = inFlightAfter(fixture, 100, 60);
+        int slow = inFlightAfter(fixture, 900, 60);
+        assertTrue(fast > 16, "grew to " + fast);
+        assertTrue(slow < fast / 2, "fell to " + slow);
+        assertTrue(inFlightAfter(fixture, 100, 200) > slow, "grows again");
     }
 
-    /** Guards against a limit that one hung endpoint takes down to a call or two, where it would stay. */
+    /** Guards against one hung endpoint that lowers the limit to one or two requests, where it would stay. */
     @Test
-    void aHungEndpointIsNotTakenForCrowding() {
-        BalancerFixture f = BalancerFixture.of(2, 0, 0).list(BalancerFixture.endpoints(4));
-        int before = atOnceAfter(f, 100, 20);
-        List<RecordingActions.Sent> hung = new ArrayList<>();
-        int from = f.host.sent.size();
+    void hungEndpointDoesNotLowerTheLimit() {
+        BalancerFixture fixture = BalancerFixture.of(2, 0, 0).list(BalancerFixture.endpoints(4));
+        int before = inFlightAfter(fixture, 100, 20);
+        List<RecordingActions.SentAttempt> hanging = new ArrayList<>();
+        int firstOfRound = fixture.actions.sent.size();
         for (int i = 0; i < before; i++) {
-            f.request(BalancerFixture.IDEMPOTENT);
+            fixture.request(BalancerFixture.IDEMPOTENT);
         }
-        List<RecordingActions.Sent> sent = List.copyOf(f.host.sent.subList(from, f.host.sent.size()));
-        f.now += 100;
-        for (RecordingActions.Sent each : sent) {
+        List<RecordingActions.SentAttempt> sent =
+                List.copyOf(fixture.actions.sent.subList(firstOfRound, fixture.actions.sent.size()));
+        fixture.nowMs += 100;
+        for (RecordingActions.SentAttempt each : sent) {
             if (each.endpointId().equals(sent.get(0).endpointId())) {
-                hung.add(each);
+                hanging.add(each);
             } else {
-                f.finish(each, AttemptOutcome.OK, 100);
+                fixture.finish(each, AttemptOutcome.OK, 100);
             }
         }
-        assertTrue(hung.size() >= 3, hung.size() + " calls hang");
-        for (RecordingActions.Sent each : hung) {
-            f.now += 990;
-            f.balancer.onAttemptFinished(
-                    f.now,
+        assertTrue(hanging.size() >= 3, hanging.size() + " requests hang");
+        for (RecordingActions.SentAttempt each : hanging) {
+            fixture.nowMs += 990;
+            fixture.balancer.onAttemptFinished(
+                    fixture.nowMs,
                     new AttemptResult(
                             each.requestId(),
                             each.attempt(),
@@ -68,111 +69,116 @@
                             true,
                             LoadReport.NONE));
         }
-        int after = atOnceAfter(f, 100, 1);
-        assertTrue(after > before * 0.8, before + " calls at once before the hang and " + after + " after");
+        int after = inFlightAfter(fixture, 100, 1);
+        assertTrue(after > before * 0.8, before + " requests in flight before the hang and " + after + " after");
     }
 
-    /** Guards against a limit that creeps back after a shared slowdown is over (addis fresh day). */
+    /** Guards against a limit that recovers too slowly after a slowdown of all endpoints. */
     @Test
-    void aLimitThatWasCutLowIsSoonBack() {
-        BalancerFixture f = BalancerFixture.of(10, 0, 0).list(BalancerFixture.endpoints(50));
-        atOnceAfter(f, 100, 20);
-        int low = atOnceAfter(f, 950, 60);
-        assertTrue(low < 8, "cut to " + low);
+    void loweredLimitRecoversSoon() {
+        BalancerFixture fixture = BalancerFixture.of(10, 0, 0).list(BalancerFixture.endpoints(50));
+        inFlightAfter(fixture, 100, 20);
+        int lowered = inFlightAfter(fixture, 950, 60);
+        assertTrue(lowered < 8, "lowered to " + lowered);
         int rounds = 0;
-        while (atOnceAfter(f, 100, 1) < 30) {
+        while (inFlightAfter(fixture, 100, 1) < 30) {
             rounds++;
         }
-        assertTrue(rounds < 50, "took " + rounds + " rounds of answers");
+        assertTrue(rounds < 50, "took " + rounds + " rounds of responses");
     }
 
-    /** Guards against overload that cannot be shed where balancers outnumber what endpoints hold (i190c84). */
+    /** Guards against overload that cannot be shed where balancers outnumber the endpoints' capacity (i190c84). */
     @Test
-    void aLimitBelowOneCallIsAPace() {
-        BalancerFixture f = BalancerFixture.of(100, 0, 0).list(BalancerFixture.endpoints(10));
-        int quick = callsTakenInASecond(f, 100);
-        callsTakenInASecond(f, 900);
+    void limitBelowOneSpacesRequests() {
+        BalancerFixture fixture = BalancerFixture.of(100, 0, 0).list(BalancerFixture.endpoints(10));
+        int fast = sentOfTenRequests(fixture, 100);
+        sentOfTenRequests(fixture, 900);
         for (int i = 0; i < 30; i++) {
-            callsTakenInASecond(f, 900);
+            sentOfTenRequests(fixture, 900);
         }
-        int slow = callsTakenInASecond(f, 100);
-        assertTrue(quick >= 8, quick + " while all is well");
-        assertTrue(slow <= 2, slow + " after half a minute of slow answers");
+        int slow = sentOfTenRequests(fixture, 100);
+        assertTrue(fast >= 8, fast + " without congestion");
+        assertTrue(slow <= 2, slow + " after half a minute of slow responses");
     }
 
-    /** Guards against small limits that stay at the edge: few answers tell too late (i495c4c, ibf84fc). */
+    /** Guards against small limits close to overload, where few responses show it too late (i495c4c, ibf84fc). */
     @Test
-    void aSmallLimitKeepsFurtherFromTheEdge() {
+    void smallLimitHasALowerCongestionTarget() {
         BalancerFixture small = BalancerFixture.of(100, 0, 0).list(BalancerFixture.endpoints(10));
         for (int i = 0; i < 3; i++) {
-            callsTakenInASecond(small, 100);
+            sentOfTenRequests(small, 100);
         }
-        int taken = 0;
+        int sentCount = 0;
         for (int i = 0; i < 8; i++) {
-            taken = callsTakenInASecond(small, 260);
+            sentCount = sentOfTenRequests(small, 260);
         }
-        assertTrue(taken < 10, taken + " of 10 taken at one call at once");
+        assertTrue(sentCount < 10, sentCount + " of 10 requests sent at a limit of about one");
         BalancerFixture large = BalancerFixture.of(10, 0, 0).list(BalancerFixture.endpoints(20));
-        atOnceAfter(large, 100, 20);
-        int before = atOnceAfter(large, 100, 1);
-        assertTrue(atOnceAfter(large, 260, 8) >= before, "the same answers leave a larger limit alone");
+        inFlightAfter(large, 100, 20);
+        int before = inFlightAfter(large, 100, 1);
+        assertTrue(inFlightAfter(large, 260, 8) >= before, "the same latency does not lower a larger limit");
     }
 
-    /** A call comes every 100 ms; each that is taken is answered in the time given before the next comes. */
-    private static int callsTakenInASecond(BalancerFixture f, double tookMs) {
-        int before = f.host.sent.size();
+    /**
+     * Sends ten requests one by one; each that is admitted succeeds after {@code durationMs}. Returns how many were
+     * sent.
+     */
+    private static int sentOfTenRequests(BalancerFixture fixture, double durationMs) {
+        int before = fixture.actions.sent.size();
         for (int i = 0; i < 10; i++) {
-            int sent = f.host.sent.size();
-            f.request(BalancerFixture.IDEMPOTENT);
-            f.now += tookMs;
-            if (f.host.sent.size() > sent) {
-                f.finish(f.host.last(), AttemptOutcome.OK, tookMs);
+            int sent = fixture.actions.sent.size();
+            fixture.request(BalancerFixture.IDEMPOTENT);
+            fixture.nowMs += durationMs;
+            if (fixture.actions.sent.size() > sent) {
+                fixture.finish(fixture.actions.last(), AttemptOutcome.OK, durationMs);
             }
         }
-        return f.host.sent.size() - before;
+        return fixture.actions.sent.size() - before;
     }
 
-    /** Guards against calls that leave crowded endpoints and crowd the next ones in turn (i495c4c). */
+    /** Guards against a cascade of requests that leave congested endpoints and congest the next ones (i495c4c). */
     @Test
-    void callsThatLeaveCrowdedEndpointsDoNotCrowdAllOthers() {
-        BalancerFixture f = BalancerFixture.of(100, 0, 0).list(BalancerFixture.endpoints(10));
+    void requestsThatLeaveCongestedEndpointsDoNotCongestAllOthers() {
+        BalancerFixture fixture = BalancerFixture.of(100, 0, 0).list(BalancerFixture.endpoints(10));
         for (int i = 0; i < 3; i++) {
-            callsTakenInASecond(f, 100);
+            sentOfTenRequests(fixture, 100);
         }
         for (int i = 0; i < 2; i++) {
-            f.request(BalancerFixture.IDEMPOTENT);
+            fixture.request(BalancerFixture.IDEMPOTENT);
             for (int attempt = 0; attempt < 3; attempt++) {
-                f.finish(f.host.last(), AttemptOutcome.REJECTED_QUEUE_FULL, 1);
+                fixture.finish(fixture.actions.last(), AttemptOutcome.REJECTED_QUEUE_FULL, 1);
             }
         }
-        int sent = f.host.sent.size();
-        f.request(BalancerFixture.IDEMPOTENT);
-        assertEquals(sent, f.host.sent.size(), "six servers are full: a seventh is not tried");
-        f.now += 60_000;
-        callsTakenInASecond(f, 100);
-        assertTrue(f.host.sent.size() > sent, "and all is well again once they are not");
+        int sent = fixture.actions.sent.size();
+        fixture.request(BalancerFixture.IDEMPOTENT);
+        assertEquals(sent, fixture.actions.sent.size(), "six endpoints are full: a seventh is not tried");
+        fixture.nowMs += 60_000;
+        sentOfTenRequests(fixture, 100);
+        assertTrue(fixture.actions.sent.size() > sent, "requests are sent again once the endpoints are no longer full");
     }
 
-    /** Guards against many balancers that grow at once: together they add one call an endpoint and round. */
+    /** Guards against many balancers that raise their limits at once: together they add one request per endpoint. */
     @Test
-    void theLimitGrowsByThisBalancersPartOnly() {
+    void limitGrowsByThisBalancersPartOnly() {
         BalancerFixture few = BalancerFixture.of(10, 0, 0).list(BalancerFixture.endpoints(10));
         BalancerFixture many = BalancerFixture.of(100, 0, 0).list(BalancerFixture.endpoints(10));
-        assertTrue(atOnceAfter(few, 100, 60) > 2 * atOnceAfter(many, 100, 60));
+        assertTrue(inFlightAfter(few, 100, 60) > 2 * inFlightAfter(many, 100, 60));
     }
 
-    private static int atOnceAfter(BalancerFixture f, double tookMs, int rounds) {
-        int atOnce = 0;
+    /** Sends rounds of requests that each take this time; returns how many of the last round were in flight. */
+    private static int inFlightAfter(BalancerFixture fixture, double durationMs, int rounds) {
+        int inFlight = 0;
         for (int round = 0; round < rounds; round++) {
-            int before = f.host.sent.size();
+            int before = fixture.actions.sent.size();
             for (int i = 0; i < 60; i++) {
-                f.request(BalancerFixture.IDEMPOTENT);
+                fixture.request(BalancerFixture.IDEMPOTENT);
             }
-            List<RecordingActions.Sent> out = List.copyOf(f.host.sent.subList(before, f.host.sent.size()));
-            f.now += tookMs;
-            out.forEach(sent -> f.finish(sent, AttemptOutcome.OK, tookMs));
-            atOnce = out.size();
+            List<RecordingActions.SentAttempt> sentInRound =
+                    List.copyOf(fixture.actions.sent.subList(before, fixture.actions.sent.size()));
+            fixture.nowMs += durationMs;
+            sentInRound.forEach(sent -> fixture.finish(sent, AttemptOutcome.OK, durationMs));
+            inFlight = sentInRound.size();
         }
-        return atOnce;
+        return inFlight;
     }
 }
--- a/sidecar/src/test/java/martenlatch/policy/DecisionSequence.java
+++ b/sidecar/src/test/java/martenlatch/policy/DecisionSequence.java
@@ -27,16 +27,18 @@
 import martenlatch.policy.api.RequestClass;
 import martenlatch.policy.api.Tenant;
 
-/** A seeded sequence of events for one load balancer, with endpoints that answer, stall, fail, drain and return. */
+/**
+ * Runs a seeded sequence of events on one load balancer, with endpoints that respond, stall, fail, drain and return.
+ */
 final class DecisionSequence implements BalancerActions {
     private static final List<EndpointStatus> STATUSES = List.of(EndpointStatus.values());
     private static final List<Behavior> BEHAVIORS = List.of(Behavior.values());
 
-    private static final int CLASSES = 4;
+    private static final int CLASS_COUNT = 4;
     private static final double CONNECT_TIMEOUT_MS = 200;
 
-    /** Something that is due at a time; equal times keep their order. */
-    private record Due(double atMs, long number, Runnable event) {}
+    /** An event that is due at a time; events with equal times run in the order in which they were scheduled. */
+    private record DueEvent(double atMs, long number, Runnable event) {}
 
     private enum Behavior {
         GOOD,
@@ -48,30 +50,30 @@
     }
 
     private final SplittableRandom random;
-    private final Consumer<String> lines;
-    private final PriorityQueue<Due> due =
-            new PriorityQueue<>(Comparator.comparingDouble(Due::atMs).thenComparingLong(Due::number));
-    private final Map<String, Integer> attempts = new HashMap<>();
-    private final Set<String> open = new HashSet<>();
-    private final Set<String> ended = new HashSet<>();
-    private final List<String> openInOrder = new ArrayList<>();
+    private final Consumer<String> recorder;
+    private final PriorityQueue<DueEvent> dueEvents =
+            new PriorityQueue<>(Comparator.comparingDouble(DueEvent::atMs).thenComparingLong(DueEvent::number));
+    private final Map<String, Integer> attemptCounts = new HashMap<>();
+    private final Set<String> unanswered = new HashSet<>();
+    private final Set<String> endedAttempts = new HashSet<>();
+    private final List<String> unansweredInOrder = new ArrayList<>();
     private final Map<String, Behavior> behaviors = new HashMap<>();
-    private final int fleet;
-    private final int balancers;
+    private final int endpointCount;
+    private final int balancerCount;
     private final int tier;
-    private final boolean polled;
+    private final boolean pollsEndpointList;
     private final LoadBalancer balancer;
-    private double now = 10_000;
-    private long scheduled;
-    private int requests;
+    private double nowMs = 10_000;
+    private long scheduledCount;
+    private int requestCount;
 
-    DecisionSequence(int seed, Consumer<String> lines) {
-        this.lines = lines;
+    DecisionSequence(int seed, Consumer<String> recorder) {
+        this.recorder = recorder;
         random = new SplittableRandom(seed);
-        fleet = 1 + random.nextInt(30);
-        balancers = 1 + random.nextInt(60);
+        endpointCount = 1 + random.nextInt(30);
+        balancerCount = 1 + random.nextInt(60);
         tier = random.nextInt(3) == 0 ? 1 : 0;
-        polled = random.nextBoolean();
+        pollsEndpointList = random.nextBoolean();
         balancer = new LoadBalancer(settings(0), seed, this);
     }
 
@@ -104,11 +106,11 @@
         List<Tenant> tenants =
                 tier == 1 ? List.of() : List.of(new Tenant("a", 40 + 10 * variant, 0.5), new Tenant("b", 15, 0.5));
         return new BalancerSettings(
-                balancers,
-                balancers / 2,
+                balancerCount,
+                balancerCount / 2,
                 0,
                 tier,
-                polled,
+                pollsEndpointList,
                 variant != 2,
                 0.1,
                 0.05 * variant,
@@ -118,103 +120,108 @@
                 new EndpointRules(0.3, 3000, 3, 1000, 1000, 10_000));
     }
 
+    /** Runs this many steps; random choices are drawn in a fixed order, on which the recording depends. */
     void run(int steps) {
-        list(EndpointListKind.FULL, fleet);
+        sendEndpointList(EndpointListKind.FULL, endpointCount);
         for (int step = 0; step < steps; step++) {
-            double until = now + random.nextInt(14);
-            while (!due.isEmpty() && due.peek().atMs() <= until) {
-                Due next = due.poll();
-                now = Math.max(now, next.atMs());
+            double untilMs = nowMs + random.nextInt(14);
+            while (!dueEvents.isEmpty() && dueEvents.peek().atMs() <= untilMs) {
+                DueEvent next = dueEvents.poll();
+                nowMs = Math.max(nowMs, next.atMs());
                 next.event().run();
             }
-            now = until;
-            step();
+            nowMs = untilMs;
+            runStep();
         }
-        lines.accept("open " + balancer.pendingRequests() + " known " + balancer.knownEndpoints());
+        recorder.accept("open " + balancer.pendingRequests() + " known " + balancer.knownEndpoints());
     }
 
-    private void step() {
-        int what = random.nextInt(100);
-        if (what < 70) {
+    private void runStep() {
+        int choice = random.nextInt(100);
+        if (choice < 70) {
             request();
-        } else if (what < 76 && !openInOrder.isEmpty()) {
-            String id = openInOrder.get(random.nextInt(openInOrder.size()));
-            if (open.remove(id)) {
-                balancer.onClientDisconnected(now, id);
+        } else if (choice < 76 && !unansweredInOrder.isEmpty()) {
+            String requestId = unansweredInOrder.get(random.nextInt(unansweredInOrder.size()));
+            if (unanswered.remove(requestId)) {
+                balancer.onClientDisconnected(nowMs, requestId);
             }
-            openInOrder.remove(id);
-        } else if (what < 84) {
-            list(EndpointListKind.DELTA, 1 + random.nextInt(3));
-        } else if (what < 86) {
-            list(EndpointListKind.FULL, fleet);
-        } else if (what < 87) {
-            balancer.onEndpointList(now, EndpointListKind.FAILED, List.of());
-        } else if (what < 89) {
+            unansweredInOrder.remove(requestId);
+        } else if (choice < 84) {
+            sendEndpointList(EndpointListKind.DELTA, 1 + random.nextInt(3));
+        } else if (choice < 86) {
+            sendEndpointList(EndpointListKind.FULL, endpointCount);
+        } else if (choice < 87) {
+            balancer.onEndpointList(nowMs, EndpointListKind.FAILED, List.of());
+        } else if (choice < 89) {
             Set<String> disabled = new HashSet<>();
             for (int i = random.nextInt(3); i > 0; i--) {
-                disabled.add("s" + random.nextInt(fleet + 3));
+                disabled.add("s" + random.nextInt(endpointCount + 3));
             }
-            balancer.onEndpointsDisabled(now, disabled);
-        } else if (what < 90) {
-            balancer.onSettingsChanged(now, settings(random.nextInt(3)));
+            balancer.onEndpointsDisabled(nowMs, disabled);
+        } else if (choice < 90) {
+            balancer.onSettingsChanged(nowMs, settings(random.nextInt(3)));
         } else {
-            behaviors.put("s" + random.nextInt(fleet + 3), BEHAVIORS.get(random.nextInt(BEHAVIORS.size())));
+            behaviors.put("s" + random.nextInt(endpointCount + 3), BEHAVIORS.get(random.nextInt(BEHAVIORS.size())));
             request();
         }
     }
 
     private void request() {
-        String id = "r" + requests++;
-        open.add(id);
-        openInOrder.add(id);
-        double deadline = now + 200 + random.nextInt(900);
+        String requestId = "r" + requestCount++;
+        unanswered.add(requestId);
+        unansweredInOrder.add(requestId);
+        double deadlineMs = nowMs + 200 + random.nextInt(900);
         balancer.onRequest(
-                now, new Request(id, random.nextInt(CLASSES), tier == 1 ? 0 : random.nextInt(2), deadline, false));
+                nowMs,
+                new Request(
+                        requestId, random.nextInt(CLASS_COUNT), tier == 1 ? 0 : random.nextInt(2), deadlineMs, false));
     }
 
-    private void list(EndpointListKind kind, int entries) {
+    private void sendEndpointList(EndpointListKind kind, int entries) {
         List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < entries; i++) {
-            int number = kind == EndpointListKind.FULL ? i : random.nextInt(fleet + 3);
-            double started = random.nextInt(4) == 0 ? now - random.nextInt(4000) : 0;
-            EndpointStatus state = kind == EndpointListKind.FULL || random.nextInt(3) > 0
+            int number = kind == EndpointListKind.FULL ? i : random.nextInt(endpointCount + 3);
+            double startedMs = random.nextInt(4) == 0 ? nowMs - random.nextInt(4000) : 0;
+            EndpointStatus status = kind == EndpointListKind.FULL || random.nextInt(3) > 0
                     ? EndpointStatus.READY
                     : STATUSES.get(random.nextInt(3));
             double weight = random.nextInt(5) == 0 ? 3 : 1;
-            list.add(new Endpoint("s" + number, number % 3 == 0 ? 1 : 0, 0, number % 4, started, state, weight));
+            list.add(new Endpoint("s" + number, number % 3 == 0 ? 1 : 0, 0, number % 4, startedMs, status, weight));
         }
-        balancer.onEndpointList(now, kind, list);
+        balancer.onEndpointList(nowMs, kind, list);
     }
 
     private void schedule(double delayMs, Runnable event) {
-        due.add(new Due(now + delayMs, scheduled++, event));
+        dueEvents.add(new DueEvent(nowMs + delayMs, scheduledCount++, event));
     }
 
-    private void finish(String id, int attempt, String server, AttemptOutcome outcome, double sentAt) {
-        if (!ended.add(id + "/" + attempt)) {
+    private void finish(String requestId, int attempt, String endpointId, AttemptOutcome outcome, double sentAtMs) {
+        if (!endedAttempts.add(requestId + "/" + attempt)) {
             return;
         }
-        boolean answered = !open.contains(id) || outcome == AttemptOutcome.OK;
-        if (answered && open.remove(id)) {
-            openInOrder.remove(id);
+        boolean answered = !unanswered.contains(requestId) || outcome == AttemptOutcome.OK;
+        if (answered && unanswered.remove(requestId)) {
+            unansweredInOrder.remove(requestId);
         }
         balancer.onAttemptFinished(
-                now, new AttemptResult(id, attempt, server, outcome, now - sentAt, answered, LoadReport.NONE));
+                nowMs,
+                new AttemptResult(
+                        requestId, attempt, endpointId, outcome, nowMs - sentAtMs, answered, LoadReport.NONE));
     }
 
-    private void over(String id) {
-        open.remove(id);
-        openInOrder.remove(id);
+    private void markAnswered(String requestId) {
+        unanswered.remove(requestId);
+        unansweredInOrder.remove(requestId);
     }
 
     @Override
-    public void forward(String id, String server, double timeoutMs) {
-        lines.accept("forward " + id + " " + server + " " + timeoutMs);
-        int attempt = attempts.merge(id, 1, Integer::sum) - 1;
-        double sentAt = now;
+    public void forward(String requestId, String endpointId, double timeoutMs) {
+        recorder.accept("forward " + requestId + " " + endpointId + " " + timeoutMs);
+        int attempt = attemptCounts.merge(requestId, 1, Integer::sum) - 1;
+        double sentAtMs = nowMs;
         AttemptOutcome outcome = AttemptOutcome.OK;
         double tookMs = 10 + random.nextInt(60);
-        switch (behaviors.getOrDefault(server, Behavior.GOOD)) {
+        switch (behaviors.getOrDefault(endpointId, Behavior.GOOD)) {
             case SLOW -> tookMs = 150 + random.nextInt(500);
             case FULL -> {
                 outcome = random.nextInt(3) > 0 ? AttemptOutcome.REJECTED_QUEUE_FULL : AttemptOutcome.OK;
@@ -229,49 +236,49 @@
             default -> outcome = random.nextInt(40) == 0 ? AttemptOutcome.FAILED : AttemptOutcome.OK;
         }
         if (tookMs > timeoutMs) {
-            schedule(timeoutMs, () -> finish(id, attempt, server, AttemptOutcome.TIMED_OUT, sentAt));
+            schedule(timeoutMs, () -> finish(requestId, attempt, endpointId, AttemptOutcome.TIMED_OUT, sentAtMs));
         } else {
-            AttemptOutcome end = outcome;
-            schedule(tookMs, () -> finish(id, attempt, server, end, sentAt));
+            AttemptOutcome finalOutcome = outcome;
+            schedule(tookMs, () -> finish(requestId, attempt, endpointId, finalOutcome, sentAtMs));
         }
     }
 
     @Override
-    public void reject(String id, double afterMs) {
-        lines.accept("reject " + id + " " + afterMs);
-        over(id);
+    public void reject(String requestId, double retryAfterMs) {
+        recorder.accept("reject " + requestId + " " + retryAfterMs);
+        markAnswered(requestId);
     }
 
     @Override
-    public void fail(String id) {
-        lines.accept("fail " + id);
-        over(id);
+    public void fail(String requestId) {
+        recorder.accept("fail " + requestId);
+        markAnswered(requestId);
     }
 
     @Override
-    public void cancelAttempt(String id, int attempt) {
-        lines.accept("cancel " + id + " " + attempt);
-        schedule(0, () -> finish(id, attempt, "", AttemptOutcome.CANCELED, now));
+    public void cancelAttempt(String requestId, int attempt) {
+        recorder.accept("cancel " + requestId + " " + attempt);
+        schedule(0, () -> finish(requestId, attempt, "", AttemptOutcome.CANCELED, nowMs));
     }
 
     @Override
     public void scheduleTimer(double delayMs, long name) {
-        lines.accept("timer " + delayMs + " " + name);
-        schedule(delayMs, () -> balancer.onTimer(now, name));
+        recorder.accept("timer " + delayMs + " " + name);
+        schedule(delayMs, () -> balancer.onTimer(nowMs, name));
     }
 
     @Override
-    public void closeIdleConnections(String server) {
-        lines.accept("close " + server);
+    public void closeIdleConnections(String endpointId) {
+        recorder.accept("close " + endpointId);
     }
 
     @Override
     public void pollEndpointList() {
-        lines.accept("poll");
+        recorder.accept("poll");
     }
 
     @Override
     public void report(OverloadReport report) {
-        lines.accept("report");
+        recorder.accept("report");
     }
 }
--- a/sidecar/src/test/java/martenlatch/policy/EmbeddingExampleTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/EmbeddingExampleTest.java
@@ -19,11 +19,11 @@
 import martenlatch.policy.api.RequestClass;
 import org.junit.jupiter.api.Test;
 
-/** The README's example, which must compile and run. */
+/** Tests that the example in the README compiles and runs. */
 class EmbeddingExampleTest {
 
     @Test
-    void aSidecarCreatesFeedsAndObeysABalancer() {
+    void readmeExampleCompletesOneRequest() {
         RecordingActions recorder = new RecordingActions();
         BalancerActions sidecar = recorder;
         // README: begin
--- a/sidecar/src/test/java/martenlatch/policy/EndpointListPollingTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/EndpointListPollingTest.java
@@ -16,40 +16,44 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** When discovery is polled, over whatever sequence of events. */
+/** Tests when discovery is polled, for single events and for any sequence of events. */
 class EndpointListPollingTest {
 
     private static final int SEEDS = 500;
-    /** A change counts as notified so long after discovery had it and could be reached. */
+    /** The longest time until a change is known, once discovery has it and is reachable. */
     private static final double MAX_LIST_AGE_MS = 6000;
-    /** In which discovery answers or rejects a poll. */
+    /** The time within which discovery answers or rejects a poll. */
     private static final double POLL_DURATION_MS = 2000;
-    /** The longest delay there is: with a poll of 2 s before or after it, it is within the 6 s. */
+    /** The longest delay; together with a poll of 2 s before or after it, it stays within the 6 s. */
     private static final double MAX_DELAY_MS = 3000;
 
-    private static BalancerSettings settings(int balancers, double pollIntervalMs) {
-        return BalancerFixture.settings(balancers, 0, 1, true, pollIntervalMs);
+    private static BalancerSettings settings(int balancerCount, double pollIntervalMs) {
+        return BalancerFixture.settings(balancerCount, 0, 1, true, pollIntervalMs);
     }
 
-    private static double longest(List<Double> delays) {
+    private static double longestMs(List<Double> delays) {
         return Collections.max(delays);
     }
 
-    /** A process that starts has a list of any age: half a poll interval, as before, was 5 s (incident 7111). */
+    /** Guards against a start delay of half a poll interval, 5 s, with a list of any age (incident 7111). */
     @Test
-    void aNewProcessPollsSoon() {
+    void newProcessPollsWithinTwoSeconds() {
         List<Double> delays = new ArrayList<>();
         for (int seed = 0; seed < SEEDS; seed++) {
             EndpointListPolling polling = new EndpointListPolling(new SplittableRandom(seed));
             delays.add(polling.delayAtStart(settings(100, 10_000)));
             assertTrue(polling.takeDuePoll(0));
         }
-        assertTrue(longest(delays) > 1900 && longest(delays) <= 2000, "a fleet is spread: " + longest(delays));
-        EndpointListPolling alone = new EndpointListPolling(new SplittableRandom(1));
-        assertEquals(0, alone.delayAtStart(settings(1, 10_000)));
+        assertTrue(
+                longestMs(delays) > 1900 && longestMs(delays) <= 2000,
+                "the polls of a fleet are spread: " + longestMs(delays));
+        EndpointListPolling singleBalancer = new EndpointListPolling(new SplittableRandom(1));
+        assertEquals(0, singleBalancer.delayAtStart(settings(1, 10_000)));
     }
 
-    /** The longest delay is what the failed poll and the next one leave of the 6 s, within the settings' intervals. */
+    /**
+     * The longest delay is the part of the 6 s that the failed and the next poll leave, bounded by the poll interval.
+     */
     @ParameterizedTest
     @CsvSource({
         "10000, 0, 3000",
@@ -63,76 +67,76 @@
         "500, 0, 1500",
         "500, 2500, 1500"
     })
-    void theDelayAfterAFailureIsWhatThePollsLeaveOfTheBudget(
+    void delayAfterAFailureIsThePartOfTheBudgetThatPollsLeave(
             double pollIntervalMs, double failedAfterMs, double maxDelayMs) {
         List<Double> delays = new ArrayList<>();
         for (int seed = 0; seed < SEEDS; seed++) {
             EndpointListPolling polling = new EndpointListPolling(new SplittableRandom(seed));
             BalancerSettings settings = settings(100, pollIntervalMs);
-            double now = polling.delayAtStart(settings);
+            double nowMs = polling.delayAtStart(settings);
             for (int failure = 0; failure < 4; failure++) {
-                assertTrue(polling.takeDuePoll(now));
-                now += failedAfterMs;
-                double delayMs = polling.delayAfterFailure(now, settings);
+                assertTrue(polling.takeDuePoll(nowMs));
+                nowMs += failedAfterMs;
+                double delayMs = polling.delayAfterFailure(nowMs, settings);
                 delays.add(delayMs);
-                now += delayMs;
+                nowMs += delayMs;
             }
         }
-        assertTrue(longest(delays) > 0.9 * maxDelayMs && longest(delays) <= maxDelayMs, "" + longest(delays));
+        assertTrue(longestMs(delays) > 0.9 * maxDelayMs && longestMs(delays) <= maxDelayMs, "" + longestMs(delays));
     }
 
     /**
-     * The aim: a change is known 6 s after discovery could be reached, the time of the polls themselves included. Here
-     * discovery fails every poll until some moment, each after the same time, and answers within the time of a poll
-     * from then on. With delays of up to 3 s, whatever the failed poll had taken, it could be 7 s.
+     * A change must be known within 6 s after discovery is reachable again, including the duration of the polls. Here
+     * every poll fails after the same time until discovery is back. Guards against delays of up to 3 s that ignore the
+     * duration of the failed poll, which could add up to 7 s.
      */
     @ParameterizedTest
     @CsvSource({"0, 100", "12, 100", "1000, 100", "2000, 100", "2000, 2", "3000, 100"})
-    void whenDiscoveryIsBackAChangeIsKnownInTimeAfterAnyFailures(double failsAfterMs, int balancers) {
-        BalancerSettings settings = settings(balancers, 10_000);
+    void changeIsKnownInTimeOnceDiscoveryIsReachableAgain(double failsAfterMs, int balancerCount) {
+        BalancerSettings settings = settings(balancerCount, 10_000);
         for (int seed = 0; seed < SEEDS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             double backAtMs = 20_000 * random.nextDouble();
             EndpointListPolling polling = new EndpointListPolling(random.split());
-            double now = polling.delayAtStart(settings);
-            assertTrue(polling.takeDuePoll(now));
-            while (now < backAtMs) {
-                now += failsAfterMs;
-                now += polling.delayAfterFailure(now, settings);
-                assertTrue(polling.takeDuePoll(now));
+            double nowMs = polling.delayAtStart(settings);
+            assertTrue(polling.takeDuePoll(nowMs));
+            while (nowMs < backAtMs) {
+                nowMs += failsAfterMs;
+                nowMs += polling.delayAfterFailure(nowMs, settings);
+                assertTrue(polling.takeDuePoll(nowMs));
             }
-            double knownAfterMs = now + POLL_DURATION_MS - backAtMs;
+            double knownAfterMs = nowMs + POLL_DURATION_MS - backAtMs;
             assertTrue(knownAfterMs <= MAX_LIST_AGE_MS, "known after " + knownAfterMs + " ms, seed " + seed);
         }
     }
 
-    /** A watch may have been silent for long when it ended: the poll after it comes soon, and within the interval. */
+    /** A watch may have been idle for long when it ends, so the next poll must follow soon and within the interval. */
     @ParameterizedTest
     @CsvSource({"1000, 500", "4000, 2000", "10000, 3000"})
-    void aWatchThatEndedIsStartedSoon(double pollIntervalMs, double maxDelayMs) {
+    void endedWatchIsReopenedSoon(double pollIntervalMs, double maxDelayMs) {
         List<Double> delays = new ArrayList<>();
         for (int seed = 0; seed < SEEDS; seed++) {
             EndpointListPolling polling = new EndpointListPolling(new SplittableRandom(seed));
             polling.onList();
             delays.add(polling.delayAfterFailure(15_000, settings(100, pollIntervalMs)));
         }
-        assertTrue(longest(delays) > 0.9 * maxDelayMs && longest(delays) <= maxDelayMs, "" + longest(delays));
+        assertTrue(longestMs(delays) > 0.9 * maxDelayMs && longestMs(delays) <= maxDelayMs, "" + longestMs(delays));
     }
 
-    /** Whatever happens, in whatever order: without a watch the next poll is due in time, and stays so. */
+    /** For any sequence of events, the next poll is due within the longest delay while no watch is open. */
     @ParameterizedTest
     @ValueSource(ints = {1, 100, 1000})
-    void theNextPollIsDueInTimeOverAnySequence(int balancers) {
+    void nextPollIsDueInTimeForAnySequenceOfEvents(int balancerCount) {
         for (int seed = 0; seed < SEEDS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             EndpointListPolling polling = new EndpointListPolling(random.split());
-            BalancerSettings settings = settings(balancers, 10_000);
+            BalancerSettings settings = settings(balancerCount, 10_000);
             TreeSet<Double> timers = new TreeSet<>();
             timers.add(polling.delayAtStart(settings));
             double unwatchedSinceMs = 0;
             double polledAtMs = Double.NaN;
-            for (double now = 0; now < 60_000; now += 1 + random.nextInt(400)) {
-                while (!timers.isEmpty() && timers.first() <= now) {
+            for (double nowMs = 0; nowMs < 60_000; nowMs += 1 + random.nextInt(400)) {
+                while (!timers.isEmpty() && timers.first() <= nowMs) {
                     double at = timers.pollFirst();
                     if (polling.takeDuePoll(at)) {
                         polledAtMs = at;
@@ -141,7 +145,7 @@
                 boolean isPolling = !Double.isNaN(polledAtMs);
                 if (!isPolling) {
                     double dueMs = unwatchedSinceMs + MAX_DELAY_MS;
-                    assertTrue(now <= dueMs + 1, "no poll at " + now + ", due at " + dueMs + ", seed " + seed);
+                    assertTrue(nowMs <= dueMs + 1, "no poll at " + nowMs + ", due at " + dueMs + ", seed " + seed);
                     assertFalse(timers.isEmpty(), "seed " + seed);
                 }
                 switch (random.nextInt(12)) {
@@ -152,17 +156,17 @@
                     }
                     case 1 -> {
                         if (isPolling) {
-                            unwatchedSinceMs = now;
+                            unwatchedSinceMs = nowMs;
                             polledAtMs = Double.NaN;
-                            timers.add(now + polling.delayAfterFailure(now, settings));
+                            timers.add(nowMs + polling.delayAfterFailure(nowMs, settings));
                         }
                     }
                     case 2, 3 -> {
                         if (isPolling) {
-                            unwatchedSinceMs = now;
+                            unwatchedSinceMs = nowMs;
                         }
                         polledAtMs = Double.NaN;
-                        timers.add(now + polling.delayAfterMove(now, settings));
+                        timers.add(nowMs + polling.delayAfterMove(nowMs, settings));
                     }
                     default -> {
                         // Time passes.
@@ -172,44 +176,44 @@
         }
     }
 
-    /** Moves in a row do not put a poll off; before, each began a delay of its own. */
+    /** Guards against address changes in a row that each start a new delay and so postpone the poll. */
     @Test
-    void movesInARowDoNotPutThePollOff() {
+    void addressChangesInARowDoNotPostponeThePoll() {
         for (int seed = 0; seed < SEEDS; seed++) {
             EndpointListPolling polling = new EndpointListPolling(new SplittableRandom(seed));
             BalancerSettings settings = settings(100, 10_000);
             polling.onList();
-            double due = 1000 + polling.delayAfterMove(1000, settings);
-            for (double now = 1000; now < due; now += 100) {
-                due = Math.min(due, now + polling.delayAfterMove(now, settings));
+            double dueAtMs = 1000 + polling.delayAfterMove(1000, settings);
+            for (double nowMs = 1000; nowMs < dueAtMs; nowMs += 100) {
+                dueAtMs = Math.min(dueAtMs, nowMs + polling.delayAfterMove(nowMs, settings));
             }
-            assertTrue(due <= 4000, "polled " + (due - 1000) + " ms after the first move, seed " + seed);
-            assertTrue(polling.takeDuePoll(due));
-            assertFalse(polling.takeDuePoll(due + 10), "one poll, however many timers there were");
+            assertTrue(dueAtMs <= 4000, "polled " + (dueAtMs - 1000) + " ms after the first move, seed " + seed);
+            assertTrue(polling.takeDuePoll(dueAtMs));
+            assertFalse(polling.takeDuePoll(dueAtMs + 10), "one poll, however many timers there were");
         }
     }
 
-    /** The balancer polls by these delays, and once, whatever timers are due. */
+    /** The load balancer uses these delays, and polls only once when several timers are due. */
     @Test
-    void theBalancerSchedulesItsPollsByThem() {
-        BalancerSettings polled = asPolled(settings(100, 10_000));
+    void balancerSchedulesItsPollsWithTheseDelays() {
+        BalancerSettings polled = withPolling(settings(100, 10_000));
         BalancerFixture fixture = new BalancerFixture(polled);
-        assertTrue(fixture.host.timers.get(0) <= 2000, "at the start: " + fixture.host.timers);
-        fixture.balancer.onTimer(fixture.now, 1);
-        fixture.balancer.onTimer(fixture.now, 1);
-        assertEquals(1, fixture.host.subscriptions);
+        assertTrue(fixture.actions.timers.get(0) <= 2000, "at the start: " + fixture.actions.timers);
+        fixture.balancer.onTimer(fixture.nowMs, 1);
+        fixture.balancer.onTimer(fixture.nowMs, 1);
+        assertEquals(1, fixture.actions.polls);
         fixture.list(BalancerFixture.endpoints(2));
-        fixture.now += 60_000;
-        fixture.balancer.onEndpointList(fixture.now, EndpointListKind.FAILED, List.of());
-        assertTrue(fixture.host.timers.get(1) <= MAX_DELAY_MS, "after a failure: " + fixture.host.timers);
-        fixture.balancer.onDiscoveryMoved(fixture.now);
-        assertTrue(fixture.host.timers.get(2) <= fixture.host.timers.get(1), "a move: " + fixture.host.timers);
-        fixture.now += fixture.host.timers.get(2);
-        fixture.balancer.onTimer(fixture.now, 1);
-        assertEquals(2, fixture.host.subscriptions);
+        fixture.nowMs += 60_000;
+        fixture.balancer.onEndpointList(fixture.nowMs, EndpointListKind.FAILED, List.of());
+        assertTrue(fixture.actions.timers.get(1) <= MAX_DELAY_MS, "after a failure: " + fixture.actions.timers);
+        fixture.balancer.onDiscoveryMoved(fixture.nowMs);
+        assertTrue(fixture.actions.timers.get(2) <= fixture.actions.timers.get(1), "a move: " + fixture.actions.timers);
+        fixture.nowMs += fixture.actions.timers.get(2);
+        fixture.balancer.onTimer(fixture.nowMs, 1);
+        assertEquals(2, fixture.actions.polls);
     }
 
-    private static BalancerSettings asPolled(BalancerSettings from) {
+    private static BalancerSettings withPolling(BalancerSettings from) {
         return new BalancerSettings(
                 from.balancerCount(),
                 from.ownIndex(),
--- a/sidecar/src/test/java/martenlatch/policy/EndpointRegistryTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/EndpointRegistryTest.java
@@ -10,165 +10,168 @@
 import martenlatch.policy.api.EndpointStatus;
 import org.junit.jupiter.api.Test;
 
-/** Endpoint lists, endpoints disabled by operators, and endpoints that are replaced. */
+/** Tests endpoint lists, endpoints that operators disable, and endpoints that are replaced by a new process. */
 class EndpointRegistryTest {
 
-    /** Guards against work for an endpoint disabled by operators, whatever discovery says meanwhile. */
+    /** Guards against requests to an endpoint that operators have disabled, whatever discovery lists meanwhile. */
     @Test
-    void aDisabledEndpointGetsNothingUntilItIsPutBack() {
-        BalancerFixture f = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(2));
-        f.balancer.onEndpointsDisabled(f.now, Set.of("s0", "unheard-of"));
+    void disabledEndpointGetsNoRequestsUntilEnabled() {
+        BalancerFixture fixture = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(2));
+        fixture.balancer.onEndpointsDisabled(fixture.nowMs, Set.of("s0", "unheard-of"));
         for (int round = 0; round < 3; round++) {
             for (int i = 0; i < 5; i++) {
-                f.request(BalancerFixture.IDEMPOTENT);
-                assertEquals("s1", f.host.last().endpointId());
-                f.finish(f.host.last(), AttemptOutcome.OK, 10);
+                fixture.request(BalancerFixture.IDEMPOTENT);
+                assertEquals("s1", fixture.actions.last().endpointId());
+                fixture.finish(fixture.actions.last(), AttemptOutcome.OK, 10);
             }
-            f.now += 100;
+            fixture.nowMs += 100;
             if (round == 0) {
-                f.list(BalancerFixture.endpoints(2));
+                fixture.list(BalancerFixture.endpoints(2));
             } else {
-                f.change(BalancerFixture.endpoint("s0", 0, f.now, EndpointStatus.READY));
+                fixture.change(BalancerFixture.endpoint("s0", 0, fixture.nowMs, EndpointStatus.READY));
             }
         }
-        f.balancer.onEndpointsDisabled(f.now, Set.of());
-        f.now += 20_000;
+        fixture.balancer.onEndpointsDisabled(fixture.nowMs, Set.of());
+        fixture.nowMs += 20_000;
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 4; i++) {
-            f.request(BalancerFixture.IDEMPOTENT);
-            used.add(f.host.last().endpointId());
+            fixture.request(BalancerFixture.IDEMPOTENT);
+            used.add(fixture.actions.last().endpointId());
         }
         assertEquals(Set.of("s0", "s1"), used);
     }
 
-    /** Guards against one that is disabled to be repaired and comes back with the old verdict on it. */
+    /** Guards against an endpoint that is disabled for repair and is still ejected when it is enabled again. */
     @Test
-    void anEndpointThatIsPutBackIsAsGoodAsNew() {
-        BalancerFixture f = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(3));
-        String bad = f.failTwice(AttemptOutcome.CONNECT_ERROR);
-        f.balancer.onEndpointsDisabled(f.now, Set.of(bad));
-        f.balancer.onEndpointsDisabled(f.now, Set.of());
-        f.now += 1;
+    void enabledEndpointStartsWithoutStatistics() {
+        BalancerFixture fixture = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(3));
+        String ejected = fixture.failTwoRequests(AttemptOutcome.CONNECT_ERROR);
+        fixture.balancer.onEndpointsDisabled(fixture.nowMs, Set.of(ejected));
+        fixture.balancer.onEndpointsDisabled(fixture.nowMs, Set.of());
+        fixture.nowMs += 1;
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 3; i++) {
-            f.request(BalancerFixture.NON_IDEMPOTENT);
-            used.add(f.host.last().endpointId());
+            fixture.request(BalancerFixture.NON_IDEMPOTENT);
+            used.add(fixture.actions.last().endpointId());
         }
-        assertTrue(used.contains(bad), used + " but not " + bad);
+        assertTrue(used.contains(ejected), used + " but not " + ejected);
     }
 
     /**
-     * Guards against one that is enabled again and finds no calls: where balancers have few, those of a cold
-     * endpoint come last. Each balancer's first call there is spread over a time that all of them can do.
+     * Guards against an endpoint that gets no requests after it is enabled again: with few requests in flight, slots of
+     * an endpoint in slow start are used last. The balancers' first requests are spread so as not to overload it.
      */
     @Test
-    void aColdEndpointThatIsPutBackIsUsedByEachBalancerSoon() {
-        int balancers = 6;
+    void everyBalancerSoonUsesAnEnabledEndpointInSlowStart() {
+        int balancerCount = 6;
         int used = 0;
-        double first = Double.POSITIVE_INFINITY;
+        double firstUseMs = Double.POSITIVE_INFINITY;
         double last = 0;
-        for (int own = 0; own < balancers; own++) {
-            BalancerFixture f = new BalancerFixture(BalancerFixture.settings(balancers, own, 1, true), 7 + own)
+        for (int ownIndex = 0; ownIndex < balancerCount; ownIndex++) {
+            BalancerFixture fixture = new BalancerFixture(
+                            BalancerFixture.settings(balancerCount, ownIndex, 1, true), 7 + ownIndex)
                     .list(BalancerFixture.endpoints(6));
-            f.balancer.onEndpointsDisabled(f.now, Set.of("s2"));
-            f.change(BalancerFixture.endpoint("s2", 0, f.now, EndpointStatus.READY));
-            f.balancer.onEndpointsDisabled(f.now, Set.of());
-            double began = f.now;
+            fixture.balancer.onEndpointsDisabled(fixture.nowMs, Set.of("s2"));
+            fixture.change(BalancerFixture.endpoint("s2", 0, fixture.nowMs, EndpointStatus.READY));
+            fixture.balancer.onEndpointsDisabled(fixture.nowMs, Set.of());
+            double enabledAtMs = fixture.nowMs;
             for (int i = 0; i < 100; i++) {
-                f.now += 50;
-                f.request(i % 2 == 0 ? BalancerFixture.IDEMPOTENT : BalancerFixture.NON_IDEMPOTENT);
-                RecordingActions.Sent sent = f.host.last();
+                fixture.nowMs += 50;
+                fixture.request(i % 2 == 0 ? BalancerFixture.IDEMPOTENT : BalancerFixture.NON_IDEMPOTENT);
+                RecordingActions.SentAttempt sent = fixture.actions.last();
                 if (sent.endpointId().equals("s2")) {
                     used++;
-                    first = Math.min(first, f.now - began);
-                    last = Math.max(last, f.now - began);
+                    firstUseMs = Math.min(firstUseMs, fixture.nowMs - enabledAtMs);
+                    last = Math.max(last, fixture.nowMs - enabledAtMs);
                     break;
                 }
-                f.finish(sent, AttemptOutcome.OK, 20);
+                fixture.finish(sent, AttemptOutcome.OK, 20);
             }
         }
-        assertEquals(balancers, used, "each within 5 s");
-        assertTrue(last - first > 500, "and not all at once: " + first + " to " + last);
+        assertEquals(balancerCount, used, "every balancer uses it within 5 s");
+        assertTrue(last - firstUseMs > 500, "the first requests are spread: " + firstUseMs + " to " + last);
     }
 
     /**
-     * Guards against an endpoint that discovery takes away while it is out, and that stays in the table for
-     * good.
+     * Guards against an endpoint that discovery removes while it is disabled, and that is never removed from the table.
      */
     @Test
-    void aDisabledEndpointThatIsGoneIsForgotten() {
-        BalancerFixture f = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(2));
-        f.balancer.onEndpointsDisabled(f.now, Set.of("s0"));
-        f.change(BalancerFixture.endpoint("s0", 0, 0, EndpointStatus.GONE));
-        assertEquals(1, f.balancer.knownEndpoints());
-        f.change(BalancerFixture.endpoint("s0", 0, 0, EndpointStatus.READY));
-        f.change(BalancerFixture.endpoint("s1", 0, 0, EndpointStatus.GONE));
-        f.request(BalancerFixture.IDEMPOTENT);
-        assertEquals(0, f.host.sent.size(), "it is out still");
+    void disabledEndpointThatIsGoneIsRemoved() {
+        BalancerFixture fixture = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(2));
+        fixture.balancer.onEndpointsDisabled(fixture.nowMs, Set.of("s0"));
+        fixture.change(BalancerFixture.endpoint("s0", 0, 0, EndpointStatus.GONE));
+        assertEquals(1, fixture.balancer.knownEndpoints());
+        fixture.change(BalancerFixture.endpoint("s0", 0, 0, EndpointStatus.READY));
+        fixture.change(BalancerFixture.endpoint("s1", 0, 0, EndpointStatus.GONE));
+        fixture.request(BalancerFixture.IDEMPOTENT);
+        assertEquals(0, fixture.actions.sent.size(), "it is still disabled");
     }
 
     @Test
-    void nothingIsSentToADrainingOrGoneEndpoint() {
-        BalancerFixture f = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(3));
-        f.request(BalancerFixture.IDEMPOTENT);
-        f.change(
+    void drainingOrGoneEndpointGetsNoRequests() {
+        BalancerFixture fixture = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(3));
+        fixture.request(BalancerFixture.IDEMPOTENT);
+        fixture.change(
                 BalancerFixture.endpoint("s0", 0, 0, EndpointStatus.DRAINING),
                 BalancerFixture.endpoint("s1", 0, 0, EndpointStatus.GONE));
-        int before = f.host.sent.size();
+        int before = fixture.actions.sent.size();
         for (int i = 0; i < 50; i++) {
-            f.now += 20;
-            f.request(BalancerFixture.IDEMPOTENT);
+            fixture.nowMs += 20;
+            fixture.request(BalancerFixture.IDEMPOTENT);
         }
-        assertTrue(
-                f.host.sent.stream().skip(before).allMatch(s -> s.endpointId().equals("s2")));
+        assertTrue(fixture.actions.sent.stream()
+                .skip(before)
+                .allMatch(s -> s.endpointId().equals("s2")));
     }
 
     @Test
-    void anEndpointMissingFromAFullListIsGone() {
-        BalancerFixture f = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(2));
-        f.list(List.of(BalancerFixture.endpoint("s1")));
-        f.request(BalancerFixture.IDEMPOTENT);
-        assertEquals("s1", f.host.last().endpointId());
+    void endpointMissingFromAFullListIsGone() {
+        BalancerFixture fixture = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(2));
+        fixture.list(List.of(BalancerFixture.endpoint("s1")));
+        fixture.request(BalancerFixture.IDEMPOTENT);
+        assertEquals("s1", fixture.actions.last().endpointId());
     }
 
-    /** Guards against a new process held to account for its forerunner's calls, which end with that one. */
+    /** Guards against ejecting a new process for failed attempts at its predecessor under the same id. */
     @Test
-    void aNewProcessUnderAnOldIdStartsWithACleanSheet() {
-        BalancerFixture f = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(3));
+    void newProcessUnderAKnownIdStartsWithoutStatistics() {
+        BalancerFixture fixture = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(3));
         for (int i = 0; i < 12; i++) {
-            f.request(BalancerFixture.NON_IDEMPOTENT);
+            fixture.request(BalancerFixture.NON_IDEMPOTENT);
         }
-        List<RecordingActions.Sent> old = f.host.sent.stream()
+        List<RecordingActions.SentAttempt> attemptsAtFormerProcess = fixture.actions.sent.stream()
                 .filter(sent -> sent.endpointId().equals("s0"))
                 .toList();
-        assertTrue(old.size() > 2, "calls to the former process: " + old.size());
-        f.change(BalancerFixture.endpoint("s0", 0, f.now - 60_000, EndpointStatus.READY));
-        old.forEach(sent -> f.finish(sent, AttemptOutcome.RESET, 5));
-        int before = f.host.sent.size();
+        assertTrue(
+                attemptsAtFormerProcess.size() > 2,
+                "attempts at the former process: " + attemptsAtFormerProcess.size());
+        fixture.change(BalancerFixture.endpoint("s0", 0, fixture.nowMs - 60_000, EndpointStatus.READY));
+        attemptsAtFormerProcess.forEach(sent -> fixture.finish(sent, AttemptOutcome.RESET, 5));
+        int before = fixture.actions.sent.size();
         for (int i = 0; i < 12; i++) {
-            f.request(BalancerFixture.NON_IDEMPOTENT);
+            fixture.request(BalancerFixture.NON_IDEMPOTENT);
         }
-        long atOnce = f.host.sent.stream()
+        long inFlight = fixture.actions.sent.stream()
                 .skip(before)
                 .filter(sent -> sent.endpointId().equals("s0"))
                 .count();
-        assertTrue(atOnce > 1, "it is neither on trial nor paused, but takes " + atOnce);
+        assertTrue(inFlight > 1, "it should be neither on probation nor paused, but takes " + inFlight);
     }
 
-    /** Guards against memory that grows with each endpoint that comes and goes, also with calls still out. */
+    /** Guards against a memory leak when endpoints come and go, even with attempts still in flight. */
     @Test
-    void nothingIsKeptOfEndpointsThatAreGone() {
-        BalancerFixture f = BalancerFixture.of(2, 0, 0);
+    void goneEndpointsAreRemovedFromMemory() {
+        BalancerFixture fixture = BalancerFixture.of(2, 0, 0);
         for (int i = 0; i < 5000; i++) {
-            f.change(BalancerFixture.endpoint("s" + i, 0, f.now, EndpointStatus.READY));
-            f.request(BalancerFixture.IDEMPOTENT);
-            f.change(BalancerFixture.endpoint("s" + i, 0, f.now, EndpointStatus.GONE));
-            while (f.balancer.pendingRequests() > 0) {
-                f.finish(f.host.last(), AttemptOutcome.RESET, 1);
+            fixture.change(BalancerFixture.endpoint("s" + i, 0, fixture.nowMs, EndpointStatus.READY));
+            fixture.request(BalancerFixture.IDEMPOTENT);
+            fixture.change(BalancerFixture.endpoint("s" + i, 0, fixture.nowMs, EndpointStatus.GONE));
+            while (fixture.balancer.pendingRequests() > 0) {
+                fixture.finish(fixture.actions.last(), AttemptOutcome.RESET, 1);
             }
-            f.now += 50;
+            fixture.nowMs += 50;
         }
-        assertEquals(0, f.balancer.knownEndpoints());
-        assertEquals(0, f.balancer.pendingRequests());
+        assertEquals(0, fixture.balancer.knownEndpoints());
+        assertEquals(0, fixture.balancer.pendingRequests());
     }
 }
--- a/sidecar/src/test/java/martenlatch/policy/LoadBalancerTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/LoadBalancerTest.java
@@ -14,30 +14,29 @@
 import martenlatch.policy.api.RequestClass;
 import org.junit.jupiter.api.Test;
 
-/** Settings, polls, reports, and one final answer for each request. */
+/** Tests settings, polls, reports, and that each request gets exactly one final answer. */
 class LoadBalancerTest {
     private static final List<AttemptOutcome> OUTCOMES = List.of(AttemptOutcome.values());
 
     /**
-     * Guards against a new meaning for what was begun under the old settings, and the old one for what
-     * comes.
+     * Guards against new settings that change the rules of pending requests, or old settings that still apply to new
+     * ones.
      */
     @Test
-    void newSettingsBindRequestsToComeAndLeaveThosePending() {
+    void newSettingsApplyToNewRequestsOnly() {
         BalancerSettings before = BalancerFixture.settings(1, 0, 1, true);
-        BalancerFixture f = new BalancerFixture(before).list(BalancerFixture.endpoints(4));
-        f.request(BalancerFixture.IDEMPOTENT);
-        RecordingActions.Sent old = f.host.last();
-        f.request(BalancerFixture.NON_IDEMPOTENT);
-        RecordingActions.Sent oldOnce = f.host.last();
-        // The first class is gone, the second may be repeated now, and there is a new one; two attempts at
-        // most.
+        BalancerFixture fixture = new BalancerFixture(before).list(BalancerFixture.endpoints(4));
+        fixture.request(BalancerFixture.IDEMPOTENT);
+        RecordingActions.SentAttempt oldRead = fixture.actions.last();
+        fixture.request(BalancerFixture.NON_IDEMPOTENT);
+        RecordingActions.SentAttempt oldOrder = fixture.actions.last();
+        // Removes the first class, makes the second repeatable, adds a class, and lowers the limit to two attempts.
         List<RequestClass> classes = List.of(
                 new RequestClass("order", 1000, 3000, 1, 0.5, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                 new RequestClass(
                         "print", 1000, 3000, 1, 0.5, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false));
-        f.balancer.onSettingsChanged(
-                f.now,
+        fixture.balancer.onSettingsChanged(
+                fixture.nowMs,
                 new BalancerSettings(
                         1,
                         0,
@@ -51,87 +50,92 @@
                         List.of(),
                         new AttemptLimits(2, true, true, 2000, 200),
                         before.rules()));
-        f.request(0);
-        RecordingActions.Sent order = f.host.last();
-        f.request(1);
-        RecordingActions.Sent print = f.host.last();
-        assertEquals(4, f.host.sent.size());
+        fixture.request(0);
+        RecordingActions.SentAttempt newOrder = fixture.actions.last();
+        fixture.request(1);
+        RecordingActions.SentAttempt newPrint = fixture.actions.last();
+        assertEquals(4, fixture.actions.sent.size());
 
-        f.finish(old, AttemptOutcome.RESET, 5);
-        assertEquals(old.requestId(), f.host.last().requestId(), "safe to repeat, as it was when it came");
-        f.finish(f.host.last(), AttemptOutcome.RESET, 5);
-        assertEquals(2, f.host.last().attempt(), "three attempts, as when it came");
-        f.finish(oldOnce, AttemptOutcome.RESET, 5);
-        assertEquals(List.of(oldOnce.requestId()), f.host.failed, "must not run twice, as it was when it came");
-        f.finish(print, AttemptOutcome.RESET, 5);
-        assertEquals(List.of(oldOnce.requestId(), print.requestId()), f.host.failed);
-        f.now += 1;
-        f.finish(order, AttemptOutcome.RESET, 5);
-        assertEquals(1, f.host.last().attempt());
-        assertEquals(order.requestId(), f.host.last().requestId(), "may be repeated from now on");
-        f.finish(f.host.last(), AttemptOutcome.RESET, 5);
-        assertEquals(1, f.host.refused.size(), "two attempts at most from now on");
+        fixture.finish(oldRead, AttemptOutcome.RESET, 5);
+        assertEquals(
+                oldRead.requestId(), fixture.actions.last().requestId(), "repeatable by the settings at its arrival");
+        fixture.finish(fixture.actions.last(), AttemptOutcome.RESET, 5);
+        assertEquals(2, fixture.actions.last().attempt(), "three attempts by the settings at its arrival");
+        fixture.finish(oldOrder, AttemptOutcome.RESET, 5);
+        assertEquals(
+                List.of(oldOrder.requestId()), fixture.actions.failed, "not repeatable by the settings at its arrival");
+        fixture.finish(newPrint, AttemptOutcome.RESET, 5);
+        assertEquals(List.of(oldOrder.requestId(), newPrint.requestId()), fixture.actions.failed);
+        fixture.nowMs += 1;
+        fixture.finish(newOrder, AttemptOutcome.RESET, 5);
+        assertEquals(1, fixture.actions.last().attempt());
+        assertEquals(newOrder.requestId(), fixture.actions.last().requestId(), "repeatable by the new settings");
+        fixture.finish(fixture.actions.last(), AttemptOutcome.RESET, 5);
+        assertEquals(1, fixture.actions.rejected.size(), "two attempts at most by the new settings");
     }
 
     @Test
-    void aRequestGetsOneFinalAnswerAndNothingAfterIt() {
-        BalancerFixture f = BalancerFixture.of(2, 0, 0).list(BalancerFixture.endpoints(4));
-        String id = f.request(BalancerFixture.IDEMPOTENT);
-        RecordingActions.Sent sent = f.host.last();
-        f.balancer.onClientDisconnected(f.now, id);
-        f.finish(sent, AttemptOutcome.CANCELED, 5);
-        f.finish(sent, AttemptOutcome.FAILED, 6);
-        assertEquals(1, f.host.sent.size());
-        assertTrue(f.host.refused.isEmpty() && f.host.failed.isEmpty());
-        assertEquals(List.of("r0#0"), f.host.cancelled);
+    void disconnectedRequestGetsNoAnswerAndNoRetry() {
+        BalancerFixture fixture = BalancerFixture.of(2, 0, 0).list(BalancerFixture.endpoints(4));
+        String id = fixture.request(BalancerFixture.IDEMPOTENT);
+        RecordingActions.SentAttempt sent = fixture.actions.last();
+        fixture.balancer.onClientDisconnected(fixture.nowMs, id);
+        fixture.finish(sent, AttemptOutcome.CANCELED, 5);
+        fixture.finish(sent, AttemptOutcome.FAILED, 6);
+        assertEquals(1, fixture.actions.sent.size());
+        assertTrue(fixture.actions.rejected.isEmpty() && fixture.actions.failed.isEmpty());
+        assertEquals(List.of("r0#0"), fixture.actions.cancelled);
     }
 
     @Test
-    void eventsForThingsUnknownAreIgnored() {
-        BalancerFixture f = BalancerFixture.of(2, 0, 0).list(BalancerFixture.endpoints(2));
-        f.balancer.onClientDisconnected(f.now, "nobody");
-        f.finish(new RecordingActions.Sent("nobody", 0, "s0", 1), AttemptOutcome.OK, 1);
-        f.balancer.onStreamStarted(f.now, "nobody", 0);
-        f.balancer.onTimer(f.now, 99);
-        assertTrue(f.host.sent.isEmpty() && f.host.refused.isEmpty());
+    void eventsForUnknownRequestsAndTimersAreIgnored() {
+        BalancerFixture fixture = BalancerFixture.of(2, 0, 0).list(BalancerFixture.endpoints(2));
+        fixture.balancer.onClientDisconnected(fixture.nowMs, "nobody");
+        fixture.finish(new RecordingActions.SentAttempt("nobody", 0, "s0", 1), AttemptOutcome.OK, 1);
+        fixture.balancer.onStreamStarted(fixture.nowMs, "nobody", 0);
+        fixture.balancer.onTimer(fixture.nowMs, 99);
+        assertTrue(fixture.actions.sent.isEmpty() && fixture.actions.rejected.isEmpty());
     }
 
     @Test
-    void aFailedCallForTheListLeavesTheOldOneInUse() {
-        BalancerFixture f = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(2));
-        f.balancer.onEndpointList(f.now, EndpointListKind.FAILED, List.of());
-        f.request(BalancerFixture.IDEMPOTENT);
-        assertEquals(1, f.host.sent.size());
-        assertEquals(1, f.host.timers.size(), "it asks again later");
+    void failedPollLeavesTheEndpointListInUse() {
+        BalancerFixture fixture = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(2));
+        fixture.balancer.onEndpointList(fixture.nowMs, EndpointListKind.FAILED, List.of());
+        fixture.request(BalancerFixture.IDEMPOTENT);
+        assertEquals(1, fixture.actions.sent.size());
+        assertEquals(1, fixture.actions.timers.size(), "the next poll is scheduled");
     }
 
     @Test
-    void troubleIsToldOnceInAWhile() {
-        BalancerFixture f = BalancerFixture.of(10, 0, 0).list(BalancerFixture.endpoints(20));
+    void overloadIsReportedAtIntervals() {
+        BalancerFixture fixture = BalancerFixture.of(10, 0, 0).list(BalancerFixture.endpoints(20));
         for (int i = 0; i < 300; i++) {
-            f.now += 100;
-            f.request(BalancerFixture.IDEMPOTENT);
+            fixture.nowMs += 100;
+            fixture.request(BalancerFixture.IDEMPOTENT);
         }
-        assertTrue(f.host.log.size() >= 2 && f.host.log.size() <= 4, "lines " + f.host.log.size());
-        String last = f.host.log.get(f.host.log.size() - 1);
+        assertTrue(
+                fixture.actions.reports.size() >= 2 && fixture.actions.reports.size() <= 4,
+                "lines " + fixture.actions.reports.size());
+        String last = fixture.actions.reports.get(fixture.actions.reports.size() - 1);
         assertTrue(last.contains("requests rejected at a concurrency limit of 8"), last);
     }
 
     @Test
-    void equalEventsGiveEqualActions() {
+    void equalEventsResultInEqualActions() {
         List<List<String>> runs = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
-            BalancerFixture f = BalancerFixture.of(7, 3, 0).list(BalancerFixture.endpoints(12));
+            BalancerFixture fixture = BalancerFixture.of(7, 3, 0).list(BalancerFixture.endpoints(12));
             java.util.Random random = new java.util.Random(5);
             for (int i = 0; i < 500; i++) {
-                f.now += random.nextInt(30);
-                f.request(random.nextInt(3));
-                if (!f.host.sent.isEmpty() && random.nextBoolean()) {
-                    RecordingActions.Sent sent = f.host.sent.get(random.nextInt(f.host.sent.size()));
-                    f.finish(sent, OUTCOMES.get(random.nextInt(6)), random.nextInt(900));
+                fixture.nowMs += random.nextInt(30);
+                fixture.request(random.nextInt(3));
+                if (!fixture.actions.sent.isEmpty() && random.nextBoolean()) {
+                    RecordingActions.SentAttempt sent =
+                            fixture.actions.sent.get(random.nextInt(fixture.actions.sent.size()));
+                    fixture.finish(sent, OUTCOMES.get(random.nextInt(6)), random.nextInt(900));
                 }
             }
-            runs.add(f.host.all);
+            runs.add(fixture.actions.all);
         }
         assertEquals(runs.get(0), runs.get(1));
     }
--- a/sidecar/src/test/java/martenlatch/policy/LocalityRoutingTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/LocalityRoutingTest.java
@@ -10,37 +10,39 @@
 import martenlatch.policy.api.EndpointStatus;
 import org.junit.jupiter.api.Test;
 
-/** When calls leave their own zone. */
+/** Tests when requests are sent to other zones. */
 class LocalityRoutingTest {
 
-    /** How many of 20 calls leave the zone once its answers take {@code nearMs} and others' {@code farMs}. */
-    private static int callsThatLeaveTheZone(double nearMs, double farMs) {
-        BalancerFixture f = BalancerFixture.of(2, 0, 1);
-        List<Endpoint> servers = new ArrayList<>();
+    /**
+     * Returns how many of 20 requests leave the zone once it takes {@code ownZoneMs} and others {@code otherZoneMs}.
+     */
+    private static int requestsThatLeaveTheZone(double ownZoneMs, double otherZoneMs) {
+        BalancerFixture fixture = BalancerFixture.of(2, 0, 1);
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            servers.add(new Endpoint("s" + i, i % 2, 0, 0, 0, EndpointStatus.READY, 1));
+            endpoints.add(new Endpoint("s" + i, i % 2, 0, 0, 0, EndpointStatus.READY, 1));
         }
-        f.list(servers);
-        int left = 0;
+        fixture.list(endpoints);
+        int leftCount = 0;
         for (int i = 0; i < 120; i++) {
-            f.now += 200;
-            f.request(BalancerFixture.IDEMPOTENT);
-            RecordingActions.Sent sent = f.host.last();
-            boolean far = Integer.parseInt(sent.endpointId().substring(1)) % 2 == 1;
-            f.finish(sent, AttemptOutcome.OK, i < 50 ? 50 : far ? farMs : nearMs);
-            left += far && i >= 100 ? 1 : 0;
+            fixture.nowMs += 200;
+            fixture.request(BalancerFixture.IDEMPOTENT);
+            RecordingActions.SentAttempt sent = fixture.actions.last();
+            boolean inOtherZone = Integer.parseInt(sent.endpointId().substring(1)) % 2 == 1;
+            fixture.finish(sent, AttemptOutcome.OK, i < 50 ? 50 : inOtherZone ? otherZoneMs : ownZoneMs);
+            leftCount += inOtherZone && i >= 100 ? 1 : 0;
         }
-        return left;
+        return leftCount;
     }
 
     @Test
-    void callsStayInTheirZoneWhileItIsNotWorseThanOthers() {
-        assertEquals(0, callsThatLeaveTheZone(50, 50));
+    void requestsStayInTheirZoneWhileItIsNotSlower() {
+        assertEquals(0, requestsThatLeaveTheZone(50, 50));
     }
 
     @Test
-    void callsLeaveAZoneThatIsCrowdedWhileOthersAreNot() {
-        int left = callsThatLeaveTheZone(700, 60);
-        assertTrue(left >= 15, left + " of 20 left the zone");
+    void requestsLeaveACongestedZone() {
+        int leftCount = requestsThatLeaveTheZone(700, 60);
+        assertTrue(leftCount >= 15, leftCount + " of 20 requests left the zone");
     }
 }
--- a/sidecar/src/test/java/martenlatch/policy/OutlierDetectorTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/OutlierDetectorTest.java
@@ -13,29 +13,31 @@
 import martenlatch.policy.api.LoadReport;
 import org.junit.jupiter.api.Test;
 
-/** When endpoints are ejected, and when they recover. */
+/** Tests when endpoints are ejected and when they recover. */
 class OutlierDetectorTest {
 
-    /** So many calls on each of three endpoints: all are answered but the last on the lowest-ranked one. */
-    private static RecordingActions.Sent allAnsweredButOne(BalancerFixture f, int each) {
-        f.list(BalancerFixture.endpoints(3));
-        for (int i = 0; i < 3 * each; i++) {
-            f.request(BalancerFixture.IDEMPOTENT);
+    /**
+     * Sends this many requests to each of three endpoints; all succeed but the last one at the lowest-ranked endpoint.
+     */
+    private static RecordingActions.SentAttempt succeedAllButOne(BalancerFixture fixture, int requestsPerEndpoint) {
+        fixture.list(BalancerFixture.endpoints(3));
+        for (int i = 0; i < 3 * requestsPerEndpoint; i++) {
+            fixture.request(BalancerFixture.IDEMPOTENT);
         }
-        String lowest = f.host.sent.get(0).endpointId();
-        RecordingActions.Sent left = f.host.sent.get(3 * each - 3);
-        assertEquals(lowest, left.endpointId());
-        for (RecordingActions.Sent sent : List.copyOf(f.host.sent)) {
-            if (!sent.equals(left)) {
-                f.finish(sent, AttemptOutcome.OK, 10);
+        String lowest = fixture.actions.sent.get(0).endpointId();
+        RecordingActions.SentAttempt remaining = fixture.actions.sent.get(3 * requestsPerEndpoint - 3);
+        assertEquals(lowest, remaining.endpointId());
+        for (RecordingActions.SentAttempt sent : List.copyOf(fixture.actions.sent)) {
+            if (!sent.equals(remaining)) {
+                fixture.finish(sent, AttemptOutcome.OK, 10);
             }
         }
-        return left;
+        return remaining;
     }
 
-    private static void connectFails(BalancerFixture f, RecordingActions.Sent sent) {
-        f.balancer.onAttemptFinished(
-                f.now,
+    private static void failToConnect(BalancerFixture fixture, RecordingActions.SentAttempt sent) {
+        fixture.balancer.onAttemptFinished(
+                fixture.nowMs,
                 new AttemptResult(
                         sent.requestId(),
                         sent.attempt(),
@@ -46,136 +48,144 @@
                         LoadReport.NONE));
     }
 
-    /** Guards against slow or failing handshakes taken for dead endpoints (incident i190c84). */
+    /**
+     * Guards against ejecting endpoints for slow or failing handshakes while their connections work (incident i190c84).
+     */
     @Test
-    void failedConnectsLeaveStandingConnectionsInUse() {
-        BalancerFixture f = BalancerFixture.of(1, 0, 1);
-        RecordingActions.Sent left = allAnsweredButOne(f, 2);
-        connectFails(f, left);
-        f.request(BalancerFixture.IDEMPOTENT);
-        f.finish(f.host.last(), AttemptOutcome.OK, 10);
-        f.now += 1500;
+    void failedConnectLeavesEstablishedConnectionsInUse() {
+        BalancerFixture fixture = BalancerFixture.of(1, 0, 1);
+        RecordingActions.SentAttempt remaining = succeedAllButOne(fixture, 2);
+        failToConnect(fixture, remaining);
+        fixture.request(BalancerFixture.IDEMPOTENT);
+        fixture.finish(fixture.actions.last(), AttemptOutcome.OK, 10);
+        fixture.nowMs += 1500;
         for (int i = 0; i < 6; i++) {
-            f.request(BalancerFixture.IDEMPOTENT);
+            fixture.request(BalancerFixture.IDEMPOTENT);
         }
-        RecordingActions.Sent again = f.host.last();
-        assertEquals(left.endpointId(), again.endpointId(), "the slot without a connection comes last");
-        connectFails(f, again);
-        assertEquals(List.of(), f.host.disconnected);
-        f.finish(f.host.sent.get(f.host.sent.size() - 6), AttemptOutcome.OK, 10);
-        f.request(BalancerFixture.NON_IDEMPOTENT);
-        assertEquals(left.endpointId(), f.host.last().endpointId(), "a call that must not run twice goes there");
+        RecordingActions.SentAttempt again = fixture.actions.last();
+        assertEquals(remaining.endpointId(), again.endpointId(), "the slot without a connection comes last");
+        failToConnect(fixture, again);
+        assertEquals(List.of(), fixture.actions.closedConnections);
+        fixture.finish(fixture.actions.sent.get(fixture.actions.sent.size() - 6), AttemptOutcome.OK, 10);
+        fixture.request(BalancerFixture.NON_IDEMPOTENT);
+        assertEquals(
+                remaining.endpointId(),
+                fixture.actions.last().endpointId(),
+                "a request that must not repeat is sent there");
     }
 
-    /** A connect that fails again before anything was answered speaks against the endpoint after all. */
+    /** A second failure to connect before any response counts as the endpoint's failure. */
     @Test
-    void anEndpointThatOnlyFailsConnectsIsEjected() {
-        BalancerFixture f = BalancerFixture.of(1, 0, 1);
-        RecordingActions.Sent left = allAnsweredButOne(f, 3);
-        connectFails(f, left);
-        int before = f.host.sent.size();
+    void endpointThatOnlyFailsToConnectIsEjected() {
+        BalancerFixture fixture = BalancerFixture.of(1, 0, 1);
+        RecordingActions.SentAttempt remaining = succeedAllButOne(fixture, 3);
+        failToConnect(fixture, remaining);
+        int before = fixture.actions.sent.size();
         for (int i = 0; i < 4; i++) {
-            f.request(BalancerFixture.IDEMPOTENT);
+            fixture.request(BalancerFixture.IDEMPOTENT);
         }
-        connectFails(f, f.host.last());
-        f.now += 1500;
-        f.finish(f.host.sent.get(before), AttemptOutcome.OK, 10);
-        f.request(BalancerFixture.NON_IDEMPOTENT);
-        assertTrue(!f.host.last().endpointId().equals(left.endpointId()), "not trusted any more");
+        failToConnect(fixture, fixture.actions.last());
+        fixture.nowMs += 1500;
+        fixture.finish(fixture.actions.sent.get(before), AttemptOutcome.OK, 10);
+        fixture.request(BalancerFixture.NON_IDEMPOTENT);
+        assertTrue(
+                !fixture.actions.last().endpointId().equals(remaining.endpointId()), "the endpoint should be ejected");
     }
 
     @Test
-    void aFailingEndpointIsPausedAndLetBackOneCallAtATime() {
-        BalancerFixture f = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(4));
-        String bad = f.failTwice(AttemptOutcome.FAILED);
-        assertNotEquals(bad, f.host.last().endpointId());
+    void failingEndpointIsPausedThenLimitedToOneRequest() {
+        BalancerFixture fixture = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(4));
+        String failing = fixture.failTwoRequests(AttemptOutcome.FAILED);
+        assertNotEquals(failing, fixture.actions.last().endpointId());
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 20; i++) {
-            f.request(BalancerFixture.IDEMPOTENT);
-            used.add(f.host.last().endpointId());
+            fixture.request(BalancerFixture.IDEMPOTENT);
+            used.add(fixture.actions.last().endpointId());
         }
-        assertFalse(used.contains(bad));
-        f.now += 5000;
-        long atOnce = 0;
+        assertFalse(used.contains(failing));
+        fixture.nowMs += 5000;
+        long inFlight = 0;
         for (int i = 0; i < 20; i++) {
-            f.request(BalancerFixture.IDEMPOTENT);
-            atOnce += f.host.last().endpointId().equals(bad) ? 1 : 0;
+            fixture.request(BalancerFixture.IDEMPOTENT);
+            inFlight += fixture.actions.last().endpointId().equals(failing) ? 1 : 0;
         }
-        assertTrue(atOnce <= 1, "at once " + atOnce);
+        assertTrue(inFlight <= 1, "in flight at once: " + inFlight);
     }
 
-    /** Guards against ejection by chance, where a few of all answers are spoilt whichever endpoint gives them. */
+    /** Guards against ejecting endpoints at random where a small share of all responses fails at any endpoint. */
     @Test
-    void anOddFailureAmongManyAnswersEjectsNoEndpoint() {
-        BalancerFixture f = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(1));
+    void rareFailuresDoNotEjectTheEndpoint() {
+        BalancerFixture fixture = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(1));
         for (int i = 0; i < 100; i++) {
-            f.request(BalancerFixture.NON_IDEMPOTENT);
-            f.finish(f.host.last(), i % 10 == 9 ? AttemptOutcome.RESET : AttemptOutcome.OK, 20);
-            f.now += 300;
+            fixture.request(BalancerFixture.NON_IDEMPOTENT);
+            fixture.finish(fixture.actions.last(), i % 10 == 9 ? AttemptOutcome.RESET : AttemptOutcome.OK, 20);
+            fixture.nowMs += 300;
         }
-        int before = f.host.sent.size();
+        int before = fixture.actions.sent.size();
         for (int i = 0; i < 5; i++) {
-            f.request(BalancerFixture.NON_IDEMPOTENT);
+            fixture.request(BalancerFixture.NON_IDEMPOTENT);
         }
-        assertEquals(before + 5, f.host.sent.size(), "it takes several calls at once");
+        assertEquals(before + 5, fixture.actions.sent.size(), "the endpoint still takes several requests at once");
     }
 
-    /** Guards against a crowded tier whose endpoints are ejected one by one until none is left. */
+    /** Guards against a congested tier whose endpoints are ejected one by one until none is left. */
     @Test
-    void aFullEndpointIsPausedButNotTreatedAsSick() {
-        BalancerFixture f = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(3));
-        f.request(BalancerFixture.IDEMPOTENT);
-        String full = f.host.last().endpointId();
-        f.finish(f.host.last(), AttemptOutcome.REJECTED_QUEUE_FULL, 2);
-        assertNotEquals(full, f.host.last().endpointId());
-        f.now += 300;
-        int before = f.host.sent.size();
+    void fullEndpointIsPausedButNotEjected() {
+        BalancerFixture fixture = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(3));
+        fixture.request(BalancerFixture.IDEMPOTENT);
+        String full = fixture.actions.last().endpointId();
+        fixture.finish(fixture.actions.last(), AttemptOutcome.REJECTED_QUEUE_FULL, 2);
+        assertNotEquals(full, fixture.actions.last().endpointId());
+        fixture.nowMs += 300;
+        int before = fixture.actions.sent.size();
         for (int i = 0; i < 12; i++) {
-            f.request(BalancerFixture.IDEMPOTENT);
+            fixture.request(BalancerFixture.IDEMPOTENT);
         }
-        long again = f.host.sent.subList(before, f.host.sent.size()).stream()
+        long again = fixture.actions.sent.subList(before, fixture.actions.sent.size()).stream()
                 .filter(s -> s.endpointId().equals(full))
                 .count();
-        assertTrue(again >= 3, "only " + again + " calls went to a server that was full a while ago");
+        assertTrue(again >= 3, "only " + again + " requests went to an endpoint that was full before");
     }
 
-    /** Guards against a hung endpoint that clears its record without ever answering. */
+    /** Guards against a hung endpoint that recovers without ever sending a response. */
     @Test
-    void onlyAnswersLetAnEndpointRecover() {
-        BalancerFixture f = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(6));
-        String bad = f.failTwice(AttemptOutcome.RESET);
-        f.now += 600;
+    void endpointRecoversOnlyByResponses() {
+        BalancerFixture fixture = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(6));
+        String failing = fixture.failTwoRequests(AttemptOutcome.RESET);
+        fixture.nowMs += 600;
         for (int i = 0; i < 10; i++) {
-            f.request(BalancerFixture.IDEMPOTENT);
+            fixture.request(BalancerFixture.IDEMPOTENT);
         }
-        List<RecordingActions.Sent> trials =
-                f.host.sent.stream().filter(s -> s.endpointId().equals(bad)).toList();
-        RecordingActions.Sent trial = trials.get(trials.size() - 1);
+        List<RecordingActions.SentAttempt> probes = fixture.actions.sent.stream()
+                .filter(s -> s.endpointId().equals(failing))
+                .toList();
+        RecordingActions.SentAttempt probe = probes.get(probes.size() - 1);
         for (int i = 0; i < 8; i++) {
-            f.finish(trial, i % 2 == 0 ? AttemptOutcome.CANCELED : AttemptOutcome.NOT_EXECUTED, 1);
-            f.now += 200;
-            int before = f.host.sent.size();
+            fixture.finish(probe, i % 2 == 0 ? AttemptOutcome.CANCELED : AttemptOutcome.NOT_EXECUTED, 1);
+            fixture.nowMs += 200;
+            int before = fixture.actions.sent.size();
             for (int j = 0; j < 8; j++) {
-                f.request(BalancerFixture.IDEMPOTENT);
+                fixture.request(BalancerFixture.IDEMPOTENT);
             }
-            List<RecordingActions.Sent> again = f.host.sent.subList(before, f.host.sent.size()).stream()
-                    .filter(s -> s.endpointId().equals(bad))
-                    .toList();
-            assertTrue(again.size() <= 1, "still one call at a time, but " + again.size());
-            trial = again.isEmpty() ? trial : again.get(0);
+            List<RecordingActions.SentAttempt> again =
+                    fixture.actions.sent.subList(before, fixture.actions.sent.size()).stream()
+                            .filter(s -> s.endpointId().equals(failing))
+                            .toList();
+            assertTrue(again.size() <= 1, "one request at a time is allowed, but there are " + again.size());
+            probe = again.isEmpty() ? probe : again.get(0);
         }
     }
 
     @Test
-    void whenMostEndpointsFailNoneIsGivenUp() {
-        BalancerFixture f = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(4));
+    void noEndpointIsEjectedWhileMostFail() {
+        BalancerFixture fixture = BalancerFixture.of(1, 0, 1).list(BalancerFixture.endpoints(4));
         for (int i = 0; i < 100; i++) {
-            f.now += 10;
-            f.request(BalancerFixture.IDEMPOTENT);
-            f.finish(f.host.last(), AttemptOutcome.FAILED, 2);
+            fixture.nowMs += 10;
+            fixture.request(BalancerFixture.IDEMPOTENT);
+            fixture.finish(fixture.actions.last(), AttemptOutcome.FAILED, 2);
         }
-        int before = f.host.sent.size();
-        f.request(BalancerFixture.IDEMPOTENT);
-        assertEquals(before + 1, f.host.sent.size(), "something is still tried");
+        int before = fixture.actions.sent.size();
+        fixture.request(BalancerFixture.IDEMPOTENT);
+        assertEquals(before + 1, fixture.actions.sent.size(), "a request is still sent");
     }
 }
--- a/sidecar/src/test/java/martenlatch/policy/PolicyFileTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/PolicyFileTest.java
@@ -13,10 +13,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The files that hold the decisions: all of them are named in the deploy file, and each stays readable. */
+/** Tests that the deploy file names all files of this package, and that each of them stays short. */
 class PolicyFileTest {
 
-    /** The operators' limit on the lines of all files together no longer holds; one job a file does. */
+    /** The limit for each file, so that each file has one purpose; the files together have no limit. */
     private static final int MAX_LINES_PER_FILE = 300;
 
     private static final int MAX_COLUMNS = 120;
@@ -24,7 +24,7 @@
     private static List<Path> policyFiles() throws IOException {
         Matcher policy = Pattern.compile("(?m)^policy = \\[(.*)]$")
                 .matcher(Files.readString(Path.of("../deploy/balancer.toml")));
-        assertTrue(policy.find(), "deploy/balancer.toml names its policy files");
+        assertTrue(policy.find(), "deploy/balancer.toml should have a key policy that lists the policy files");
         List<Path> files = new ArrayList<>();
         Matcher file = Pattern.compile("\"([^\"]+)\"").matcher(policy.group(1));
         while (file.find()) {
@@ -34,20 +34,22 @@
     }
 
     @Test
-    void eachPolicyFileStaysWithinItsLimits() throws IOException {
+    void everyPolicyFileStaysWithinItsLimits() throws IOException {
         for (Path file : policyFiles()) {
             List<String> lines = Files.readAllLines(file);
-            long filled = lines.stream().filter(line -> !line.isBlank()).count();
-            assertTrue(filled > 0 && filled <= MAX_LINES_PER_FILE, file + ": " + filled + " lines that are not blank");
+            long nonBlank = lines.stream().filter(line -> !line.isBlank()).count();
+            assertTrue(
+                    nonBlank > 0 && nonBlank <= MAX_LINES_PER_FILE,
+                    file + ": " + nonBlank + " lines that are not blank");
             assertEquals(
                     List.of(),
                     lines.stream().filter(line -> line.length() > MAX_COLUMNS).toList());
         }
     }
 
-    /** No decision hides in a file that operators are not told of. */
+    /** Guards against a file of the package that the deploy file does not name. */
     @Test
-    void everyFileOfThePackageIsNamed() throws IOException {
+    void deployFileNamesEveryFileOfThePackage() throws IOException {
         Path folder = policyFiles().get(0).getParent();
         try (Stream<Path> inPackage = Files.list(folder)) {
             assertEquals(
@@ -61,7 +63,7 @@
     }
 
     @Test
-    void itsFirstLinesNameTheInterfacePackage() throws IOException {
+    void firstPolicyFileNamesTheApiPackageInItsFirstLines() throws IOException {
         List<String> first = Files.readAllLines(policyFiles().get(0)).subList(0, 5);
         assertTrue(first.stream().anyMatch(line -> line.contains("martenlatch.policy.api")));
     }
--- a/sidecar/src/test/java/martenlatch/policy/RandomEventsTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/RandomEventsTest.java
@@ -25,115 +25,127 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Random events, and a host that checks the rules from outside, without the load balancer's own state. */
+/** Tests the balancer with random events and a host that checks the rules independently of the balancer's state. */
 class RandomEventsTest {
     private static final List<AttemptOutcome> OUTCOMES = List.of(AttemptOutcome.values());
     private static final List<EndpointStatus> STATUSES = List.of(EndpointStatus.values());
 
-    /** A request as the host sees it. */
-    private static final class Seen {
-        final int kind;
+    /** A request as seen by the host. */
+    private static final class TrackedRequest {
+        final int classIndex;
         final double deadlineMs;
-        final List<String> servers = new ArrayList<>();
-        final List<Double> sentAt = new ArrayList<>();
-        final List<AttemptOutcome> ends = new ArrayList<>();
-        boolean over;
+        final List<String> endpointIds = new ArrayList<>();
+        final List<Double> sentAtMs = new ArrayList<>();
+        final List<AttemptOutcome> outcomes = new ArrayList<>();
+        boolean answered;
 
-        Seen(int kind, double deadlineMs) {
-            this.kind = kind;
+        TrackedRequest(int classIndex, double deadlineMs) {
+            this.classIndex = classIndex;
             this.deadlineMs = deadlineMs;
         }
 
-        /** The first attempt that is out or may have run; -1 if there is none. */
-        int mayHaveRun() {
-            for (int i = 0; i < ends.size(); i++) {
-                if (ends.get(i) == null || !ends.get(i).neverExecuted()) {
+        /** Returns the first attempt that is in flight or may have executed; -1 if there is none. */
+        int firstPossiblyExecuted() {
+            for (int i = 0; i < outcomes.size(); i++) {
+                if (outcomes.get(i) == null || !outcomes.get(i).neverExecuted()) {
                     return i;
                 }
             }
             return -1;
         }
 
-        int out() {
-            return (int) ends.stream().filter(e -> e == null).count();
+        int attemptsInFlight() {
+            return (int) outcomes.stream().filter(outcome -> outcome == null).count();
         }
     }
 
-    /** Checks every action as it comes. */
-    private static final class Judge implements BalancerActions {
+    /** Checks every action when the balancer requests it. */
+    private static final class RuleChecker implements BalancerActions {
         final BalancerSettings settings;
-        final Map<String, Seen> seen = new HashMap<>();
-        final Map<String, Endpoint> listed = new HashMap<>();
-        final List<Double> timers = new ArrayList<>();
+        final Map<String, TrackedRequest> trackedRequests = new HashMap<>();
+        final Map<String, Endpoint> listedEndpoints = new HashMap<>();
+        final List<Double> timersDueMs = new ArrayList<>();
         final List<Long> timerNames = new ArrayList<>();
-        double now;
-        int out;
+        double nowMs;
+        int attemptsInFlight;
 
-        Judge(BalancerSettings settings) {
+        RuleChecker(BalancerSettings settings) {
             this.settings = settings;
         }
 
         @Override
-        public void forward(String request, String server, double timeoutMs) {
-            Seen call = seen.get(request);
-            RequestClass kind = settings.classes().get(call.kind);
-            assertFalse(call.over, "sent after its end: " + request);
-            assertEquals(EndpointStatus.READY, listed.get(server).status(), "sent to a server that is not ready");
-            assertTrue(timeoutMs <= call.deadlineMs - now + 1e-6, "outlasts the client");
-            assertTrue(call.ends.size() < settings.limits().maxAttempts(), "too many attempts");
-            assertTrue(settings.limits().hedging() || call.out() == 0, "two attempts at once");
-            int first = call.mayHaveRun();
+        public void forward(String requestId, String endpointId, double timeoutMs) {
+            TrackedRequest request = trackedRequests.get(requestId);
+            RequestClass requestClass = settings.classes().get(request.classIndex);
+            assertFalse(request.answered, "sent after its final answer: " + requestId);
+            assertEquals(
+                    EndpointStatus.READY,
+                    listedEndpoints.get(endpointId).status(),
+                    "sent to an endpoint that is not ready");
+            assertTrue(timeoutMs <= request.deadlineMs - nowMs + 1e-6, "the time-out is after the client's deadline");
+            assertTrue(request.outcomes.size() < settings.limits().maxAttempts(), "too many attempts");
+            assertTrue(
+                    settings.limits().hedging() || request.attemptsInFlight() == 0,
+                    "two attempts in flight without hedging");
+            int first = request.firstPossiblyExecuted();
             if (first >= 0) {
-                assertTrue(kind.idempotency() != Idempotency.NON_IDEMPOTENT, "a call that may have run was sent again");
-                if (kind.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
+                assertTrue(
+                        requestClass.idempotency() != Idempotency.NON_IDEMPOTENT,
+                        "a non-idempotent request that may have executed was retried");
+                if (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
                     assertEquals(
-                            listed.get(call.servers.get(first)).cell(),
-                            listed.get(server).cell(),
-                            "repeat outside the group");
-                    assertTrue(now - call.sentAt.get(first) < kind.deduplicationWindowMs(), "repeat after the window");
+                            listedEndpoints.get(request.endpointIds.get(first)).cell(),
+                            listedEndpoints.get(endpointId).cell(),
+                            "retry outside the deduplication scope");
+                    assertTrue(
+                            nowMs - request.sentAtMs.get(first) < requestClass.deduplicationWindowMs(),
+                            "retry after the deduplication window");
                 }
             }
-            call.servers.add(server);
-            call.sentAt.add(now);
-            call.ends.add(null);
-            out++;
-            assertTrue(out <= 256, "more calls out than the pool may hold");
+            request.endpointIds.add(endpointId);
+            request.sentAtMs.add(nowMs);
+            request.outcomes.add(null);
+            attemptsInFlight++;
+            assertTrue(attemptsInFlight <= 256, "more attempts in flight than the pool may hold");
         }
 
         @Override
-        public void reject(String request, double coolDownMs) {
-            Seen call = seen.get(request);
+        public void reject(String requestId, double retryAfterMs) {
+            TrackedRequest request = trackedRequests.get(requestId);
             assertTrue(
-                    settings.classes().get(call.kind).idempotency() == Idempotency.IDEMPOTENT || call.mayHaveRun() < 0,
-                    "refused though it may have run");
-            finish(call);
+                    settings.classes().get(request.classIndex).idempotency() == Idempotency.IDEMPOTENT
+                            || request.firstPossiblyExecuted() < 0,
+                    "rejected though it may have executed");
+            markAnswered(request);
         }
 
         @Override
-        public void fail(String request) {
-            finish(seen.get(request));
+        public void fail(String requestId) {
+            markAnswered(trackedRequests.get(requestId));
         }
 
-        private void finish(Seen call) {
-            assertFalse(call.over, "two final answers");
-            assertTrue(now <= call.deadlineMs, "answered too late");
-            call.over = true;
+        private void markAnswered(TrackedRequest request) {
+            assertFalse(request.answered, "two final answers");
+            assertTrue(nowMs <= request.deadlineMs, "answered after the deadline");
+            request.answered = true;
         }
 
         @Override
-        public void cancelAttempt(String request, int attempt) {
-            assertTrue(attempt < seen.get(request).ends.size(), "cancelled an attempt never made");
+        public void cancelAttempt(String requestId, int attempt) {
+            assertTrue(
+                    attempt < trackedRequests.get(requestId).outcomes.size(),
+                    "cancelled an attempt that was never sent");
         }
 
         @Override
-        public void scheduleTimer(double inMs, long name) {
-            timers.add(now + inMs);
+        public void scheduleTimer(double delayMs, long name) {
+            timersDueMs.add(nowMs + delayMs);
             timerNames.add(name);
         }
 
         @Override
-        public void closeIdleConnections(String server) {
-            assertTrue(listed.containsKey(server));
+        public void closeIdleConnections(String endpointId) {
+            assertTrue(listedEndpoints.containsKey(endpointId));
         }
 
         @Override
@@ -155,116 +167,120 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
-    void theRulesHoldUnderRandomEvents(int seed) {
+    void rulesHoldUnderRandomEvents(int seed) {
         Random random = new Random(seed);
         BalancerSettings settings = settings(random);
-        Judge judge = new Judge(settings);
-        judge.now = 10_000;
-        LoadBalancer balancer = new LoadBalancer(settings, seed, judge);
-        List<String> open = new ArrayList<>();
-        int requests = 0;
+        RuleChecker checker = new RuleChecker(settings);
+        checker.nowMs = 10_000;
+        LoadBalancer balancer = new LoadBalancer(settings, seed, checker);
+        List<String> openIds = new ArrayList<>();
+        int requestCount = 0;
         for (int step = 0; step < 4000; step++) {
-            judge.now += random.nextInt(12);
-            fireTimers(judge, balancer);
-            endOverdue(judge, balancer, open);
-            int what = random.nextInt(20);
-            if (what == 0 || step == 0) {
-                changeList(judge, balancer, random, step == 0);
-            } else if (what < 9 && step < 3500) {
-                String id = "q" + requests++;
-                int kind = random.nextInt(settings.classes().size());
-                double left = 1 + random.nextInt(3000);
-                judge.seen.put(id, new Seen(kind, judge.now + left));
-                open.add(id);
+            checker.nowMs += random.nextInt(12);
+            fireTimers(checker, balancer);
+            timeOutOverdueAttempts(checker, balancer, openIds);
+            int choice = random.nextInt(20);
+            if (choice == 0 || step == 0) {
+                changeList(checker, balancer, random, step == 0);
+            } else if (choice < 9 && step < 3500) {
+                String id = "q" + requestCount++;
+                int classIndex = random.nextInt(settings.classes().size());
+                double remainingMs = 1 + random.nextInt(3000);
+                checker.trackedRequests.put(id, new TrackedRequest(classIndex, checker.nowMs + remainingMs));
+                openIds.add(id);
                 balancer.onRequest(
-                        judge.now,
+                        checker.nowMs,
                         new Request(
                                 id,
-                                kind,
+                                classIndex,
                                 settings.tenants().isEmpty() ? 0 : random.nextInt(2),
-                                judge.now + left,
+                                checker.nowMs + remainingMs,
                                 false));
-            } else if (what < 10 && !open.isEmpty()) {
-                String id = open.get(random.nextInt(open.size()));
-                judge.seen.get(id).over = true;
-                balancer.onClientDisconnected(judge.now, id);
-            } else if (!open.isEmpty()) {
-                String id = open.get(random.nextInt(open.size()));
-                end(judge, balancer, id, OUTCOMES.get(random.nextInt(8)));
+            } else if (choice < 10 && !openIds.isEmpty()) {
+                String id = openIds.get(random.nextInt(openIds.size()));
+                checker.trackedRequests.get(id).answered = true;
+                balancer.onClientDisconnected(checker.nowMs, id);
+            } else if (!openIds.isEmpty()) {
+                String id = openIds.get(random.nextInt(openIds.size()));
+                finishAttempt(checker, balancer, id, OUTCOMES.get(random.nextInt(8)));
             }
-            open.removeIf(id -> judge.seen.get(id).over && judge.seen.get(id).out() == 0);
+            openIds.removeIf(id -> checker.trackedRequests.get(id).answered
+                    && checker.trackedRequests.get(id).attemptsInFlight() == 0);
         }
         for (int i = 0; i < 400; i++) {
-            judge.now += 50;
-            fireTimers(judge, balancer);
-            endOverdue(judge, balancer, open);
-            open.removeIf(id -> judge.seen.get(id).over && judge.seen.get(id).out() == 0);
+            checker.nowMs += 50;
+            fireTimers(checker, balancer);
+            timeOutOverdueAttempts(checker, balancer, openIds);
+            openIds.removeIf(id -> checker.trackedRequests.get(id).answered
+                    && checker.trackedRequests.get(id).attemptsInFlight() == 0);
         }
-        assertTrue(judge.seen.values().stream().allMatch(c -> c.over), "a request was lost");
-        assertTrue(open.isEmpty());
-        assertEquals(0, judge.out);
-        assertEquals(0, balancer.pendingRequests(), "state is left over");
+        assertTrue(
+                checker.trackedRequests.values().stream().allMatch(request -> request.answered),
+                "a request got no final answer");
+        assertTrue(openIds.isEmpty());
+        assertEquals(0, checker.attemptsInFlight);
+        assertEquals(0, balancer.pendingRequests(), "the balancer should have no pending requests");
     }
 
-    private static void fireTimers(Judge judge, LoadBalancer balancer) {
-        for (int i = 0; i < judge.timers.size(); i++) {
-            if (judge.timers.get(i) <= judge.now) {
-                judge.timers.remove(i);
-                balancer.onTimer(judge.now, judge.timerNames.remove(i));
+    private static void fireTimers(RuleChecker checker, LoadBalancer balancer) {
+        for (int i = 0; i < checker.timersDueMs.size(); i++) {
+            if (checker.timersDueMs.get(i) <= checker.nowMs) {
+                checker.timersDueMs.remove(i);
+                balancer.onTimer(checker.nowMs, checker.timerNames.remove(i));
                 i = -1;
             }
         }
     }
 
-    /** The host cuts attempts off at the client's deadline, within the slack that the judge allows. */
-    private static void endOverdue(Judge judge, LoadBalancer balancer, List<String> open) {
-        for (String id : List.copyOf(open)) {
-            Seen call = judge.seen.get(id);
-            if (call.deadlineMs <= judge.now + 15) {
-                double now = judge.now;
-                judge.now = Math.min(now, call.deadlineMs);
-                while (call.out() > 0) {
-                    end(judge, balancer, id, AttemptOutcome.TIMED_OUT);
+    /** Times out the attempts of requests whose deadline is at most 15 ms away, at the deadline at the latest. */
+    private static void timeOutOverdueAttempts(RuleChecker checker, LoadBalancer balancer, List<String> openIds) {
+        for (String id : List.copyOf(openIds)) {
+            TrackedRequest request = checker.trackedRequests.get(id);
+            if (request.deadlineMs <= checker.nowMs + 15) {
+                double nowMs = checker.nowMs;
+                checker.nowMs = Math.min(nowMs, request.deadlineMs);
+                while (request.attemptsInFlight() > 0) {
+                    finishAttempt(checker, balancer, id, AttemptOutcome.TIMED_OUT);
                 }
-                judge.now = now;
+                checker.nowMs = nowMs;
             }
         }
     }
 
-    private static void end(Judge judge, LoadBalancer balancer, String id, AttemptOutcome outcome) {
-        Seen call = judge.seen.get(id);
-        int attempt = call.ends.indexOf(null);
+    private static void finishAttempt(RuleChecker checker, LoadBalancer balancer, String id, AttemptOutcome outcome) {
+        TrackedRequest request = checker.trackedRequests.get(id);
+        int attempt = request.outcomes.indexOf(null);
         if (attempt < 0) {
             return;
         }
-        call.ends.set(attempt, outcome);
-        judge.out--;
-        boolean served = outcome == AttemptOutcome.OK && !call.over;
-        boolean concluded = call.over || served;
-        call.over |= served;
+        request.outcomes.set(attempt, outcome);
+        checker.attemptsInFlight--;
+        boolean served = outcome == AttemptOutcome.OK && !request.answered;
+        boolean concluded = request.answered || served;
+        request.answered |= served;
         balancer.onAttemptFinished(
-                judge.now,
+                checker.nowMs,
                 new AttemptResult(
                         id,
                         attempt,
-                        call.servers.get(attempt),
+                        request.endpointIds.get(attempt),
                         outcome,
-                        judge.now - call.sentAt.get(attempt),
+                        checker.nowMs - request.sentAtMs.get(attempt),
                         concluded,
                         LoadReport.NONE));
     }
 
-    private static void changeList(Judge judge, LoadBalancer balancer, Random random, boolean whole) {
+    private static void changeList(RuleChecker checker, LoadBalancer balancer, Random random, boolean full) {
         List<Endpoint> changes = new ArrayList<>();
-        for (int i = 0; i < (whole ? 12 : 2); i++) {
-            String id = "s" + (whole ? i : random.nextInt(15));
-            EndpointStatus state = whole ? EndpointStatus.READY : STATUSES.get(random.nextInt(3));
-            double started = random.nextInt(4) == 0 ? judge.now - random.nextInt(9000) : 0;
+        for (int i = 0; i < (full ? 12 : 2); i++) {
+            String id = "s" + (full ? i : random.nextInt(15));
+            EndpointStatus status = full ? EndpointStatus.READY : STATUSES.get(random.nextInt(3));
+            double startedMs = random.nextInt(4) == 0 ? checker.nowMs - random.nextInt(9000) : 0;
             int number = Integer.parseInt(id.substring(1));
-            Endpoint server = new Endpoint(id, number % 2, 0, number % 4, started, state, 1);
-            changes.add(server);
-            judge.listed.put(id, server);
+            Endpoint endpoint = new Endpoint(id, number % 2, 0, number % 4, startedMs, status, 1);
+            changes.add(endpoint);
+            checker.listedEndpoints.put(id, endpoint);
         }
-        balancer.onEndpointList(judge.now, whole ? EndpointListKind.CACHED : EndpointListKind.DELTA, changes);
+        balancer.onEndpointList(checker.nowMs, full ? EndpointListKind.CACHED : EndpointListKind.DELTA, changes);
     }
 }
--- a/sidecar/src/test/java/martenlatch/policy/RecordedDecisionsTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/RecordedDecisionsTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Replays seeded sequences of events and compares every action with a recording of an earlier version: a change that
- * is to keep the decisions as they are keeps them to the last digit. With the system property
- * {@code decisions.record} set to a file the actions are written there instead of compared.
+ * Replays seeded sequences of events and compares every action with a recording of an earlier version, so that a
+ * refactoring cannot change decisions unnoticed. If the system property {@code decisions.record} names a file, the
+ * actions are written to it and not compared.
  */
 class RecordedDecisionsTest {
 
@@ -39,22 +39,22 @@
     }
 
     @Test
-    void everyActionIsAsRecorded() throws IOException {
+    void everyActionEqualsTheRecording() throws IOException {
         List<String> replayed = replay();
         String target = System.getProperty("decisions.record");
         if (target != null) {
-            write(Path.of(target), replayed);
+            writeRecording(Path.of(target), replayed);
             return;
         }
-        List<String> recorded = read();
+        List<String> recorded = readRecording();
         for (int i = 0; i < Math.min(recorded.size(), replayed.size()); i++) {
             assertEquals(recorded.get(i), replayed.get(i), "line " + (i + 1));
         }
         assertEquals(recorded.size(), replayed.size());
-        assertTrue(recorded.size() > 10_000, "actions recorded: " + recorded.size());
+        assertTrue(recorded.size() > 10_000, "number of recorded actions: " + recorded.size());
     }
 
-    private static void write(Path target, List<String> lines) throws IOException {
+    private static void writeRecording(Path target, List<String> lines) throws IOException {
         try (Writer out =
                 new OutputStreamWriter(new GZIPOutputStream(Files.newOutputStream(target)), StandardCharsets.UTF_8)) {
             for (String line : lines) {
@@ -63,7 +63,7 @@
         }
     }
 
-    private static List<String> read() throws IOException {
+    private static List<String> readRecording() throws IOException {
         try (InputStream in = RecordedDecisionsTest.class.getResourceAsStream(RECORDING);
                 BufferedReader lines =
                         new BufferedReader(new InputStreamReader(new GZIPInputStream(in), StandardCharsets.UTF_8))) {
--- a/sidecar/src/test/java/martenlatch/policy/RecordingActions.java
+++ b/sidecar/src/test/java/martenlatch/policy/RecordingActions.java
@@ -7,72 +7,72 @@
 import martenlatch.policy.api.BalancerActions;
 import martenlatch.policy.api.OverloadReport;
 
-/** A host that carries nothing out and remembers what it was told. */
+/** A host that records all actions and carries out none. */
 final class RecordingActions implements BalancerActions {
 
-    /** One attempt that was sent. */
-    record Sent(String requestId, int attempt, String endpointId, double timeoutMs) {}
+    /** An attempt that was forwarded to an endpoint. */
+    record SentAttempt(String requestId, int attempt, String endpointId, double timeoutMs) {}
 
-    final List<Sent> sent = new ArrayList<>();
-    final List<String> refused = new ArrayList<>();
+    final List<SentAttempt> sent = new ArrayList<>();
+    final List<String> rejected = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
-    final List<String> disconnected = new ArrayList<>();
-    final List<String> log = new ArrayList<>();
+    final List<String> closedConnections = new ArrayList<>();
+    final List<String> reports = new ArrayList<>();
     final List<String> all = new ArrayList<>();
     final List<Double> timers = new ArrayList<>();
-    int subscriptions;
+    int polls;
     private final Map<String, Integer> attempts = new HashMap<>();
 
-    Sent last() {
+    SentAttempt last() {
         return sent.get(sent.size() - 1);
     }
 
     @Override
-    public void forward(String request, String server, double timeoutMs) {
-        int attempt = attempts.merge(request, 1, Integer::sum) - 1;
-        sent.add(new Sent(request, attempt, server, timeoutMs));
-        all.add("send " + request + " " + server + " " + timeoutMs);
+    public void forward(String requestId, String endpointId, double timeoutMs) {
+        int attempt = attempts.merge(requestId, 1, Integer::sum) - 1;
+        sent.add(new SentAttempt(requestId, attempt, endpointId, timeoutMs));
+        all.add("forward " + requestId + " " + endpointId + " " + timeoutMs);
     }
 
     @Override
-    public void reject(String request, double coolDownMs) {
-        refused.add(request);
-        all.add("refuse " + request);
+    public void reject(String requestId, double retryAfterMs) {
+        rejected.add(requestId);
+        all.add("reject " + requestId);
     }
 
     @Override
-    public void fail(String request) {
-        failed.add(request);
-        all.add("fail " + request);
+    public void fail(String requestId) {
+        failed.add(requestId);
+        all.add("fail " + requestId);
     }
 
     @Override
-    public void cancelAttempt(String request, int attempt) {
-        cancelled.add(request + "#" + attempt);
-        all.add("cancel " + request + " " + attempt);
+    public void cancelAttempt(String requestId, int attempt) {
+        cancelled.add(requestId + "#" + attempt);
+        all.add("cancel " + requestId + " " + attempt);
     }
 
     @Override
-    public void scheduleTimer(double inMs, long name) {
-        timers.add(inMs);
+    public void scheduleTimer(double delayMs, long name) {
+        timers.add(delayMs);
         all.add("timer " + name);
     }
 
     @Override
-    public void closeIdleConnections(String server) {
-        disconnected.add(server);
-        all.add("disconnect " + server);
+    public void closeIdleConnections(String endpointId) {
+        closedConnections.add(endpointId);
+        all.add("close " + endpointId);
     }
 
     @Override
     public void pollEndpointList() {
-        subscriptions++;
-        all.add("subscribe");
+        polls++;
+        all.add("poll");
     }
 
     @Override
     public void report(OverloadReport report) {
-        log.add(report.toString());
+        reports.add(report.toString());
     }
 }
--- a/sidecar/src/test/java/martenlatch/simulator/SimulatorAdapterTest.java
+++ b/sidecar/src/test/java/martenlatch/simulator/SimulatorAdapterTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The adapter on literal lines of the wire. */
+/** Tests the adapter on literal lines of the simulator's wire format. */
 class SimulatorAdapterTest {
 
     private static final String PARAMS = """
@@ -65,13 +65,13 @@
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() throws IOException {
+    void emptyBatchGetsAnEmptyReply() throws IOException {
         assertEquals(0, run("{\"wall-ms\":8412.25,\"batch\":1,\"parts\":[]}\n"));
         assertEquals(List.of("{\"batch\":1,\"parts\":[]}"), replies());
     }
 
     @Test
-    void aRequestIsHandedToAServer() throws IOException {
+    void requestIsForwardedToAnEndpoint() throws IOException {
         assertEquals(0, run(batch(SPAWN, LIST), batch(QUERY)));
         assertEquals(
                 "{\"batch\":1,\"parts\":[{\"i\":\"sidecar/0\",\"out\":[{\"kind\":\"HandOff\","
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void anOutcomeLeadsToARefusal() throws IOException {
+    void resetOfANonIdempotentRequestIsAnsweredWithAnError() throws IOException {
         assertEquals(
                 0,
                 run(
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void aRestartInOneBatchForgetsTheRequestsBefore() throws IOException {
+    void restartWithinABatchDropsPendingRequests() throws IOException {
         assertEquals(
                 0,
                 run(
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void unknownKindsAndFieldsArePassedOverAndAKindIsMentionedOnce() throws IOException {
+    void unknownKindsAndFieldsAreSkippedAndAKindIsReportedOnce() throws IOException {
         assertEquals(
                 0,
                 run(
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void messagesAndProbeResultsNotAskedForAreHarmless() throws IOException {
+    void unsolicitedEventsCauseNoActions() throws IOException {
         assertEquals(
                 0,
                 run(
@@ -152,16 +152,16 @@
                 "{\"kind\":\"Query\",\"msg-id\":\"q2\",\"drop-dead-ms\":9000,\"tenant\":4} | tenant 4",
                 "7 | an event should begin with",
             })
-    void badEventsStopTheAdapterWithOnePlainLine(String event, String expected) throws IOException {
+    void invalidEventStopsTheAdapterWithOneErrorLine(String event, String expected) throws IOException {
         assertEquals(1, run(batch(SPAWN, LIST), batch(QUERY, event)));
         String line = errors.toString(StandardCharsets.UTF_8);
         assertEquals(1, line.lines().count(), line);
         assertTrue(line.contains("batch 1") && line.contains("sidecar/0") && line.contains(expected), line);
-        assertEquals(1, replies().size(), "nothing of the bad batch is acted on");
+        assertEquals(1, replies().size(), "the malformed batch should get no reply");
     }
 
     @Test
-    void anInstanceNeverStartedIsNamed() throws IOException {
+    void unknownInstanceIsNamed() throws IOException {
         assertEquals(1, run(batch(QUERY)));
         assertTrue(errors.toString(StandardCharsets.UTF_8)
                 .contains("batch 0, instance sidecar/0: an event for an instance that was never started"));
@@ -176,7 +176,7 @@
                 "{\"wall-ms\":1,\"batch\":3}",
                 "[1]"
             })
-    void brokenInputStopsTheAdapter(String text) throws IOException {
+    void malformedInputStopsTheAdapter(String text) throws IOException {
         assertEquals(1, run(text));
         assertEquals(
                 1, errors.toString(StandardCharsets.UTF_8).lines().count(), errors.toString(StandardCharsets.UTF_8));
@@ -193,19 +193,19 @@
                 "\"effect\":\"once\" | \"effect\":\"twice\" | classes[].effect is unknown: twice",
                 "\"cold-share\":0.3 | \"cold-share\":0 | rules.coldShare must be above 0 but is 0",
             })
-    void impossibleSettingsAreRefusedByNameAndValue(String from, String to, String expected) throws IOException {
+    void invalidSettingIsReportedByNameAndValue(String from, String to, String expected) throws IOException {
         assertEquals(1, run(batch(SPAWN.replace(from, to), LIST)));
         assertTrue(errors.toString(StandardCharsets.UTF_8).contains(expected), errors.toString(StandardCharsets.UTF_8));
     }
 
     @Test
-    void missingSettingsAreRefused() throws IOException {
+    void missingSettingsAreReported() throws IOException {
         assertEquals(1, run(batch("{\"kind\":\"Spawn\",\"init-seed\":1,\"params\":{}}")));
         assertTrue(errors.toString(StandardCharsets.UTF_8).contains("setting "));
     }
 
     @Test
-    void aWrongCommandLineGetsTheUsage() throws IOException {
+    void invalidCommandLinePrintsTheUsage() throws IOException {
         for (String[] args : new String[][] {{}, {"other"}, {"benchlink", "more"}}) {
             errors.reset();
             assertEquals(
