--- a/sidecar/src/main/java/martenlatch/policy/BalancerState.java
+++ b/sidecar/src/main/java/martenlatch/policy/BalancerState.java
@@ -31,7 +31,7 @@
     }
 
     /** Returns the share of its capacity that an endpoint is assumed to have; it grows linearly to 1 in slow start. */
-    double warmCapacity(double nowMs, EndpointState endpoint) {
+    double slowStartCapacity(double nowMs, EndpointState endpoint) {
         EndpointRules rules = settings.rules();
         double ageMs = nowMs - endpoint.effective.startedMs();
         if (endpoint.effective.startedMs() <= 0 || rules.slowStartMs() <= 0 || ageMs >= rules.slowStartMs()) {
--- a/sidecar/src/main/java/martenlatch/policy/ConcurrencyLimiter.java
+++ b/sidecar/src/main/java/martenlatch/policy/ConcurrencyLimiter.java
@@ -30,7 +30,7 @@
     double congestion;
 
     private double nextDecreaseMs;
-    private double fastGrowthLimit;
+    private double fastGrowthLimit; // limit below which growth may be fast
 
     ConcurrencyLimiter(BalancerState state, LocalityRouting locality) {
         this.state = state;
@@ -108,6 +108,7 @@
                 && !state.suspectsCommonCause();
     }
 
+    /** Lowers the limit, at most once per typical latency. */
     private void decrease(double nowMs, PendingRequest pending) {
         if (nowMs >= nextDecreaseMs) {
             limit = Math.max(
@@ -117,6 +118,7 @@
         }
     }
 
+    /** Raises the limit by a growth step for each response while growth is fast, else for each round of responses. */
     private void increase() {
         boolean fast = limit < fastGrowthLimit && congestion < targetCongestion() / 2;
         limit = Math.min(SlotPool.MAX_SLOTS, limit + Math.min(limit, (fast ? 1 : 1 / limit) * growthStep()));
--- a/sidecar/src/main/java/martenlatch/policy/LoadBalancer.java
+++ b/sidecar/src/main/java/martenlatch/policy/LoadBalancer.java
@@ -132,6 +132,7 @@
         removeIfComplete(pending);
     }
 
+    /** Removes a request that has its final answer and no attempt in flight. */
     private void removeIfComplete(PendingRequest pending) {
         if (pending.answered && pending.inFlight == 0) {
             pendingRequests.remove(pending.request.id());
@@ -174,13 +175,14 @@
         };
     }
 
+    /** Updates the latency estimates of the request's class and the endpoint's slowness with a response or time-out. */
     private void recordLatency(double nowMs, PendingRequest pending, EndpointState endpoint, AttemptResult result) {
         boolean ok = result.outcome() == AttemptOutcome.OK;
         if (!ok && result.outcome() != AttemptOutcome.TIMED_OUT) {
             return;
         }
         pending.latency.recordTail(result.durationMs(), pending.requestClass.deadlineMs());
-        if (state.warmCapacity(nowMs, endpoint) >= 1) {
+        if (state.slowStartCapacity(nowMs, endpoint) >= 1) {
             double slownessSample = Math.min(result.durationMs() / pending.latency.typicalMs(), MAX_SLOWNESS_SAMPLE);
             endpoint.slowness += EndpointState.SLOWNESS_GAIN * (slownessSample - endpoint.slowness);
             pool.updateCost(nowMs, endpoint, false);
@@ -216,6 +218,7 @@
         removeIfComplete(pending);
     }
 
+    /** Reports overload, updates the locality preference and refills the pool, once per refill interval. */
     private void refillIfDue(double nowMs) {
         if (nowMs >= nextRefillMs) {
             nextRefillMs = nowMs + state.refillIntervalMs();
--- a/sidecar/src/main/java/martenlatch/policy/SlotPool.java
+++ b/sidecar/src/main/java/martenlatch/policy/SlotPool.java
@@ -114,7 +114,7 @@
             sparesOf(endpoint).remove(endpoint.spareSlot);
             endpoint.spareSlot = null;
         }
-        boolean onlyOneSlot = endpoint.onProbation || state.warmCapacity(nowMs, endpoint) < 1;
+        boolean onlyOneSlot = endpoint.onProbation || state.slowStartCapacity(nowMs, endpoint) < 1;
         if (endpoint.removed
                 || !endpoint.isReady()
                 || nowMs < endpoint.pausedUntilMs
@@ -139,7 +139,7 @@
 
     /** Has the endpoint's cost updated at each refill while it is in slow start. */
     void trackSlowStart(double nowMs, EndpointState endpoint) {
-        if (state.warmCapacity(nowMs, endpoint) < 1 && !inSlowStart.contains(endpoint)) {
+        if (state.slowStartCapacity(nowMs, endpoint) < 1 && !inSlowStart.contains(endpoint)) {
             inSlowStart.add(endpoint);
         }
     }
@@ -161,7 +161,7 @@
         }
         for (int i = inSlowStart.size() - 1; i >= 0; i--) {
             EndpointState endpoint = inSlowStart.get(i);
-            if (state.warmCapacity(nowMs, endpoint) >= 1) {
+            if (state.slowStartCapacity(nowMs, endpoint) >= 1) {
                 inSlowStart.remove(i);
             }
             updateCost(nowMs, endpoint, false);
--- a/sidecar/src/main/java/martenlatch/policy/SlotSelector.java
+++ b/sidecar/src/main/java/martenlatch/policy/SlotSelector.java
@@ -91,7 +91,7 @@
      * balancers, so that a bound on the rank bounds the load on the endpoint.
      */
     private boolean respectsSlowStart(double nowMs, Slot slot) {
-        double capacity = state.warmCapacity(nowMs, slot.endpoint);
+        double capacity = state.slowStartCapacity(nowMs, slot.endpoint);
         if (capacity >= 1) {
             return true;
         }
