--- a/sidecar/src/test/java/martenlatch/policy/EmbeddingExampleTest.java
+++ b/sidecar/src/test/java/martenlatch/policy/EmbeddingExampleTest.java
@@ -19,11 +19,11 @@
 import martenlatch.policy.api.RequestClass;
 import org.junit.jupiter.api.Test;
 
-/** The README's example, which must compile and run. */
+/** Tests that the example in the README compiles and runs. */
 class EmbeddingExampleTest {
 
     @Test
-    void aSidecarCreatesFeedsAndObeysABalancer() {
+    void readmeExampleCompletesOneRequest() {
         RecordingActions recorder = new RecordingActions();
         BalancerActions sidecar = recorder;
         // README: begin
@@ -56,6 +56,6 @@
                 now + 12, new AttemptResult("r1", 0, "10.0.0.1:80", AttemptOutcome.OK, 12, true, LoadReport.NONE));
         // README: end
         assertEquals(1, recorder.sent.size());
-        assertEquals(0, balancer.pendingCalls());
+        assertEquals(0, balancer.pendingRequests());
     }
 }
