--- a/fleet/src/main/java/martenlatch/fleet/judge/Figures.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/Figures.java
@@ -39,7 +39,7 @@
     public static Figures of(Record run) {
         int[] counts = new int[8];
         List<double[]> ends = new ArrayList<>();
-        for (Record.Asked one : run.requests()) {
+        for (Record.RequestRecord one : run.requests()) {
             if (Double.isNaN(one.askedAt())) {
                 continue;
             }
--- a/fleet/src/main/java/martenlatch/fleet/judge/LostJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/LostJudge.java
@@ -18,7 +18,7 @@
     @Override
     public List<Finding> judge(Record run) {
         List<Finding> found = new ArrayList<>();
-        for (Record.Asked one : run.requests()) {
+        for (Record.RequestRecord one : run.requests()) {
             if (Double.isNaN(one.askedAt()) || isAnswered(one.end()) || neverTaken(one.end()) || isCrossed(run, one)) {
                 continue;
             }
@@ -55,7 +55,7 @@
      * A sidecar may close a connection between two requests; one that crosses this and was not read is sent
      * again by its client.
      */
-    static boolean isCrossed(Record run, Record.Asked one) {
+    static boolean isCrossed(Record run, Record.RequestRecord one) {
         return one.sent().isEmpty()
                 && (one.end().equals("FAILED closed") || one.end().equals("FAILED reset"))
                 && run.wasLeaving(one.sidecar(), one.askedAt(), one.endedAt());
--- a/fleet/src/main/java/martenlatch/fleet/judge/Record.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/Record.java
@@ -14,7 +14,7 @@
 public final class Record {
 
     /** One request with its id, from all sides. */
-    public static final class Asked {
+    public static final class RequestRecord {
         private final String id;
         private String sidecar = "";
         private String kind = "";
@@ -26,7 +26,7 @@
         private final List<Event> ran = new ArrayList<>();
         private final List<Event> turnedAway = new ArrayList<>();
 
-        Asked(String id) {
+        RequestRecord(String id) {
             this.id = id;
         }
 
@@ -94,7 +94,7 @@
     private final Scenario scenario;
     private final List<Event> events;
     private final long missing;
-    private final Map<String, Asked> requests = new LinkedHashMap<>();
+    private final Map<String, RequestRecord> requests = new LinkedHashMap<>();
     /** When each sidecar could not be expected to answer: paused, crawling, dead, or starting. */
     private final Map<String, List<Span>> away = new LinkedHashMap<>();
 
@@ -115,7 +115,7 @@
         for (Event event : events) {
             switch (event.what()) {
                 case ASKED -> {
-                    Asked of = of(event.id());
+                    RequestRecord of = of(event.id());
                     String[] words = event.detail().split(" ");
                     of.sidecar = event.whom();
                     of.kind = words[0];
@@ -152,8 +152,8 @@
                 away.computeIfAbsent(who, k -> new ArrayList<>()).add(new Span(since, Double.POSITIVE_INFINITY)));
     }
 
-    private Asked of(String id) {
-        return requests.computeIfAbsent(id, Asked::new);
+    private RequestRecord of(String id) {
+        return requests.computeIfAbsent(id, RequestRecord::new);
     }
 
     public Scenario scenario() {
@@ -171,7 +171,7 @@
     }
 
     /** All requests that any side has seen, by the time of the first sight. */
-    public Iterable<Asked> requests() {
+    public Iterable<RequestRecord> requests() {
         return requests.values();
     }
 
--- a/fleet/src/main/java/martenlatch/fleet/judge/RigJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/RigJudge.java
@@ -39,7 +39,7 @@
                         event.who() + " was " + event.detail() + " ms late: the machine had no time for the rig"));
             }
         }
-        for (Record.Asked one : run.requests()) {
+        for (Record.RequestRecord one : run.requests()) {
             if (Double.isNaN(one.askedAt())) {
                 found.add(new Finding(
                         name(),
--- a/fleet/src/main/java/martenlatch/fleet/judge/TwiceJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/TwiceJudge.java
@@ -17,7 +17,7 @@
     @Override
     public List<Finding> judge(Record run) {
         List<Finding> found = new ArrayList<>();
-        for (Record.Asked one : run.requests()) {
+        for (Record.RequestRecord one : run.requests()) {
             if (one.isUnsafe() && one.ran().size() > 1) {
                 found.add(new Finding(
                         name(),
--- a/fleet/src/main/java/martenlatch/fleet/report/Timeline.java
+++ b/fleet/src/main/java/martenlatch/fleet/report/Timeline.java
@@ -24,7 +24,7 @@
         int steps = 1 + (int) (run.scenario().seconds() * 1000 / STEP_MS);
         Map<String, int[]> counts = new LinkedHashMap<>();
         List.of("asked", "served", "refused", "failed", "attempts", "open").forEach(n -> counts.put(n, new int[steps]));
-        for (Record.Asked one : run.requests()) {
+        for (Record.RequestRecord one : run.requests()) {
             if (Double.isNaN(one.askedAt())) {
                 continue;
             }
