--- a/fleet/src/main/java/martenlatch/fleet/cli/Main.java
+++ b/fleet/src/main/java/martenlatch/fleet/cli/Main.java
@@ -19,7 +19,7 @@
 import martenlatch.fleet.explore.Shrink;
 import martenlatch.fleet.history.History;
 import martenlatch.fleet.judge.Finding;
-import martenlatch.fleet.judge.Record;
+import martenlatch.fleet.judge.RunRecord;
 import martenlatch.fleet.judge.Verdict;
 import martenlatch.fleet.launch.DeployFile;
 import martenlatch.fleet.report.HtmlReport;
@@ -179,7 +179,7 @@
         private boolean quiet;
 
         int tell(Scenario scenario, History history) throws IOException {
-            Record record = new Record(scenario, history.events(), history.missing());
+            RunRecord record = new RunRecord(scenario, history.events(), history.missing());
             Verdict verdict = Verdict.of(record);
             TextReport.print(record, verdict, System.out);
             if (html != null) {
@@ -199,7 +199,7 @@
     static Verdict simulated(Scenario scenario) {
         SimRun run = new SimRun(scenario);
         History history = run.play(second -> {});
-        return Verdict.of(new Record(scenario, history.events(), history.missing()));
+        return Verdict.of(new RunRecord(scenario, history.events(), history.missing()));
     }
 
     @Command(name = "list", mixinStandardHelpOptions = true, description = "Scenarios that come with the program.")
--- a/fleet/src/main/java/martenlatch/fleet/cli/TableCommand.java
+++ b/fleet/src/main/java/martenlatch/fleet/cli/TableCommand.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.Callable;
 import martenlatch.fleet.judge.Figures;
-import martenlatch.fleet.judge.Record;
+import martenlatch.fleet.judge.RunRecord;
 import martenlatch.fleet.judge.Verdict;
 import martenlatch.fleet.launch.DeployFile;
 import martenlatch.fleet.rig.FleetRun;
@@ -86,7 +86,7 @@
                     DeployFile.read(root.toAbsolutePath().normalize()),
                     Path.of(System.getProperty("java.io.tmpdir")))) {
                 run.play(second -> {});
-                verdict = Verdict.of(new Record(
+                verdict = Verdict.of(new RunRecord(
                         scenario, run.history().events(), run.history().missing()));
             }
         }
--- a/fleet/src/main/java/martenlatch/fleet/judge/ColdJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/ColdJudge.java
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public List<Finding> judge(Record run) {
+    public List<Finding> judge(RunRecord run) {
         WorldSettings world = run.scenario().world();
         double expected = Rules.TIP_MULTIPLE
                 * Rules.FALL_MS
--- a/fleet/src/main/java/martenlatch/fleet/judge/CrashJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/CrashJudge.java
@@ -12,7 +12,7 @@
     }
 
     @Override
-    public List<Finding> judge(Record run) {
+    public List<Finding> judge(RunRecord run) {
         return run.all(What.PROCESS).stream()
                 .filter(event -> event.detail().startsWith("died"))
                 .map(event -> new Finding(
--- a/fleet/src/main/java/martenlatch/fleet/judge/DrainJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/DrainJudge.java
@@ -31,7 +31,7 @@
     }
 
     @Override
-    public List<Finding> judge(Record run) {
+    public List<Finding> judge(RunRecord run) {
         List<Finding> found = new ArrayList<>();
         double grace = run.scenario().world().drainGraceMs() + Rules.SOCKET_SLACK_MS;
         Map<String, Double> told = new HashMap<>();
@@ -100,7 +100,7 @@
     }
 
     /** When a change made at this time counts as told, whatever a sidecar was allowed to wait for. */
-    private static double latest(Record run, String sidecar, double changed) {
+    private static double latest(RunRecord run, String sidecar, double changed) {
         double latest = changed + Rules.TOLD_WITHIN_MS;
         for (Fault fault : run.scenario().faults()) {
             if (isDeaf(fault, sidecar) && fault.atMs() <= latest && fault.endMs() >= changed) {
@@ -114,7 +114,7 @@
      * When the wait of a long poll is over that discovery was silent on, and that a change was made in; a sidecar
      * cannot know any sooner that it is silent.
      */
-    private static double silentUntil(Record run, String sidecar, double changed, List<LongPoll> polls) {
+    private static double silentUntil(RunRecord run, String sidecar, double changed, List<LongPoll> polls) {
         double until = 0;
         for (LongPoll poll : polls) {
             boolean isSilent = run.scenario().faults().stream()
@@ -150,7 +150,7 @@
      * When a change made at this time has been heard by whoever asks as often as the settings want. While
      * discovery, or the way to it, is at fault nothing can be heard; after it four times as long is allowed.
      */
-    private static double due(Record run, String sidecar, double since) {
+    private static double due(RunRecord run, String sidecar, double since) {
         double askWithin = run.scenario().discovery().askWithinMs();
         double due = since + askWithin;
         for (Fault fault : run.scenario().faults()) {
--- a/fleet/src/main/java/martenlatch/fleet/judge/Figures.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/Figures.java
@@ -36,10 +36,10 @@
     private static final double BACK = 0.95;
 
     /** Of a run. */
-    public static Figures of(Record run) {
+    public static Figures of(RunRecord run) {
         int[] counts = new int[8];
         List<double[]> ends = new ArrayList<>();
-        for (Record.RequestRecord one : run.requests()) {
+        for (RunRecord.RequestRecord one : run.requests()) {
             if (Double.isNaN(one.askedAt())) {
                 continue;
             }
@@ -84,7 +84,7 @@
         return asked == 0 ? 0 : sent / (double) asked;
     }
 
-    private static double recovery(Record run, List<double[]> ends) {
+    private static double recovery(RunRecord run, List<double[]> ends) {
         List<Fault> faults = run.scenario().faults();
         if (faults.isEmpty()) {
             return Double.NaN;
--- a/fleet/src/main/java/martenlatch/fleet/judge/Judge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/Judge.java
@@ -9,5 +9,5 @@
     String name();
 
     /** All that it finds, in order of time. */
-    List<Finding> judge(Record run);
+    List<Finding> judge(RunRecord run);
 }
--- a/fleet/src/main/java/martenlatch/fleet/judge/LostJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/LostJudge.java
@@ -16,9 +16,9 @@
     }
 
     @Override
-    public List<Finding> judge(Record run) {
+    public List<Finding> judge(RunRecord run) {
         List<Finding> found = new ArrayList<>();
-        for (Record.RequestRecord one : run.requests()) {
+        for (RunRecord.RequestRecord one : run.requests()) {
             if (Double.isNaN(one.askedAt()) || isAnswered(one.end()) || neverTaken(one.end()) || isCrossed(run, one)) {
                 continue;
             }
@@ -55,7 +55,7 @@
      * A sidecar may close a connection between two requests; one that crosses this and was not read is sent
      * again by its client.
      */
-    static boolean isCrossed(Record run, Record.RequestRecord one) {
+    static boolean isCrossed(RunRecord run, RunRecord.RequestRecord one) {
         return one.sent().isEmpty()
                 && (one.end().equals("FAILED closed") || one.end().equals("FAILED reset"))
                 && run.wasLeaving(one.sidecar(), one.askedAt(), one.endedAt());
--- a/fleet/src/main/java/martenlatch/fleet/judge/RigJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/RigJudge.java
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public List<Finding> judge(Record run) {
+    public List<Finding> judge(RunRecord run) {
         List<Finding> found = new ArrayList<>();
         if (run.missing() > 0) {
             found.add(new Finding(name(), "", 0, "the history has a gap: " + run.missing() + " events found no room"));
@@ -39,7 +39,7 @@
                         event.who() + " was " + event.detail() + " ms late: the machine had no time for the rig"));
             }
         }
-        for (Record.RequestRecord one : run.requests()) {
+        for (RunRecord.RequestRecord one : run.requests()) {
             if (Double.isNaN(one.askedAt())) {
                 found.add(new Finding(
                         name(),
--- a/fleet/src/main/java/martenlatch/fleet/judge/Record.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/RunRecord.java
@@ -11,7 +11,7 @@
 import martenlatch.fleet.scenario.Scenario;
 
 /** A run's history, put together by request: what all judges read. */
-public final class Record {
+public final class RunRecord {
 
     /** One request with its id, from all sides. */
     public static final class RequestRecord {
@@ -105,7 +105,7 @@
      *
      * @param missing events that there was no room for
      */
-    public Record(Scenario scenario, List<Event> history, long missing) {
+    public RunRecord(Scenario scenario, List<Event> history, long missing) {
         this.scenario = scenario;
         this.missing = missing;
         events =
--- a/fleet/src/main/java/martenlatch/fleet/judge/TwiceJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/TwiceJudge.java
@@ -15,9 +15,9 @@
     }
 
     @Override
-    public List<Finding> judge(Record run) {
+    public List<Finding> judge(RunRecord run) {
         List<Finding> found = new ArrayList<>();
-        for (Record.RequestRecord one : run.requests()) {
+        for (RunRecord.RequestRecord one : run.requests()) {
             if (one.isUnsafe() && one.ran().size() > 1) {
                 found.add(new Finding(
                         name(),
--- a/fleet/src/main/java/martenlatch/fleet/judge/Verdict.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/Verdict.java
@@ -24,7 +24,7 @@
             List.of(new LostJudge(), new TwiceJudge(), new DrainJudge(), new ColdJudge(), new CrashJudge());
 
     /** Of a run, by all judges. */
-    public static Verdict of(Record run) {
+    public static Verdict of(RunRecord run) {
         List<Finding> findings = new ArrayList<>();
         JUDGES.forEach(judge -> findings.addAll(judge.judge(run)));
         Figures figures = Figures.of(run);
--- a/fleet/src/main/java/martenlatch/fleet/report/HtmlReport.java
+++ b/fleet/src/main/java/martenlatch/fleet/report/HtmlReport.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import martenlatch.fleet.judge.Record;
+import martenlatch.fleet.judge.RunRecord;
 import martenlatch.fleet.judge.Verdict;
 import martenlatch.fleet.scenario.Fault;
 
@@ -39,7 +39,7 @@
     private HtmlReport() {}
 
     /** Writes it. */
-    public static void write(Path file, Record run, Verdict verdict) throws IOException {
+    public static void write(Path file, RunRecord run, Verdict verdict) throws IOException {
         Timeline timeline = Timeline.of(run);
         ByteArrayOutputStream words = new ByteArrayOutputStream();
         TextReport.print(run, verdict, new PrintStream(words, true, StandardCharsets.UTF_8));
@@ -64,12 +64,12 @@
         Files.writeString(file, page);
     }
 
-    private static double x(Record run, double ms) {
+    private static double x(RunRecord run, double ms) {
         return LEFT
                 + (WIDTH - LEFT) * Math.max(0, Math.min(1, ms / (run.scenario().seconds() * 1000)));
     }
 
-    private static void bands(StringBuilder page, Record run, int height) {
+    private static void bands(StringBuilder page, RunRecord run, int height) {
         for (Fault fault : run.scenario().faults()) {
             double from = x(run, fault.atMs());
             double to = Math.max(from + 2, x(run, fault.endMs()));
@@ -84,7 +84,7 @@
         }
     }
 
-    private static void plot(StringBuilder page, Record run, Timeline timeline, List<String> names, String title) {
+    private static void plot(StringBuilder page, RunRecord run, Timeline timeline, List<String> names, String title) {
         int most = Math.max(
                 1,
                 names.stream()
@@ -136,7 +136,7 @@
                 run.scenario().seconds()));
     }
 
-    private static void grid(StringBuilder page, Record run, Timeline timeline) {
+    private static void grid(StringBuilder page, RunRecord run, Timeline timeline) {
         int height = ROW * timeline.states().size();
         page.append("<h2>processes: up, leaving, away</h2><svg width=\"")
                 .append(WIDTH)
--- a/fleet/src/main/java/martenlatch/fleet/report/JsonReport.java
+++ b/fleet/src/main/java/martenlatch/fleet/report/JsonReport.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import martenlatch.fleet.judge.Record;
+import martenlatch.fleet.judge.RunRecord;
 import martenlatch.fleet.judge.Verdict;
 
 /** A run as JSON, for programs; numbers that are none (no recovery) are strings. */
@@ -17,7 +17,7 @@
     private JsonReport() {}
 
     /** Writes it. */
-    public static void write(Path file, Record run, Verdict verdict) throws IOException {
+    public static void write(Path file, RunRecord run, Verdict verdict) throws IOException {
         Timeline timeline = Timeline.of(run);
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("version", 1);
--- a/fleet/src/main/java/martenlatch/fleet/report/TextReport.java
+++ b/fleet/src/main/java/martenlatch/fleet/report/TextReport.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import martenlatch.fleet.judge.Figures;
 import martenlatch.fleet.judge.Finding;
-import martenlatch.fleet.judge.Record;
+import martenlatch.fleet.judge.RunRecord;
 import martenlatch.fleet.judge.Verdict;
 
 /** A run in some lines. */
@@ -18,7 +18,7 @@
     private TextReport() {}
 
     /** Prints it. */
-    public static void print(Record run, Verdict verdict, PrintStream out) {
+    public static void print(RunRecord run, Verdict verdict, PrintStream out) {
         Figures figures = verdict.figures();
         out.printf(
                 Locale.ROOT,
--- a/fleet/src/main/java/martenlatch/fleet/report/Timeline.java
+++ b/fleet/src/main/java/martenlatch/fleet/report/Timeline.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import martenlatch.fleet.history.Event;
 import martenlatch.fleet.history.Event.What;
-import martenlatch.fleet.judge.Record;
+import martenlatch.fleet.judge.RunRecord;
 import martenlatch.fleet.scenario.Selector.Group;
 
 /**
@@ -20,11 +20,11 @@
 
     static final double STEP_MS = 250;
 
-    static Timeline of(Record run) {
+    static Timeline of(RunRecord run) {
         int steps = 1 + (int) (run.scenario().seconds() * 1000 / STEP_MS);
         Map<String, int[]> counts = new LinkedHashMap<>();
         List.of("asked", "served", "refused", "failed", "attempts", "open").forEach(n -> counts.put(n, new int[steps]));
-        for (Record.RequestRecord one : run.requests()) {
+        for (RunRecord.RequestRecord one : run.requests()) {
             if (Double.isNaN(one.askedAt())) {
                 continue;
             }
@@ -65,7 +65,7 @@
     }
 
     /** Faults that began, in words. */
-    static List<String> faults(Record run) {
+    static List<String> faults(RunRecord run) {
         return run.all(What.FAULT_BEGINS).stream().map(Event::detail).toList();
     }
 }
--- a/fleet/src/test/java/martenlatch/fleet/judge/JudgesTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/judge/JudgesTest.java
@@ -54,7 +54,7 @@
 
     private Verdict verdict(String faults) {
         try {
-            return Verdict.of(new Record(Scenario.of(new TomlMapper().readTree(FILE + faults)), events, 0));
+            return Verdict.of(new RunRecord(Scenario.of(new TomlMapper().readTree(FILE + faults)), events, 0));
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
--- a/fleet/src/test/java/martenlatch/fleet/rig/FleetRunTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/rig/FleetRunTest.java
@@ -13,7 +13,7 @@
 import martenlatch.fleet.history.Event;
 import martenlatch.fleet.history.Event.What;
 import martenlatch.fleet.judge.Finding;
-import martenlatch.fleet.judge.Record;
+import martenlatch.fleet.judge.RunRecord;
 import martenlatch.fleet.judge.Verdict;
 import martenlatch.fleet.launch.DeployFile;
 import martenlatch.fleet.link.Conduct;
@@ -54,7 +54,7 @@
         void in(FleetRun run);
     }
 
-    private Record record;
+    private RunRecord record;
 
     private Verdict play(Scenario scenario, Plant plant) throws Exception {
         return play(scenario, TRIES, plant);
@@ -67,7 +67,7 @@
                     scenario, DeployFile.read(Path.of("..").toAbsolutePath().normalize()), folder)) {
                 plant.in(run);
                 run.play(second -> {});
-                record = new Record(
+                record = new RunRecord(
                         scenario, run.history().events(), run.history().missing());
                 verdict = Verdict.of(record);
             }
--- a/fleet/src/test/java/martenlatch/fleet/sim/EndpointListAgeSimTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/sim/EndpointListAgeSimTest.java
@@ -13,7 +13,7 @@
 import java.util.stream.Collectors;
 import martenlatch.fleet.history.Event;
 import martenlatch.fleet.history.History;
-import martenlatch.fleet.judge.Record;
+import martenlatch.fleet.judge.RunRecord;
 import martenlatch.fleet.judge.Verdict;
 import martenlatch.fleet.scenario.Scenario;
 import org.junit.jupiter.api.Test;
@@ -117,7 +117,7 @@
     }
 
     private static Verdict judged(Scenario scenario, History history) {
-        return Verdict.of(new Record(scenario, history.events(), history.missing()));
+        return Verdict.of(new RunRecord(scenario, history.events(), history.missing()));
     }
 
     /** One fault of any kind: no attempt goes to an endpoint whose drain counts as notified. */
--- a/fleet/src/test/java/martenlatch/fleet/sim/SimRunTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/sim/SimRunTest.java
@@ -11,7 +11,7 @@
 import martenlatch.fleet.explore.RandomFaults;
 import martenlatch.fleet.history.History;
 import martenlatch.fleet.judge.Finding;
-import martenlatch.fleet.judge.Record;
+import martenlatch.fleet.judge.RunRecord;
 import martenlatch.fleet.judge.Verdict;
 import martenlatch.fleet.scenario.Scenario;
 import org.junit.jupiter.api.Test;
@@ -50,7 +50,7 @@
     }
 
     private static Verdict judged(Scenario scenario, History history) {
-        return Verdict.of(new Record(scenario, history.events(), history.missing()));
+        return Verdict.of(new RunRecord(scenario, history.events(), history.missing()));
     }
 
     /** One plan and one seed give one history, event for event; another seed gives another. */
