--- a/fleet/src/main/java/martenlatch/fleet/history/History.java
+++ b/fleet/src/main/java/martenlatch/fleet/history/History.java
@@ -48,7 +48,7 @@
     }
 
     /** Something has happened just now. */
-    public synchronized void tell(What what, String who, String whom, String id, String detail) {
+    public synchronized void record(What what, String who, String whom, String id, String detail) {
         if (events.size() >= most) {
             missing++;
             return;
--- a/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
@@ -128,24 +128,24 @@
     }
 
     private void up(Endpoint endpoint, double coldMs) {
-        history.tell(What.ENDPOINT_UP, endpoint.id(), "", "", String.valueOf(coldMs));
+        history.record(What.ENDPOINT_UP, endpoint.id(), "", "", String.valueOf(coldMs));
     }
 
     /** What endpoints see goes into the history. */
     private final class Tally implements Ledger.Observer {
         @Override
         public void ran(String endpoint, String id, boolean cold) {
-            history.tell(What.RAN, endpoint, "", id, cold ? "cold" : "");
+            history.record(What.RAN, endpoint, "", id, cold ? "cold" : "");
         }
 
         @Override
         public void turnedAway(String endpoint, String id) {
-            history.tell(What.TURNED_AWAY, endpoint, "", id, "");
+            history.record(What.TURNED_AWAY, endpoint, "", id, "");
         }
 
         @Override
         public void answered(String endpoint, String id) {
-            history.tell(What.ANSWERED, endpoint, "", id, "");
+            history.record(What.ANSWERED, endpoint, "", id, "");
         }
     }
 
@@ -159,7 +159,7 @@
         @Override
         public void late(double ms) {
             if (ms > LATE_MS) {
-                history.tell(What.RIG, "link", "", "", String.valueOf(ms));
+                history.record(What.RIG, "link", "", "", String.valueOf(ms));
             }
         }
     };
@@ -168,17 +168,17 @@
     private final Discovery.Teller lists = new Discovery.Teller() {
         @Override
         public void told(String viewer, Endpoint endpoint, String state) {
-            history.tell(What.TOLD, viewer, endpoint.id(), "", state);
+            history.record(What.TOLD, viewer, endpoint.id(), "", state);
         }
 
         @Override
         public void called(String viewer, boolean refused) {
-            history.tell(What.LIST_CALL, viewer, "discovery", "", refused ? "refused" : "answered");
+            history.record(What.LIST_CALL, viewer, "discovery", "", refused ? "refused" : "answered");
         }
 
         @Override
         public void changed(Endpoint endpoint, String state) {
-            history.tell(What.CHANGED, "discovery", endpoint.id(), "", state);
+            history.record(What.CHANGED, "discovery", endpoint.id(), "", state);
         }
     };
 
@@ -186,7 +186,7 @@
         LinkWatch watch = new LinkWatch() {
             @Override
             public void request(String from, String to, String id) {
-                history.tell(What.SENT, from, to, id, "");
+                history.record(What.SENT, from, to, id, "");
             }
 
             @Override
@@ -235,7 +235,7 @@
             late(one);
             if (!isLate(one.name())) {
                 one.start(deploy);
-                history.tell(What.PROCESS, one.name(), "", "", "started");
+                history.record(What.PROCESS, one.name(), "", "", "started");
             }
         }
         for (SidecarProcess one : sidecars) {
@@ -320,13 +320,13 @@
     private final class Processes implements SidecarProcess.Watch {
         @Override
         public void line(String name, String line) {
-            history.tell(What.LOG, name, "", "", line);
+            history.record(What.LOG, name, "", "", line);
         }
 
         @Override
         public void ended(String name, int status) {
             boolean asked = mayEnd.getOrDefault(name, false);
-            history.tell(What.PROCESS, name, "", "", (asked ? "ended " : "died ") + status);
+            history.record(What.PROCESS, name, "", "", (asked ? "ended " : "died ") + status);
         }
     }
 
@@ -384,11 +384,11 @@
                     try {
                         double late = history.now() - ms;
                         if (late > LATE_MS) {
-                            history.tell(What.RIG, "faults", "", "", String.valueOf(late));
+                            history.record(What.RIG, "faults", "", "", String.valueOf(late));
                         }
                         step.run();
                     } catch (IOException | RuntimeException e) {
-                        history.tell(What.RIG, "faults", "", "", "failed " + e.getMessage());
+                        history.record(What.RIG, "faults", "", "", "failed " + e.getMessage());
                         LOG.error("a step of the plan failed", e);
                     }
                 },
@@ -413,7 +413,7 @@
                         }
                         double late = (System.nanoTime() - due) / 1e6;
                         if (late > LATE_MS) {
-                            history.tell(What.RIG, "beat", "", "", String.valueOf(late));
+                            history.record(What.RIG, "beat", "", "", String.valueOf(late));
                             due = System.nanoTime();
                         }
                     }
@@ -428,7 +428,7 @@
     private void begin(Fault fault) throws IOException {
         active.add(fault);
         onLinks.begin(fault);
-        history.tell(
+        history.record(
                 What.FAULT_BEGINS, String.valueOf(fault.number()), String.join(" ", fault.who()), "", fault.toString());
         LOG.info("fault {} begins: {}", fault.number(), fault);
         switch (fault.what().aim()) {
@@ -463,7 +463,7 @@
             case DISCOVERY -> world.discovery().manner(Discovery.Manner.GOOD);
             default -> links(fault, false);
         }
-        history.tell(
+        history.record(
                 What.FAULT_ENDS, String.valueOf(fault.number()), String.join(" ", fault.who()), "", fault.toString());
         LOG.info("fault {} is over", fault.number());
     }
@@ -473,7 +473,7 @@
     }
 
     private void process(SidecarProcess one, String what) {
-        history.tell(What.PROCESS, one.name(), "", "", what);
+        history.record(What.PROCESS, one.name(), "", "", what);
     }
 
     private void begin(Fault fault, int number) throws IOException {
@@ -531,7 +531,7 @@
         switch (fault.what()) {
             case PAUSE, CRAWL -> {
                 if (fault.what() == Fault.What.PAUSE && one.isAlive() && !one.isStopped()) {
-                    history.tell(
+                    history.record(
                             What.RIG,
                             "faults",
                             "",
@@ -573,7 +573,7 @@
         if (one.pause() == SidecarProcess.Stop.STOPPED) {
             process(one, "paused");
         } else {
-            history.tell(What.RIG, "faults", "", "", "failed " + one.name() + " was not paused");
+            history.record(What.RIG, "faults", "", "", "failed " + one.name() + " was not paused");
         }
     }
 
@@ -703,7 +703,7 @@
         }
         for (SidecarProcess one : all) {
             if (!one.awaitEnd(END_MS)) {
-                history.tell(What.RIG, "faults", "", "", "failed " + one.name() + " did not end");
+                history.record(What.RIG, "faults", "", "", "failed " + one.name() + " did not end");
             }
         }
     }
--- a/fleet/src/main/java/martenlatch/fleet/rig/FrontDriver.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FrontDriver.java
@@ -37,7 +37,7 @@
         long said = leftNanos - GRACE_MS * 1_000_000L;
         int sidecar = front.pick(history.now(), i -> drivers.get(i).hasIdle());
         String name = "n" + sidecar;
-        history.tell(
+        history.record(
                 What.ASKED,
                 CLIENTS,
                 name,
@@ -51,13 +51,13 @@
 
             @Override
             public void ended(End end, String cause, double retryAfterMs) {
-                history.tell(What.ENDED, CLIENTS, name, id, end + (cause.isEmpty() ? "" : " " + cause));
+                history.record(What.ENDED, CLIENTS, name, id, end + (cause.isEmpty() ? "" : " " + cause));
                 ending.ended(end, cause, retryAfterMs);
             }
         });
         return () -> {
             boolean sent = call.giveUp();
-            history.tell(What.ENDED, CLIENTS, name, id, (sent ? End.TIMED_OUT : End.NOT_SENT).toString());
+            history.record(What.ENDED, CLIENTS, name, id, (sent ? End.TIMED_OUT : End.NOT_SENT).toString());
             return sent;
         };
     }
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimDiscovery.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimDiscovery.java
@@ -52,7 +52,7 @@
 
     void put(Endpoint server) {
         entries.put(server.id(), new Entry(server, ++version));
-        history.tell(What.CHANGED, "discovery", server.id(), "", word(server.status()));
+        history.record(What.CHANGED, "discovery", server.id(), "", word(server.status()));
         tell();
     }
 
@@ -90,13 +90,13 @@
         if (connection.ended) {
             return;
         }
-        history.tell(What.LIST_CALL, connection.viewer, "discovery", "", refused ? "refused" : "answered");
+        history.record(What.LIST_CALL, connection.viewer, "discovery", "", refused ? "refused" : "answered");
         if (refused) {
             caller.refused();
             return;
         }
         if (index >= version || (index >= 0 && manner == Manner.SILENT)) {
-            history.tell(What.LONG_POLL, connection.viewer, "discovery", "", String.valueOf(waitMs));
+            history.record(What.LONG_POLL, connection.viewer, "discovery", "", String.valueOf(waitMs));
         }
         Watch watch = new Watch(connection, index, caller);
         if (index < version || manner != Manner.GOOD) {
@@ -124,7 +124,7 @@
             default -> {
                 EndpointList list = list(watch.index());
                 for (EndpointList.Entry entry : list.entries()) {
-                    history.tell(
+                    history.record(
                             What.TOLD,
                             watch.connection().viewer,
                             entry.endpoint().id(),
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimEndpoint.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimEndpoint.java
@@ -91,7 +91,7 @@
         trouble = Trouble.NONE;
         startedMs = time.now();
         warmAt = time.elapsed() + settings.coldMs();
-        history.tell(What.ENDPOINT_UP, id, "", "", String.valueOf(settings.coldMs()));
+        history.record(What.ENDPOINT_UP, id, "", "", String.valueOf(settings.coldMs()));
     }
 
     /** A whole request has come; where the process is gone its connection is reset. */
@@ -104,11 +104,11 @@
             return;
         }
         if (draining || working >= settings.slots() && queue.size() >= settings.queue()) {
-            history.tell(What.TURNED_AWAY, id, "", request, "");
+            history.record(What.TURNED_AWAY, id, "", request, "");
             caller.ended(Reply.NOT_RUN);
             return;
         }
-        history.tell(What.RAN, id, "", request, time.elapsed() < warmAt ? "cold" : "");
+        history.record(What.RAN, id, "", request, time.elapsed() < warmAt ? "cold" : "");
         open.add(caller);
         if (working < settings.slots()) {
             work(request, caller);
@@ -142,7 +142,7 @@
             case RESETS, HALF, GARBLES -> caller.ended(Reply.RESET);
             case ERRORS -> caller.ended(Reply.ERROR);
             default -> {
-                history.tell(What.ANSWERED, id, "", request, "");
+                history.record(What.ANSWERED, id, "", request, "");
                 caller.ended(Reply.OK);
             }
         }
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
@@ -82,7 +82,7 @@
         for (int i = 0; i < sizes.endpoints(); i++) {
             endpoints.add(new SimEndpoint(
                     Group.ENDPOINT.name(i), time, scenario.world(), history, scenario.seedFor("endpoint " + i)));
-            history.tell(What.ENDPOINT_UP, Group.ENDPOINT.name(i), "", "", "0.0");
+            history.record(What.ENDPOINT_UP, Group.ENDPOINT.name(i), "", "", "0.0");
             list(i, EndpointStatus.READY);
         }
         toSidecars = new SimLink[sizes.sidecars()];
@@ -237,7 +237,7 @@
             String id = "w" + wish.number() + "-" + tries;
             int to = front.pick(time.elapsed(), number -> sidecars.get(number).takes());
             SimSidecar sidecar = sidecars.get(to);
-            history.tell(
+            history.record(
                     What.ASKED,
                     "clients",
                     Group.SIDECAR.name(to),
@@ -289,7 +289,7 @@
                 }
                 ended = true;
                 over.run();
-                history.tell(What.ENDED, "clients", sidecar, id, how);
+                history.record(What.ENDED, "clients", sidecar, id, how);
                 boolean harmless = how.startsWith("REFUSED")
                         || how.equals("FAILED no connect")
                         || wish.kind().effect() != Kind.Effect.UNSAFE;
@@ -337,7 +337,7 @@
     private void begin(Fault fault) {
         active.add(fault);
         onLinks.begin(fault);
-        history.tell(
+        history.record(
                 What.FAULT_BEGINS, String.valueOf(fault.number()), String.join(" ", fault.who()), "", fault.toString());
         switch (fault.what().aim()) {
             case SIDECARS -> fault.who().forEach(name -> begin(fault, number(name)));
@@ -362,7 +362,7 @@
             case DISCOVERY -> discovery.manner(Manner.GOOD);
             default -> links(fault);
         }
-        history.tell(
+        history.record(
                 What.FAULT_ENDS, String.valueOf(fault.number()), String.join(" ", fault.who()), "", fault.toString());
     }
 
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimSidecar.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimSidecar.java
@@ -171,7 +171,7 @@
 
     private void serve() {
         serving = true;
-        history.tell(What.PROCESS, name, "", "", "serves");
+        history.record(What.PROCESS, name, "", "", "serves");
     }
 
     void kill() {
@@ -180,7 +180,7 @@
         paused = false;
         waiting.clear();
         ways.values().forEach(way -> way.idle = 0);
-        history.tell(What.PROCESS, name, "", "", "killed");
+        history.record(What.PROCESS, name, "", "", "killed");
         over();
     }
 
@@ -206,7 +206,7 @@
             return;
         }
         leavesAt = time.elapsed();
-        history.tell(What.PROCESS, name, "", "", "told to end");
+        history.record(What.PROCESS, name, "", "", "told to end");
         exchange.capDeadlines(time.now() + ANSWERED_MS);
         int mine = life;
         time.after(ANSWERED_MS + 1, () -> {
@@ -216,7 +216,7 @@
                 ways.values().forEach(way -> way.idle = 0);
                 over();
                 // As with real processes: its clients see their connections end before anybody sees it gone.
-                time.after(1, () -> history.tell(What.PROCESS, name, "", "", "ended 0"));
+                time.after(1, () -> history.record(What.PROCESS, name, "", "", "ended 0"));
             }
         });
     }
@@ -224,14 +224,14 @@
     void pause() {
         if (alive && !paused) {
             paused = true;
-            history.tell(What.PROCESS, name, "", "", "paused");
+            history.record(What.PROCESS, name, "", "", "paused");
         }
     }
 
     void resume() {
         if (alive && paused) {
             paused = false;
-            history.tell(What.PROCESS, name, "", "", "resumed");
+            history.record(What.PROCESS, name, "", "", "resumed");
             // What waited was read and was due before anything that comes now.
             int mine = life;
             while (!waiting.isEmpty() && mine == life && !paused) {
@@ -382,7 +382,7 @@
 
     private void write(Way way, String id, Sent sent, Transport.AttemptListener ending, int mine) {
         sent.written = true;
-        history.tell(What.SENT, name, way.endpoint.id(), id, "");
+        history.record(What.SENT, name, way.endpoint.id(), id, "");
         boolean[] answered = new boolean[1];
         way.onwards.send(() -> way.endpoint.receive(
                 id,
@@ -471,7 +471,7 @@
     void moved() {
         if (alive) {
             int mine = life;
-            history.tell(What.PROCESS, name, "", "", "reloads");
+            history.record(What.PROCESS, name, "", "", "reloads");
             enter(mine, watch::onMoved);
         }
     }
