--- a/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
@@ -335,7 +335,7 @@
         Load wanted = scenario.load();
         // Clients wait for a little longer than they say: who answers at the last moment has answered.
         List<Kind> kinds = wanted.classes().stream()
-                .map(Load.ClassOf::kind)
+                .map(Load.ClassSettings::kind)
                 .map(kind -> new Kind(
                         kind.name(),
                         kind.share(),
--- a/fleet/src/main/java/martenlatch/fleet/rig/SidecarConfig.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/SidecarConfig.java
@@ -61,7 +61,7 @@
                     .put("zone", number % zones.size())
                     .put("membership-mode", "on_request");
             ArrayNode classes = settings.putArray("classes");
-            for (Load.ClassOf one : scenario.load().classes()) {
+            for (Load.ClassSettings one : scenario.load().classes()) {
                 ObjectNode kind = classes.addObject();
                 kind.put("name", one.kind().name())
                         .put("effect", effect(one.kind().effect()))
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Load.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Load.java
@@ -10,11 +10,11 @@
  * @param skew how many times as much the busiest sidecar gets as the quietest; 1 for all alike
  * @param noticeMs how long clients go on to a sidecar that is down
  */
-public record Load(double rate, double skew, double noticeMs, List<ClassOf> classes) {
+public record Load(double rate, double skew, double noticeMs, List<ClassSettings> classes) {
 
     /** A class of requests, for clients and for sidecars. */
-    public record ClassOf(Kind kind, double aimMs, double worth) {
-        public ClassOf {
+    public record ClassSettings(Kind kind, double aimMs, double worth) {
+        public ClassSettings {
             if (!(aimMs > 0 && aimMs <= kind.deadlineMs())) {
                 throw new IllegalArgumentException("class.aim-ms must be above 0 and within deadline-ms ("
                         + kind.deadlineMs() + ") but is " + aimMs);
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Scenario.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Scenario.java
@@ -124,7 +124,7 @@
     private static Load load(JsonNode file) {
         JsonNode load = file.path("load");
         TomlFile.knownOnly("load.", load, LOAD);
-        List<Load.ClassOf> classes = new ArrayList<>();
+        List<Load.ClassSettings> classes = new ArrayList<>();
         for (JsonNode one : file.path("class")) {
             TomlFile.knownOnly("class.", one, CLASS);
             int deadline = TomlFile.whole("class.deadline-ms", one.path("deadline-ms"), 1000);
@@ -136,7 +136,7 @@
                         TomlFile.whole("class.body-bytes", one.path("body-bytes"), 0),
                         deadline,
                         TomlFile.whole("class.retries", one.path("retries"), 0));
-                classes.add(new Load.ClassOf(
+                classes.add(new Load.ClassSettings(
                         kind,
                         TomlFile.number("class.aim-ms", one.path("aim-ms"), deadline / 2.0),
                         TomlFile.number("class.worth", one.path("worth"), 1)));
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
@@ -88,7 +88,7 @@
         toSidecars = new SimLink[sizes.sidecars()];
         fromSidecars = new SimLink[sizes.sidecars()];
         front = new Front(sizes.sidecars(), scenario.load().skew(), scenario.seedFor("front"));
-        for (Load.ClassOf one : scenario.load().classes()) {
+        for (Load.ClassSettings one : scenario.load().classes()) {
             classes.put(one.kind().name(), classes.size());
         }
         for (int i = 0; i < sizes.sidecars(); i++) {
@@ -180,7 +180,7 @@
             }
         }
         List<Kind> kinds =
-                scenario.load().classes().stream().map(Load.ClassOf::kind).toList();
+                scenario.load().classes().stream().map(Load.ClassSettings::kind).toList();
         Arrivals arrivals = Arrivals.drawn(
                 new Schedule(
                         List.of(new Shape.Constant(scenario.load().rate(), scenario.seconds())),
