--- a/fleet/src/main/java/martenlatch/fleet/front/Front.java
+++ b/fleet/src/main/java/martenlatch/fleet/front/Front.java
@@ -39,7 +39,7 @@
     }
 
     /** From this time on the front believes so. */
-    public synchronized void believe(int sidecar, State state, double atMs) {
+    public synchronized void setStateAt(int sidecar, State state, double atMs) {
         next[sidecar] = state;
         changesAt[sidecar] = atMs;
     }
--- a/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
@@ -310,7 +310,7 @@
             } else {
                 one.awaitServing(START_MS);
                 process(one, "serves");
-                front.believe(i, Front.State.UP, 0);
+                front.setStateAt(i, Front.State.UP, 0);
             }
         }
         LOG.info("{} sidecars serve", sidecars.size());
@@ -483,19 +483,19 @@
         switch (fault.what()) {
             case PAUSE -> {
                 pause(one);
-                front.believe(number, Front.State.DOWN, notice);
+                front.setStateAt(number, Front.State.DOWN, notice);
             }
             case CRAWL -> crawl(fault, one);
             case KILL -> {
                 leave(one, "killed");
                 one.kill();
                 clientLinks.get(number).refuse(true);
-                front.believe(number, Front.State.DOWN, notice);
+                front.setStateAt(number, Front.State.DOWN, notice);
             }
             case TERM, RESTART -> {
                 leave(one, "told to end");
                 one.term();
-                front.believe(number, Front.State.LEAVING, now + LEAVE_MS);
+                front.setStateAt(number, Front.State.LEAVING, now + LEAVE_MS);
                 if (fault.what() == Fault.What.RESTART) {
                     again(number, fault);
                 } else {
@@ -540,7 +540,7 @@
                 }
                 one.resume();
                 process(one, "resumed");
-                front.believe(number, Front.State.UP, history.now());
+                front.setStateAt(number, Front.State.UP, history.now());
             }
             case KILL, TERM, LATE -> again(number, fault);
             case TWIN ->
@@ -606,7 +606,7 @@
             clockwork.schedule(() -> awaitEnd(number), BEAT_MS, TimeUnit.MILLISECONDS);
         } else {
             clientLinks.get(number).refuse(true);
-            front.believe(number, Front.State.DOWN, history.now());
+            front.setStateAt(number, Front.State.DOWN, history.now());
         }
     }
 
@@ -618,7 +618,7 @@
             return;
         }
         clientLinks.get(number).refuse(true);
-        front.believe(number, Front.State.DOWN, history.now());
+        front.setStateAt(number, Front.State.DOWN, history.now());
         mayEnd.put(one.name(), false);
         one.start(fault.jar().isEmpty() ? deploy : deploy.with(Path.of(fault.jar())));
         process(one, "started");
@@ -630,7 +630,7 @@
         if (one.serves()) {
             clientLinks.get(number).refuse(false);
             process(one, "serves");
-            front.believe(number, Front.State.UP, history.now());
+            front.setStateAt(number, Front.State.UP, history.now());
         } else if (one.isAlive()) {
             clockwork.schedule(() -> awaitServing(number), BEAT_MS, TimeUnit.MILLISECONDS);
         }
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
@@ -168,7 +168,7 @@
             if (scenario.faults().stream()
                     .noneMatch(f -> f.what() == Fault.What.LATE && f.who().contains(name))) {
                 sidecars.get(i).startServing();
-                front.believe(i, Front.State.UP, 0);
+                front.setStateAt(i, Front.State.UP, 0);
             } else {
                 sidecars.get(i).kill();
             }
@@ -372,19 +372,19 @@
         switch (fault.what()) {
             case PAUSE -> {
                 one.pause();
-                front.believe(number, Front.State.DOWN, notice);
+                front.setStateAt(number, Front.State.DOWN, notice);
             }
             case CRAWL -> crawl(fault, one);
             case KILL -> {
                 one.kill();
                 gone(one);
-                front.believe(number, Front.State.DOWN, notice);
+                front.setStateAt(number, Front.State.DOWN, notice);
             }
             case TERM, RESTART -> {
-                front.believe(number, Front.State.LEAVING, time.elapsed() + LEAVE_MS);
+                front.setStateAt(number, Front.State.LEAVING, time.elapsed() + LEAVE_MS);
                 one.leave(() -> {
                     gone(one);
-                    front.believe(number, Front.State.DOWN, time.elapsed());
+                    front.setStateAt(number, Front.State.DOWN, time.elapsed());
                     if (fault.what() == Fault.What.RESTART) {
                         start(number);
                     }
@@ -421,7 +421,7 @@
         switch (fault.what()) {
             case PAUSE, CRAWL -> {
                 one.resume();
-                front.believe(number, Front.State.UP, time.elapsed());
+                front.setStateAt(number, Front.State.UP, time.elapsed());
             }
             case KILL, TERM, LATE -> start(number);
             default -> {}
@@ -435,7 +435,7 @@
             if (one.isAlive()) {
                 start(number);
             } else {
-                one.start(() -> front.believe(number, Front.State.UP, time.elapsed()));
+                one.start(() -> front.setStateAt(number, Front.State.UP, time.elapsed()));
             }
         });
     }
