--- a/fleet/src/main/java/martenlatch/fleet/judge/ColdJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/ColdEndpointChecker.java
@@ -15,7 +15,7 @@
  * No cold endpoint pushed over: all sidecars together send it, in any window of the rule's, no more than
  * the rule's multiple of what it can do while it is cold.
  */
-public final class ColdJudge implements Judge {
+public final class ColdEndpointChecker implements RunChecker {
 
     /** What may come by chance beyond an expected number: three standard deviations of a Poisson count. */
     private static final double CHANCE = 3;
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public List<Finding> judge(RunRecord run) {
+    public List<Finding> check(RunRecord run) {
         WorldSettings world = run.scenario().world();
         double expected = Rules.TIP_MULTIPLE
                 * Rules.FALL_MS
--- a/fleet/src/main/java/martenlatch/fleet/judge/CrashJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/CrashChecker.java
@@ -4,7 +4,7 @@
 import martenlatch.fleet.history.Event.What;
 
 /** No sidecar ends unless it was told to, nor with a status above 0 when it was asked to. */
-public final class CrashJudge implements Judge {
+public final class CrashChecker implements RunChecker {
 
     @Override
     public String name() {
@@ -12,7 +12,7 @@
     }
 
     @Override
-    public List<Finding> judge(RunRecord run) {
+    public List<Finding> check(RunRecord run) {
         return run.all(What.PROCESS).stream()
                 .filter(event -> event.detail().startsWith("died"))
                 .map(event -> new Finding(
--- a/fleet/src/main/java/martenlatch/fleet/judge/DrainJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/DrainChecker.java
@@ -17,7 +17,7 @@
  * wait of a long poll that discovery has fallen silent on, if that is later; also one whose process began after
  * the change and has a list from before it.
  */
-public final class DrainJudge implements Judge {
+public final class DrainChecker implements RunChecker {
 
     /** A sidecar whose last call failed may wait for this multiple of what else is allowed. */
     private static final int FAILED_TIMES = 4;
@@ -31,7 +31,7 @@
     }
 
     @Override
-    public List<Finding> judge(RunRecord run) {
+    public List<Finding> check(RunRecord run) {
         List<Finding> found = new ArrayList<>();
         double grace = run.scenario().world().drainGraceMs() + Rules.SOCKET_SLACK_MS;
         Map<String, Double> told = new HashMap<>();
--- a/fleet/src/main/java/martenlatch/fleet/judge/TwiceJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/DuplicateRunChecker.java
@@ -7,7 +7,7 @@
 /**
  * No effect twice: an unsafe request runs once at the most, and is not called refused when it may have run.
  */
-public final class TwiceJudge implements Judge {
+public final class DuplicateRunChecker implements RunChecker {
 
     @Override
     public String name() {
@@ -15,7 +15,7 @@
     }
 
     @Override
-    public List<Finding> judge(RunRecord run) {
+    public List<Finding> check(RunRecord run) {
         List<Finding> found = new ArrayList<>();
         for (RunRecord.RequestRecord one : run.requests()) {
             if (one.isUnsafe() && one.ran().size() > 1) {
--- a/fleet/src/main/java/martenlatch/fleet/judge/Figures.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/Figures.java
@@ -53,7 +53,7 @@
                                     ? 2
                                     : end.startsWith("FAILED") ? 3 : end.startsWith("NOT_SENT") ? 5 : 4]++;
             counts[6] += one.sent().size();
-            counts[7] += LostJudge.isCrossed(run, one) ? 1 : 0;
+            counts[7] += LostRequestChecker.isCrossed(run, one) ? 1 : 0;
             ends.add(new double[] {one.askedAt(), served ? 1 : 0});
         }
         List<Event> calls = run.all(Event.What.LIST_CALL);
--- a/fleet/src/main/java/martenlatch/fleet/judge/LostJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/LostRequestChecker.java
@@ -8,7 +8,7 @@
  * No request lost: each that a living sidecar has taken gets one final answer by its deadline. Not a
  * sidecar's doing is what ends while it is dead or stands still, and what its link to the client spoils.
  */
-public final class LostJudge implements Judge {
+public final class LostRequestChecker implements RunChecker {
 
     @Override
     public String name() {
@@ -16,7 +16,7 @@
     }
 
     @Override
-    public List<Finding> judge(RunRecord run) {
+    public List<Finding> check(RunRecord run) {
         List<Finding> found = new ArrayList<>();
         for (RunRecord.RequestRecord one : run.requests()) {
             if (Double.isNaN(one.askedAt()) || isAnswered(one.end()) || neverTaken(one.end()) || isCrossed(run, one)) {
--- a/fleet/src/main/java/martenlatch/fleet/judge/RigJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/RigChecker.java
@@ -9,7 +9,7 @@
  * The rig itself: whether the run was what its plan says. A finding makes the run void: it says nothing of
  * the program, neither good nor bad.
  */
-public final class RigJudge implements Judge {
+public final class RigChecker implements RunChecker {
 
     /**
      * Beyond this the rig's own lateness is as large as what clients wait beyond their deadlines, and half
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public List<Finding> judge(RunRecord run) {
+    public List<Finding> check(RunRecord run) {
         List<Finding> found = new ArrayList<>();
         if (run.missing() > 0) {
             found.add(new Finding(name(), "", 0, "the history has a gap: " + run.missing() + " events found no room"));
--- a/fleet/src/main/java/martenlatch/fleet/judge/Judge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/RunChecker.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /** Looks for one kind of harm in what a run has left. */
-public interface Judge {
+public interface RunChecker {
 
     /** Its name in findings. */
     String name();
 
     /** All that it finds, in order of time. */
-    List<Finding> judge(RunRecord run);
+    List<Finding> check(RunRecord run);
 }
--- a/fleet/src/main/java/martenlatch/fleet/judge/Verdict.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/Verdict.java
@@ -20,16 +20,20 @@
         VOID
     }
 
-    private static final List<Judge> JUDGES =
-            List.of(new LostJudge(), new TwiceJudge(), new DrainJudge(), new ColdJudge(), new CrashJudge());
+    private static final List<RunChecker> CHECKERS = List.of(
+            new LostRequestChecker(),
+            new DuplicateRunChecker(),
+            new DrainChecker(),
+            new ColdEndpointChecker(),
+            new CrashChecker());
 
     /** Of a run, by all judges. */
     public static Verdict of(RunRecord run) {
         List<Finding> findings = new ArrayList<>();
-        JUDGES.forEach(judge -> findings.addAll(judge.judge(run)));
+        CHECKERS.forEach(checker -> findings.addAll(checker.check(run)));
         Figures figures = Figures.of(run);
         findings.addAll(holds(run.scenario().hold(), figures, run.scenario().seconds() * 1000));
-        return new Verdict(figures, List.copyOf(findings), new RigJudge().judge(run));
+        return new Verdict(figures, List.copyOf(findings), new RigChecker().check(run));
     }
 
     private static List<Finding> holds(Hold hold, Figures figures, double endMs) {
