--- a/fleet/src/main/java/martenlatch/fleet/explore/RandomFaults.java
+++ b/fleet/src/main/java/martenlatch/fleet/explore/RandomFaults.java
@@ -12,12 +12,12 @@
 import martenlatch.fleet.scenario.Selector.Group;
 
 /**
- * Draws the faults of a run from a seed: within the run, each with an end, none on more than half of a
- * kind.
+ * Draws the faults of a run from a seed. Each fault begins within the run, has an end, and affects at most half of the
+ * parts of a kind.
  */
 public final class RandomFaults {
 
-    private static final List<What> KINDS = List.of(
+    private static final List<What> DRAWN_KINDS = List.of(
             What.PAUSE,
             What.CRAWL,
             What.KILL,
@@ -35,55 +35,56 @@
             What.LINK,
             What.LINK,
             What.BREAK);
-    private static final double FIRST_MS = 1000;
-    /** Faults begin in this part of a run, so that what comes after them is seen. */
-    private static final double PART = 0.5;
+    private static final double FIRST_START_MS = 1000;
+    /** Faults begin within this share of a run, so that the run also covers the time after them. */
+    private static final double START_SHARE = 0.5;
 
-    private static final double LEAST_MS = 300;
-    private static final double MOST_MS = 4000;
-    private static final double HALF = 0.5;
+    private static final double MIN_DURATION_MS = 300;
+    private static final double MAX_DURATION_MS = 4000;
+    /** Upper bound of drawn shares: of affected parts, of lost data, and of remaining speed above 0.1. */
+    private static final double MAX_SHARE = 0.5;
 
     private RandomFaults() {}
 
-    /** As many faults as {@code count}, instead of the scenario's own. */
+    /** Returns the scenario with {@code count} random faults in place of its own. */
     public static Scenario in(Scenario scenario, long seed, int count) {
         Random random = new Random(seed);
         List<Fault> faults = new ArrayList<>();
-        double span = Math.max(0, scenario.seconds() * 1000 * PART - FIRST_MS);
+        double startRangeMs = Math.max(0, scenario.seconds() * 1000 * START_SHARE - FIRST_START_MS);
         for (int i = 0; i < count; i++) {
-            faults.add(one(scenario, random, FIRST_MS + random.nextDouble() * span));
+            faults.add(drawFault(scenario, random, FIRST_START_MS + random.nextDouble() * startRangeMs));
         }
         faults.sort(Comparator.comparingDouble(Fault::atMs));
         List<Fault> numbered = new ArrayList<>();
-        for (Fault one : faults) {
+        for (Fault fault : faults) {
             numbered.add(new Fault(
                     numbered.size(),
-                    one.atMs(),
-                    one.forMs(),
-                    one.what(),
-                    one.who(),
-                    one.to(),
-                    one.onwards(),
-                    one.backwards(),
-                    one.share(),
-                    one.jar(),
-                    one.moves()));
+                    fault.atMs(),
+                    fault.forMs(),
+                    fault.what(),
+                    fault.who(),
+                    fault.to(),
+                    fault.onwards(),
+                    fault.backwards(),
+                    fault.share(),
+                    fault.jar(),
+                    fault.moves()));
         }
         return scenario.with(numbered);
     }
 
-    private static Fault one(Scenario scenario, Random random, double at) {
-        What what = KINDS.get(random.nextInt(KINDS.size()));
-        double lasts = LEAST_MS + random.nextDouble() * (MOST_MS - LEAST_MS);
-        double share = 0.1 + random.nextDouble() * HALF;
+    private static Fault drawFault(Scenario scenario, Random random, double atMs) {
+        What what = DRAWN_KINDS.get(random.nextInt(DRAWN_KINDS.size()));
+        double durationMs = MIN_DURATION_MS + random.nextDouble() * (MAX_DURATION_MS - MIN_DURATION_MS);
+        double share = 0.1 + random.nextDouble() * MAX_SHARE;
         return switch (what.aim()) {
             case SIDECARS ->
                 new Fault(
                         0,
-                        at,
-                        lasts,
+                        atMs,
+                        durationMs,
                         what,
-                        some(scenario, Group.SIDECAR, random),
+                        drawParts(scenario, Group.SIDECAR, random),
                         List.of(),
                         Conduct.CLEAR,
                         Conduct.CLEAR,
@@ -93,10 +94,10 @@
             case ENDPOINTS ->
                 new Fault(
                         0,
-                        at,
-                        lasts,
+                        atMs,
+                        durationMs,
                         what,
-                        some(scenario, Group.ENDPOINT, random),
+                        drawParts(scenario, Group.ENDPOINT, random),
                         List.of(),
                         Conduct.CLEAR,
                         Conduct.CLEAR,
@@ -106,8 +107,8 @@
             case DISCOVERY ->
                 new Fault(
                         0,
-                        at,
-                        lasts,
+                        atMs,
+                        durationMs,
                         what,
                         List.of(Group.DISCOVERY.name(0)),
                         List.of(),
@@ -116,17 +117,17 @@
                         share,
                         "",
                         false);
-            default -> link(scenario, random, at, lasts, what);
+            default -> drawLinkFault(scenario, random, atMs, durationMs, what);
         };
     }
 
-    private static Fault link(Scenario scenario, Random random, double at, double lasts, What what) {
+    private static Fault drawLinkFault(Scenario scenario, Random random, double atMs, double durationMs, What what) {
         Conduct conduct = random.nextBoolean()
                 ? Conduct.SILENT
                 : new Conduct(
                         random.nextInt(300),
                         random.nextInt(100),
-                        random.nextDouble() * HALF,
+                        random.nextDouble() * MAX_SHARE,
                         0,
                         0,
                         Double.POSITIVE_INFINITY,
@@ -136,20 +137,20 @@
         boolean toDiscovery = random.nextInt(4) == 0;
         return new Fault(
                 0,
-                at,
-                lasts,
+                atMs,
+                durationMs,
                 what,
-                some(scenario, Group.SIDECAR, random),
-                toDiscovery ? List.of(Group.DISCOVERY.name(0)) : some(scenario, Group.ENDPOINT, random),
+                drawParts(scenario, Group.SIDECAR, random),
+                toDiscovery ? List.of(Group.DISCOVERY.name(0)) : drawParts(scenario, Group.ENDPOINT, random),
                 direction == 1 ? Conduct.CLEAR : conduct,
                 direction == 2 ? Conduct.CLEAR : conduct,
-                HALF,
+                MAX_SHARE,
                 "",
                 false);
     }
 
-    private static List<String> some(Scenario scenario, Group group, Random random) {
-        return new Selector(group, -1, "", Math.max(0.01, random.nextDouble() * HALF))
+    private static List<String> drawParts(Scenario scenario, Group group, Random random) {
+        return new Selector(group, -1, "", Math.max(0.01, random.nextDouble() * MAX_SHARE))
                 .resolve(scenario.sizes(), random);
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/explore/Shrink.java
+++ b/fleet/src/main/java/martenlatch/fleet/explore/Shrink.java
@@ -5,45 +5,45 @@
 import java.util.function.Predicate;
 
 /**
- * Cuts a list down to as few entries as still fail, by delta debugging (ddmin; Zeller and Hildebrandt, IEEE
- * TSE 28(2), 2002): no single entry of what is left can be left out.
+ * Reduces a list to fewer entries that still fail, by delta debugging (ddmin; Zeller and Hildebrandt, IEEE TSE 28(2),
+ * 2002). No single entry of the result can be removed without the failure disappearing.
  */
 public final class Shrink {
 
     private Shrink() {}
 
-    /** The entries that matter, in their order; {@code fails} must hold of all of them together. */
+    /** Returns the entries that are needed to fail, in their order. {@code fails} must accept the whole list. */
     public static <T> List<T> of(List<T> all, Predicate<List<T>> fails) {
         if (!fails.test(all)) {
             throw new IllegalArgumentException("the plan must fail as it is but does not");
         }
-        List<T> left = all;
-        int parts = 2;
-        while (left.size() >= 2) {
-            List<T> smaller = smaller(left, Math.min(parts, left.size()), fails);
+        List<T> remaining = all;
+        int partCount = 2;
+        while (remaining.size() >= 2) {
+            List<T> smaller = removeOnePart(remaining, Math.min(partCount, remaining.size()), fails);
             if (smaller != null) {
-                parts = Math.max(2, Math.min(parts, left.size()) - 1);
-                left = smaller;
-            } else if (parts >= left.size()) {
+                partCount = Math.max(2, Math.min(partCount, remaining.size()) - 1);
+                remaining = smaller;
+            } else if (partCount >= remaining.size()) {
                 break;
             } else {
-                parts = Math.min(left.size(), parts * 2);
+                partCount = Math.min(remaining.size(), partCount * 2);
             }
         }
-        return left;
+        return remaining;
     }
 
-    private static <T> List<T> smaller(List<T> left, int parts, Predicate<List<T>> fails) {
-        for (int i = 0; i < parts; i++) {
-            int from = left.size() * i / parts;
-            int to = left.size() * (i + 1) / parts;
-            List<T> part = left.subList(from, to);
-            if (part.size() < left.size() && fails.test(part)) {
+    private static <T> List<T> removeOnePart(List<T> remaining, int partCount, Predicate<List<T>> fails) {
+        for (int i = 0; i < partCount; i++) {
+            int from = remaining.size() * i / partCount;
+            int to = remaining.size() * (i + 1) / partCount;
+            List<T> part = remaining.subList(from, to);
+            if (part.size() < remaining.size() && fails.test(part)) {
                 return List.copyOf(part);
             }
-            List<T> rest = new ArrayList<>(left.subList(0, from));
-            rest.addAll(left.subList(to, left.size()));
-            if (!rest.isEmpty() && parts > 2 && fails.test(rest)) {
+            List<T> rest = new ArrayList<>(remaining.subList(0, from));
+            rest.addAll(remaining.subList(to, remaining.size()));
+            if (!rest.isEmpty() && partCount > 2 && fails.test(rest)) {
                 return rest;
             }
         }
--- a/fleet/src/main/java/martenlatch/fleet/explore/package-info.java
+++ b/fleet/src/main/java/martenlatch/fleet/explore/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Looks for fault plans that break something: draws them at random within bounds, and cuts one that does
- * down to the faults that matter. It decides only; what a plan comes to is for whoever plays it.
+ * Searches for fault plans that violate a rule: draws random plans within bounds, and reduces a failing plan to the
+ * faults that are needed. The caller runs the plans.
  */
 package martenlatch.fleet.explore;
--- a/fleet/src/main/java/martenlatch/fleet/front/Front.java
+++ b/fleet/src/main/java/martenlatch/fleet/front/Front.java
@@ -3,81 +3,82 @@
 import java.util.SplittableRandom;
 
 /**
- * Deals out clients' requests among sidecars, as a front does that notices late who is down. No I/O; times
- * are milliseconds and come with the calls, which may come from several threads.
+ * Distributes clients' requests among sidecars, like a front-end balancer that learns late which sidecars are down.
+ * Thread-safe. It does no I/O; callers pass the time in milliseconds.
  */
 public final class Front {
 
-    /** What the front believes of a sidecar. */
+    /** The state of a sidecar as the front knows it. */
     public enum State {
-        /** It may be sent anything. */
+        /** The sidecar gets requests on any connection. */
         UP,
-        /** Only connections that stand are used. */
+        /** The sidecar gets requests on open connections only. */
         LEAVING,
+        /** The sidecar gets no requests. */
         DOWN
     }
 
     private final double[] weights;
     private final State[] states;
-    private final double[] changesAt;
-    private final State[] next;
+    private final double[] changesAtMs;
+    private final State[] nextStates;
     private final SplittableRandom random;
 
-    /** All are down at first; the busiest of them gets {@code skew} times as much as the quietest. */
+    /** Creates a front with all sidecars down. The busiest sidecar gets {@code skew} times as much as the least busy. */
     public Front(int sidecars, double skew, long seed) {
         weights = new double[sidecars];
         states = new State[sidecars];
-        next = new State[sidecars];
-        changesAt = new double[sidecars];
+        nextStates = new State[sidecars];
+        changesAtMs = new double[sidecars];
         random = new SplittableRandom(seed);
         for (int i = 0; i < sidecars; i++) {
             weights[i] = Math.pow(skew, sidecars == 1 ? 0 : i / (sidecars - 1.0));
             states[i] = State.DOWN;
-            next[i] = State.DOWN;
-            changesAt[i] = Double.POSITIVE_INFINITY;
+            nextStates[i] = State.DOWN;
+            changesAtMs[i] = Double.POSITIVE_INFINITY;
         }
     }
 
-    /** From this time on the front believes so. */
+    /** Sets the state that the front assumes for a sidecar from this time on. */
     public synchronized void setStateAt(int sidecar, State state, double atMs) {
-        next[sidecar] = state;
-        changesAt[sidecar] = atMs;
+        nextStates[sidecar] = state;
+        changesAtMs[sidecar] = atMs;
     }
 
-    /** What it believes at this time. */
-    public synchronized State state(int sidecar, double now) {
-        if (now >= changesAt[sidecar]) {
-            states[sidecar] = next[sidecar];
-            changesAt[sidecar] = Double.POSITIVE_INFINITY;
+    /** Returns the state that the front assumes for a sidecar at this time. */
+    public synchronized State state(int sidecar, double nowMs) {
+        if (nowMs >= changesAtMs[sidecar]) {
+            states[sidecar] = nextStates[sidecar];
+            changesAtMs[sidecar] = Double.POSITIVE_INFINITY;
         }
         return states[sidecar];
     }
 
-    /** Whether a sidecar that is leaving has a connection that can be used. */
-    public interface Standing {
-        boolean at(int sidecar);
+    /** Tells whether a sidecar that is leaving has an open connection that can be used. */
+    public interface OpenConnections {
+        boolean existTo(int sidecar);
     }
 
-    /** Where the next request goes; where all are down, to any. */
-    public synchronized int pick(double now, Standing standing) {
-        double sum = 0;
+    /** Returns the sidecar for the next request, drawn by weight; any sidecar if none can be used. */
+    public synchronized int pick(double nowMs, OpenConnections openConnections) {
+        double totalWeight = 0;
         for (int i = 0; i < weights.length; i++) {
-            sum += weight(i, now, standing);
+            totalWeight += weight(i, nowMs, openConnections);
         }
-        double drawn = random.nextDouble() * sum;
+        double drawn = random.nextDouble() * totalWeight;
         for (int i = 0; i < weights.length; i++) {
-            drawn -= weight(i, now, standing);
-            if (sum > 0 && drawn < 0) {
+            drawn -= weight(i, nowMs, openConnections);
+            if (totalWeight > 0 && drawn < 0) {
                 return i;
             }
         }
         return random.nextInt(weights.length);
     }
 
-    private double weight(int sidecar, double now, Standing standing) {
-        return switch (state(sidecar, now)) {
+    private double weight(int sidecar, double nowMs, OpenConnections openConnections) {
+        return switch (state(sidecar, nowMs)) {
             case UP -> weights[sidecar];
-            case LEAVING -> standing.at(sidecar) ? weights[sidecar] : 0;
+            case LEAVING -> openConnections.existTo(sidecar) ? weights[sidecar] : 0;
             default -> 0;
         };
     }
--- a/fleet/src/main/java/martenlatch/fleet/front/package-info.java
+++ b/fleet/src/main/java/martenlatch/fleet/front/package-info.java
@@ -1,2 +1,2 @@
-/** Deals out clients' requests among sidecars, the same for real processes and in simulation. No I/O. */
+/** Distributes clients' requests among sidecars, for real processes and for the simulation. It does no I/O. */
 package martenlatch.fleet.front;
--- a/fleet/src/main/java/martenlatch/fleet/history/Event.java
+++ b/fleet/src/main/java/martenlatch/fleet/history/Event.java
@@ -1,51 +1,50 @@
 package martenlatch.fleet.history;
 
 /**
- * One thing that some side of a run has seen.
+ * One observation that a part of the rig recorded during a run. The component names are part of the history's digest.
  *
  * @param atMs milliseconds since the run's start, on the rig's monotonic clock
- * @param what the kind of thing
- * @param who whose: a client, a sidecar, an endpoint, a link's sender
- * @param whom the other side, or empty
- * @param id the request's, or empty
- * @param detail more, by kind
+ * @param what the kind of event
+ * @param who the part that it happened at: a client, a sidecar, an endpoint or the sender of a link
+ * @param whom the other part, or empty
+ * @param id the id of the request, or empty
+ * @param detail further data that depends on the kind
  */
 public record Event(double atMs, What what, String who, String whom, String id, String detail) {
 
-    /** Kinds of things. */
+    /** Kinds of events. */
     public enum What {
-        /**
-         * A client has sent a request, of the class and kind of effect that the detail names, to a sidecar.
-         */
+        /** A client has sent a request to a sidecar; the detail is its class, its effect and its deadline in ms. */
         ASKED,
-        /** A client's request has ended; the detail is how. */
+        /** A client's request has ended; the detail is the outcome. */
         ENDED,
-        /** A sidecar has sent a request on: its head has come into the link to the endpoint. */
+        /** A sidecar has sent an attempt: the head of the request has entered the link to the endpoint. */
         SENT,
-        /** An endpoint has a whole request and begins it; the detail says whether it was cold. */
+        /** An endpoint has received a whole request and starts it; the detail says whether the endpoint was cold. */
         RAN,
-        /** An endpoint has a whole request and turns it away. */
+        /** An endpoint has received a whole request and rejects it. */
         TURNED_AWAY,
-        /** An endpoint has written a whole answer. */
+        /** An endpoint has written a complete response. */
         ANSWERED,
-        /** Discovery has written a change to a sidecar; the detail is the endpoint's state. */
+        /** Discovery has written a change to a sidecar; the detail is the state of the endpoint. */
         TOLD,
-        /** Discovery's list says something else of an endpoint; the detail is its state. */
+        /** The state of an endpoint in discovery's list has changed; the detail is the new state. */
         CHANGED,
-        /** A sidecar's call to discovery has come to its turn; the detail is answered or refused. */
+        /** Discovery has handled a sidecar's call; the detail is answered or refused. */
         LIST_CALL,
-        /** Discovery has taken a call that may wait; the detail is for how long, in milliseconds. */
+        /** Discovery has accepted a long poll; the detail is its longest wait in milliseconds. */
         LONG_POLL,
-        /** An endpoint has started; for how long it is cold is in the detail, in milliseconds. */
+        /** An endpoint has started; the detail is how long it stays cold, in milliseconds. */
         ENDPOINT_UP,
-        /** A process: started, serving, paused, resumed, signalled, ended. */
+        /** The state of a sidecar process has changed, for example to paused, resumed, serving or ended. */
         PROCESS,
-        /** A line of a process's log. */
+        /** A process has written a line to its log. */
         LOG,
-        /** A fault begins, and is over; who is its place in the plan, whom is what it hits. */
+        /** A fault begins; {@code who} is its number in the plan, {@code whom} is what it affects. */
         FAULT_BEGINS,
+        /** A fault is over. */
         FAULT_ENDS,
-        /** The rig itself was late, or could not do what it was to do; the detail says what. */
+        /** The rig was late or could not carry out an action; the detail is the delay in milliseconds or the failure. */
         RIG
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/history/History.java
+++ b/fleet/src/main/java/martenlatch/fleet/history/History.java
@@ -10,58 +10,59 @@
 import martenlatch.fleet.history.Event.What;
 
 /**
- * The events of one run, in the order in which they were told. Any thread may tell. It holds a bounded
- * number: what comes beyond is counted, and a history with any of that missing is of no use to a judge.
+ * The events of one run, in the order in which they were recorded. Thread-safe. It holds a bounded number of events
+ * and counts those beyond it; a run with dropped events is void.
  */
 public final class History {
 
-    private static final double NANOS_IN_MS = 1e6;
+    private static final double NANOS_PER_MS = 1e6;
 
     private final LongSupplier clock;
-    private final int most;
+    private final int maxEvents;
     private final List<Event> events = new ArrayList<>();
-    private long start;
+    private long startNanos;
     private long missing;
 
     /**
-     * An empty history whose time starts now.
+     * Creates an empty history whose time starts now.
      *
-     * @param clock nanoseconds, monotonic
+     * @param clock a monotonic clock in nanoseconds
+     * @param maxEvents the number of events after which further events are dropped
      */
-    public History(LongSupplier clock, int most) {
+    public History(LongSupplier clock, int maxEvents) {
         this.clock = clock;
-        this.most = most;
-        start = clock.getAsLong();
+        this.maxEvents = maxEvents;
+        startNanos = clock.getAsLong();
     }
 
-    /** Time 0 is at this reading of the clock; what was told before it gets a time below 0. */
+    /** Sets time 0 to this reading of the clock; events recorded before it get negative times. */
     public synchronized void startAt(long nanos) {
-        double shift = (start - nanos) / NANOS_IN_MS;
-        start = nanos;
+        double shiftMs = (startNanos - nanos) / NANOS_PER_MS;
+        startNanos = nanos;
         events.replaceAll(
-                one -> new Event(one.atMs() + shift, one.what(), one.who(), one.whom(), one.id(), one.detail()));
+                one -> new Event(one.atMs() + shiftMs, one.what(), one.who(), one.whom(), one.id(), one.detail()));
     }
 
-    /** Milliseconds since the start. */
+    /** Returns the milliseconds since the start. */
     public synchronized double now() {
-        return (clock.getAsLong() - start) / NANOS_IN_MS;
+        return (clock.getAsLong() - startNanos) / NANOS_PER_MS;
     }
 
-    /** Something has happened just now. */
+    /** Records an event at the current time, or counts it as dropped if the history is full. */
     public synchronized void record(What what, String who, String whom, String id, String detail) {
-        if (events.size() >= most) {
+        if (events.size() >= maxEvents) {
             missing++;
             return;
         }
-        events.add(new Event((clock.getAsLong() - start) / NANOS_IN_MS, what, who, whom, id, detail));
+        events.add(new Event((clock.getAsLong() - startNanos) / NANOS_PER_MS, what, who, whom, id, detail));
     }
 
-    /** All so far, in order of their times. */
+    /** Returns a copy of all events recorded so far, in the order in which they were recorded. */
     public synchronized List<Event> events() {
         return List.copyOf(events);
     }
 
-    /** What tells this history from any other: the SHA-256 of all its events, in their order. */
+    /** Returns the SHA-256 of all events in their order, which identifies the history. */
     public synchronized String digest() {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
@@ -74,7 +75,7 @@
         }
     }
 
-    /** How many there was no room for. */
+    /** Returns how many events were dropped because the history was full. */
     public synchronized long missing() {
         return missing;
     }
--- a/fleet/src/main/java/martenlatch/fleet/history/package-info.java
+++ b/fleet/src/main/java/martenlatch/fleet/history/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What every side of a run has seen, on one clock. It uses nothing of the other rooms, and judges read it.
+ * Records what happens during a run, on one clock. The package depends on no other package of the fleet module.
  */
 package martenlatch.fleet.history;
--- a/fleet/src/main/java/martenlatch/fleet/judge/ColdEndpointChecker.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/ColdEndpointChecker.java
@@ -12,13 +12,13 @@
 import martenlatch.world.WorldSettings;
 
 /**
- * No cold endpoint pushed over: all sidecars together send it, in any window of the rule's, no more than
- * the rule's multiple of what it can do while it is cold.
+ * Checks that sidecars do not overload a cold endpoint: in any window of {@link Rules#FALL_MS}, all sidecars together
+ * send it at most {@link Rules#TIP_MULTIPLE} times what it can serve while it is cold.
  */
 public final class ColdEndpointChecker implements RunChecker {
 
-    /** What may come by chance beyond an expected number: three standard deviations of a Poisson count. */
-    private static final double CHANCE = 3;
+    /** Standard deviations of a Poisson count that are allowed above the expected number of requests. */
+    private static final double ALLOWED_DEVIATIONS = 3;
 
     @Override
     public String name() {
@@ -28,46 +28,48 @@
     @Override
     public List<Finding> check(RunRecord run) {
         WorldSettings world = run.scenario().world();
-        double expected = Rules.TIP_MULTIPLE
+        double expectedRequests = Rules.TIP_MULTIPLE
                 * Rules.FALL_MS
                 * world.slots()
                 / Math.max(0.001, world.service().meanMs())
                 / world.coldFactor();
-        double most = expected + CHANCE * Math.sqrt(expected);
-        List<Finding> found = new ArrayList<>();
-        Map<String, List<Event>> byEndpoint = new HashMap<>();
+        double maxRequests = expectedRequests + ALLOWED_DEVIATIONS * Math.sqrt(expectedRequests);
+        List<Finding> findings = new ArrayList<>();
+        Map<String, List<Event>> arrivalsByEndpoint = new HashMap<>();
         for (Event event : run.events()) {
             if (event.what() == What.RAN || event.what() == What.TURNED_AWAY) {
-                byEndpoint.computeIfAbsent(event.who(), k -> new ArrayList<>()).add(event);
+                arrivalsByEndpoint
+                        .computeIfAbsent(event.who(), k -> new ArrayList<>())
+                        .add(event);
             }
         }
-        for (Event up : run.all(What.ENDPOINT_UP)) {
-            double warmAt = up.atMs() + Double.parseDouble(up.detail());
+        for (Event start : run.all(What.ENDPOINT_UP)) {
+            double warmAtMs = start.atMs() + Double.parseDouble(start.detail());
             Deque<Event> window = new ArrayDeque<>();
-            for (Event event : byEndpoint.getOrDefault(up.who(), List.of())) {
-                if (event.atMs() < up.atMs() || event.atMs() > warmAt) {
+            for (Event event : arrivalsByEndpoint.getOrDefault(start.who(), List.of())) {
+                if (event.atMs() < start.atMs() || event.atMs() > warmAtMs) {
                     continue;
                 }
                 window.add(event);
                 while (window.peek().atMs() < event.atMs() - Rules.FALL_MS) {
                     window.poll();
                 }
-                if (window.size() > most) {
-                    found.add(new Finding(
+                if (window.size() > maxRequests) {
+                    findings.add(new Finding(
                             name(),
                             event.id(),
                             event.atMs(),
                             String.format(
                                     Locale.ROOT,
                                     "%s had %d requests within %.0f ms while cold, at most %.0f",
-                                    up.who(),
+                                    start.who(),
                                     window.size(),
                                     Rules.FALL_MS,
-                                    most)));
+                                    maxRequests)));
                     break;
                 }
             }
         }
-        return found;
+        return findings;
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/judge/CrashChecker.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/CrashChecker.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import martenlatch.fleet.history.Event.What;
 
-/** No sidecar ends unless it was told to, nor with a status above 0 when it was asked to. */
+/** Checks that no sidecar exits on its own, or with a status above 0 after it was asked to exit. */
 public final class CrashChecker implements RunChecker {
 
     @Override
--- a/fleet/src/main/java/martenlatch/fleet/judge/DrainChecker.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/DrainChecker.java
@@ -9,20 +9,25 @@
 import martenlatch.fleet.scenario.Fault;
 
 /**
- * Drains kept: nothing new goes to an endpoint from the grace on after its sidecar was told that it drains
- * or is gone. Told counts when discovery has written it; where the way from there is disturbed, when that
- * is over, and at the latest as the platform says. A sidecar that stands still hears when it goes on. One
- * that has not asked for as long as its settings allow counts as told what it would have heard, and whatever
- * else is allowed, so does every sidecar 6 s after discovery had a change and could be reached, or 2 s after the
- * wait of a long poll that discovery has fallen silent on, if that is later; also one whose process began after
- * the change and has a list from before it.
+ * Checks that sidecars respect drains: a sidecar sends no new request to an endpoint once the drain grace has passed
+ * after the sidecar was notified that the endpoint drains or is gone.
+ *
+ * <p>If discovery has written the change to it, a sidecar counts as notified at that time or, if a fault is on the
+ * link then, when the fault is over, but at most {@link Rules#NOTIFIED_WITHIN_MS} after the write.
+ *
+ * <p>Otherwise it counts as notified when it would have heard the change by polling as often as its settings require,
+ * but at most {@link Rules#NOTIFIED_WITHIN_MS} after discovery had the change and was reachable. This includes a
+ * process that started after the change with an older list. If discovery left a long poll unanswered, the sidecar has
+ * time until {@link Rules#LONG_POLL_SLACK_MS} after the wait of that poll, if that is later.
+ *
+ * <p>A sidecar that is paused at that time counts as notified when it resumes.
  */
 public final class DrainChecker implements RunChecker {
 
-    /** A sidecar whose last call failed may wait for this multiple of what else is allowed. */
-    private static final int FAILED_TIMES = 4;
+    /** A sidecar whose last call failed may wait for this multiple of the usual poll interval. */
+    private static final int FAILED_CALL_MULTIPLE = 4;
 
-    /** A call that discovery may hold back until there is something to tell, or until its wait is over. */
+    /** A call that discovery may leave open until the list changes, or until the wait of the call is over. */
     private record LongPoll(double beganAtMs, double endsAtMs) {}
 
     @Override
@@ -32,18 +37,18 @@
 
     @Override
     public List<Finding> check(RunRecord run) {
-        List<Finding> found = new ArrayList<>();
-        double grace = run.scenario().world().drainGraceMs() + Rules.SOCKET_SLACK_MS;
-        Map<String, Double> told = new HashMap<>();
-        Map<String, Double> leaving = new HashMap<>();
-        Map<String, Double> serving = new HashMap<>();
+        List<Finding> findings = new ArrayList<>();
+        double graceMs = run.scenario().world().drainGraceMs() + Rules.SOCKET_SLACK_MS;
+        Map<String, Double> notifiedAtMs = new HashMap<>();
+        Map<String, Double> leavingSinceMs = new HashMap<>();
+        Map<String, Double> servingSinceMs = new HashMap<>();
         Map<String, List<LongPoll>> longPolls = new HashMap<>();
         for (Event event : run.events()) {
             String pair = event.who() + " " + event.whom();
             if (event.what() == Event.What.PROCESS && event.detail().equals("serves")) {
-                // A new process starts from the list of its start, and was told nothing else.
-                told.keySet().removeIf(key -> key.startsWith(event.who() + " "));
-                serving.put(event.who(), event.atMs());
+                // A new process knows only the list that it starts with.
+                notifiedAtMs.keySet().removeIf(key -> key.startsWith(event.who() + " "));
+                servingSinceMs.put(event.who(), event.atMs());
             } else if (event.what() == Event.What.LIST_CALL) {
                 endLongPoll(longPolls.get(event.who()), event.atMs());
             } else if (event.what() == Event.What.LONG_POLL) {
@@ -51,19 +56,20 @@
                         .computeIfAbsent(event.who(), sidecar -> new ArrayList<>())
                         .add(new LongPoll(event.atMs(), event.atMs() + Double.parseDouble(event.detail())));
             } else if (event.what() == Event.What.CHANGED && event.detail().equals("in_service")) {
-                leaving.remove(event.whom());
+                leavingSinceMs.remove(event.whom());
             } else if (event.what() == Event.What.CHANGED) {
-                leaving.putIfAbsent(event.whom(), event.atMs());
+                leavingSinceMs.putIfAbsent(event.whom(), event.atMs());
             } else if (event.what() == Event.What.TOLD && event.detail().equals("in_service")) {
-                told.remove(pair);
+                notifiedAtMs.remove(pair);
             } else if (event.what() == Event.What.TOLD) {
-                double arrived = Math.min(
-                        event.atMs() + Rules.TOLD_WITHIN_MS, run.arrivesBy(event.who(), "discovery", event.atMs()));
-                told.putIfAbsent(pair, run.backAt(event.who(), arrived));
+                double arrivedAtMs = Math.min(
+                        event.atMs() + Rules.NOTIFIED_WITHIN_MS,
+                        run.arrivesByMs(event.who(), "discovery", event.atMs()));
+                notifiedAtMs.putIfAbsent(pair, run.availableAgainAtMs(event.who(), arrivedAtMs));
             } else if (event.what() == Event.What.SENT
-                    && told.containsKey(pair)
-                    && event.atMs() > told.get(pair) + grace) {
-                found.add(new Finding(
+                    && notifiedAtMs.containsKey(pair)
+                    && event.atMs() > notifiedAtMs.get(pair) + graceMs) {
+                findings.add(new Finding(
                         name(),
                         event.id(),
                         event.atMs(),
@@ -72,18 +78,19 @@
                                 "%s sent it to %s %.0f ms after it was told",
                                 event.who(),
                                 event.whom(),
-                                event.atMs() - told.get(pair))));
+                                event.atMs() - notifiedAtMs.get(pair))));
             } else if (event.what() == Event.What.SENT
-                    && leaving.containsKey(event.whom())
-                    && !told.containsKey(pair)) {
-                double changed = leaving.get(event.whom());
-                double since = Math.max(changed, serving.getOrDefault(event.who(), 0.0));
+                    && leavingSinceMs.containsKey(event.whom())
+                    && !notifiedAtMs.containsKey(pair)) {
+                double changedAtMs = leavingSinceMs.get(event.whom());
+                double sinceMs = Math.max(changedAtMs, servingSinceMs.getOrDefault(event.who(), 0.0));
                 List<LongPoll> polls = longPolls.getOrDefault(event.who(), List.of());
-                double polled = Math.min(due(run, event.who(), since), latest(run, event.who(), changed));
-                double due = Math.max(polled, silentUntil(run, event.who(), changed, polls));
-                double heard = run.backAt(event.who(), due);
-                if (event.atMs() > heard + grace) {
-                    found.add(new Finding(
+                double pollDueMs = Math.min(
+                        pollDeadlineMs(run, event.who(), sinceMs), latestNotificationMs(run, event.who(), changedAtMs));
+                double dueMs = Math.max(pollDueMs, unansweredPollEndMs(run, event.who(), changedAtMs, polls));
+                double heardAtMs = run.availableAgainAtMs(event.who(), dueMs);
+                if (event.atMs() > heardAtMs + graceMs) {
+                    findings.add(new Finding(
                             name(),
                             event.id(),
                             event.atMs(),
@@ -92,43 +99,45 @@
                                     "%s sent it to %s %.0f ms after it would have heard, had it asked",
                                     event.who(),
                                     event.whom(),
-                                    event.atMs() - heard)));
+                                    event.atMs() - heardAtMs)));
                 }
             }
         }
-        return found;
+        return findings;
     }
 
-    /** When a change made at this time counts as told, whatever a sidecar was allowed to wait for. */
-    private static double latest(RunRecord run, String sidecar, double changed) {
-        double latest = changed + Rules.TOLD_WITHIN_MS;
+    /** Returns the time by which a change counts as notified, whatever poll interval the sidecar is allowed. */
+    private static double latestNotificationMs(RunRecord run, String sidecar, double changedAtMs) {
+        double latestMs = changedAtMs + Rules.NOTIFIED_WITHIN_MS;
         for (Fault fault : run.scenario().faults()) {
-            if (isDeaf(fault, sidecar) && fault.atMs() <= latest && fault.endMs() >= changed) {
-                latest = Math.max(latest, fault.endMs() + Rules.TOLD_WITHIN_MS);
+            if (isUnreachable(fault, sidecar) && fault.atMs() <= latestMs && fault.endMs() >= changedAtMs) {
+                latestMs = Math.max(latestMs, fault.endMs() + Rules.NOTIFIED_WITHIN_MS);
             }
         }
-        return latest;
+        return latestMs;
     }
 
     /**
-     * When the wait of a long poll is over that discovery was silent on, and that a change was made in; a sidecar
-     * cannot know any sooner that it is silent.
+     * Returns when the sidecar must have noticed that discovery left a long poll unanswered in which the change was
+     * made, or 0 if there is none. It cannot notice this before the wait of the long poll is over.
      */
-    private static double silentUntil(RunRecord run, String sidecar, double changed, List<LongPoll> polls) {
-        double until = 0;
+    private static double unansweredPollEndMs(RunRecord run, String sidecar, double changedAtMs, List<LongPoll> polls) {
+        double untilMs = 0;
         for (LongPoll poll : polls) {
             boolean isSilent = run.scenario().faults().stream()
-                    .anyMatch(fault -> isSilence(fault, sidecar)
+                    .anyMatch(fault -> isDiscoverySilent(fault, sidecar)
                             && fault.atMs() <= poll.endsAtMs()
                             && fault.endMs() >= poll.beganAtMs());
-            if (isSilent && poll.beganAtMs() <= changed + Rules.TOLD_WITHIN_MS && changed <= poll.endsAtMs()) {
-                until = Math.max(until, poll.endsAtMs() + Rules.LONG_POLL_SLACK_MS);
+            if (isSilent
+                    && poll.beganAtMs() <= changedAtMs + Rules.NOTIFIED_WITHIN_MS
+                    && changedAtMs <= poll.endsAtMs()) {
+                untilMs = Math.max(untilMs, poll.endsAtMs() + Rules.LONG_POLL_SLACK_MS);
             }
         }
-        return until;
+        return untilMs;
     }
 
-    /** A sidecar's next call shows that the one before is over. */
+    /** Ends the last long poll, because the sidecar's next call shows that it is over. */
     private static void endLongPoll(List<LongPoll> polls, double atMs) {
         if (polls == null) {
             return;
@@ -137,27 +146,28 @@
         polls.add(new LongPoll(last.beganAtMs(), Math.min(last.endsAtMs(), atMs)));
     }
 
-    private static boolean isSilence(Fault fault, String sidecar) {
+    private static boolean isDiscoverySilent(Fault fault, String sidecar) {
         return fault.what() == Fault.What.SILENT || fault.isOn(sidecar, "discovery");
     }
 
-    /** Whether discovery, or the way to it, is at fault for this sidecar. */
-    private static boolean isDeaf(Fault fault, String sidecar) {
+    /** Returns whether a fault keeps this sidecar from hearing discovery: on discovery or on the link to it. */
+    private static boolean isUnreachable(Fault fault, String sidecar) {
         return fault.what().aim() == Fault.Aim.DISCOVERY || fault.isOn(sidecar, "discovery");
     }
 
     /**
-     * When a change made at this time has been heard by whoever asks as often as the settings want. While
-     * discovery, or the way to it, is at fault nothing can be heard; after it four times as long is allowed.
+     * Returns when a change has reached any sidecar that polls as often as its settings require. No change arrives
+     * while discovery or the link to it is faulty; after the fault {@link #FAILED_CALL_MULTIPLE} times the poll
+     * interval is allowed.
      */
-    private static double due(RunRecord run, String sidecar, double since) {
-        double askWithin = run.scenario().discovery().askWithinMs();
-        double due = since + askWithin;
+    private static double pollDeadlineMs(RunRecord run, String sidecar, double sinceMs) {
+        double pollIntervalMs = run.scenario().discovery().askWithinMs();
+        double dueMs = sinceMs + pollIntervalMs;
         for (Fault fault : run.scenario().faults()) {
-            if (isDeaf(fault, sidecar) && fault.atMs() <= due && fault.endMs() >= since) {
-                due = Math.max(due, fault.endMs() + FAILED_TIMES * askWithin);
+            if (isUnreachable(fault, sidecar) && fault.atMs() <= dueMs && fault.endMs() >= sinceMs) {
+                dueMs = Math.max(dueMs, fault.endMs() + FAILED_CALL_MULTIPLE * pollIntervalMs);
             }
         }
-        return due;
+        return dueMs;
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/judge/DuplicateRunChecker.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/DuplicateRunChecker.java
@@ -5,7 +5,8 @@
 import martenlatch.fleet.history.Event;
 
 /**
- * No effect twice: an unsafe request runs once at the most, and is not called refused when it may have run.
+ * Checks that no request takes effect twice: an unsafe request runs at most once, and is not answered as refused if
+ * it may have run. It also checks that no request ends more than once for its client.
  */
 public final class DuplicateRunChecker implements RunChecker {
 
@@ -16,29 +17,33 @@
 
     @Override
     public List<Finding> check(RunRecord run) {
-        List<Finding> found = new ArrayList<>();
-        for (RunRecord.RequestRecord one : run.requests()) {
-            if (one.isUnsafe() && one.ran().size() > 1) {
-                found.add(new Finding(
+        List<Finding> findings = new ArrayList<>();
+        for (RunRecord.RequestRecord request : run.requests()) {
+            if (request.isUnsafe() && request.executions().size() > 1) {
+                findings.add(new Finding(
                         name(),
-                        one.id(),
-                        one.ran().get(1).atMs(),
-                        "ran at " + one.ran().stream().map(Event::who).toList()));
-            } else if (one.isUnsafe() && !one.ran().isEmpty() && one.end().startsWith("REFUSED")) {
-                found.add(new Finding(
+                        request.id(),
+                        request.executions().get(1).atMs(),
+                        "ran at "
+                                + request.executions().stream().map(Event::who).toList()));
+            } else if (request.isUnsafe()
+                    && !request.executions().isEmpty()
+                    && request.outcome().startsWith("REFUSED")) {
+                findings.add(new Finding(
                         name(),
-                        one.id(),
-                        one.endedAt(),
-                        "refused, though it ran at " + one.ran().get(0).who()));
+                        request.id(),
+                        request.endedAtMs(),
+                        "refused, though it ran at "
+                                + request.executions().get(0).who()));
             }
-            if (one.ends().size() > 1) {
-                found.add(new Finding(
+            if (request.ends().size() > 1) {
+                findings.add(new Finding(
                         name(),
-                        one.id(),
-                        one.ends().get(1).atMs(),
-                        "ended " + one.ends().size() + " times for its client"));
+                        request.id(),
+                        request.ends().get(1).atMs(),
+                        "ended " + request.ends().size() + " times for its client"));
             }
         }
-        return found;
+        return findings;
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/judge/Figures.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/Figures.java
@@ -7,15 +7,15 @@
 import martenlatch.fleet.scenario.Fault;
 
 /**
- * A run in numbers; requests are counted as clients sent them, repeats among them.
+ * The totals of a run. Requests are counted as clients sent them, including clients' retries.
  *
- * @param sent attempts by sidecars
- * @param crossed requests that met a connection being closed, which their clients send again
- * @param listCalls sidecars' calls to discovery that came to their turn, or were turned away
- * @param listRefusals those turned away, as they waited too long
- * @param recoveryMs from the end of the last fault until service stayed at 0.95 of what it was before the
- * first; NaN
- *     where there was no fault, infinite where it did not come back
+ * @param asked requests that clients sent
+ * @param sent attempts that sidecars sent to endpoints
+ * @param crossed requests that arrived on a connection while it was being closed; their clients send them again
+ * @param listCalls sidecars' calls to discovery that discovery handled or rejected
+ * @param listRefusals calls to discovery that were rejected because they had waited too long
+ * @param recoveryMs time from the end of the last fault until the served share stays at or above 0.95 of its value
+ *     before the first fault; NaN if there was no fault, infinite if service did not recover
  */
 public record Figures(
         int asked,
@@ -30,34 +30,34 @@
         int listRefusals,
         double recoveryMs) {
 
-    private static final double WARM_MS = 1000;
+    private static final double WARM_UP_MS = 1000;
     private static final double WINDOW_MS = 1000;
-    private static final double STEP_MS = 250;
-    private static final double BACK = 0.95;
+    private static final double WINDOW_STEP_MS = 250;
+    private static final double RECOVERED_SHARE = 0.95;
 
-    /** Of a run. */
+    /** Computes the figures of a run. */
     public static Figures of(RunRecord run) {
         int[] counts = new int[8];
-        List<double[]> ends = new ArrayList<>();
-        for (RunRecord.RequestRecord one : run.requests()) {
-            if (Double.isNaN(one.askedAt())) {
+        List<double[]> outcomes = new ArrayList<>();
+        for (RunRecord.RequestRecord request : run.requests()) {
+            if (Double.isNaN(request.askedAtMs())) {
                 continue;
             }
             counts[0]++;
-            String end = one.end();
-            boolean served = end.startsWith("SERVED");
+            String outcome = request.outcome();
+            boolean served = outcome.startsWith("SERVED");
             counts[
                     served
                             ? 1
-                            : end.startsWith("REFUSED")
+                            : outcome.startsWith("REFUSED")
                                     ? 2
-                                    : end.startsWith("FAILED") ? 3 : end.startsWith("NOT_SENT") ? 5 : 4]++;
-            counts[6] += one.sent().size();
-            counts[7] += LostRequestChecker.isCrossed(run, one) ? 1 : 0;
-            ends.add(new double[] {one.askedAt(), served ? 1 : 0});
+                                    : outcome.startsWith("FAILED") ? 3 : outcome.startsWith("NOT_SENT") ? 5 : 4]++;
+            counts[6] += request.attempts().size();
+            counts[7] += LostRequestChecker.isCrossed(run, request) ? 1 : 0;
+            outcomes.add(new double[] {request.askedAtMs(), served ? 1 : 0});
         }
         List<Event> calls = run.all(Event.What.LIST_CALL);
-        ends.sort(Comparator.comparingDouble(one -> one[0]));
+        outcomes.sort(Comparator.comparingDouble(one -> one[0]));
         return new Figures(
                 counts[0],
                 counts[1],
@@ -71,49 +71,49 @@
                 (int) calls.stream()
                         .filter(one -> one.detail().equals("refused"))
                         .count(),
-                recovery(run, ends));
+                recoveryMs(run, outcomes));
     }
 
-    /** The share of what clients wanted that was served. */
+    /** Returns the share of the clients' requests that was served. */
     public double servedShare() {
         return asked == 0 ? 0 : served / (double) asked;
     }
 
-    /** Attempts for each request. */
+    /** Returns the number of attempts per request. */
     public double amplification() {
         return asked == 0 ? 0 : sent / (double) asked;
     }
 
-    private static double recovery(RunRecord run, List<double[]> ends) {
+    private static double recoveryMs(RunRecord run, List<double[]> outcomes) {
         List<Fault> faults = run.scenario().faults();
         if (faults.isEmpty()) {
             return Double.NaN;
         }
-        double first = faults.stream().mapToDouble(Fault::atMs).min().orElse(0);
-        double over = faults.stream()
+        double firstFaultMs = faults.stream().mapToDouble(Fault::atMs).min().orElse(0);
+        double faultsEndMs = faults.stream()
                 .mapToDouble(f -> Double.isInfinite(f.forMs()) ? f.atMs() : f.endMs())
                 .max()
                 .orElse(0);
-        double before = share(ends, Math.min(WARM_MS, first / 2), first);
-        double last = run.scenario().seconds() * 1000 - WINDOW_MS;
-        double recovered = over;
-        for (double at = over; at <= last; at += STEP_MS) {
-            if (share(ends, at, at + WINDOW_MS) < BACK * before) {
-                recovered = at + STEP_MS;
+        double shareBefore = shareServedBetween(outcomes, Math.min(WARM_UP_MS, firstFaultMs / 2), firstFaultMs);
+        double lastWindowMs = run.scenario().seconds() * 1000 - WINDOW_MS;
+        double recoveredAtMs = faultsEndMs;
+        for (double atMs = faultsEndMs; atMs <= lastWindowMs; atMs += WINDOW_STEP_MS) {
+            if (shareServedBetween(outcomes, atMs, atMs + WINDOW_MS) < RECOVERED_SHARE * shareBefore) {
+                recoveredAtMs = atMs + WINDOW_STEP_MS;
             }
         }
-        return recovered > last ? Double.POSITIVE_INFINITY : recovered - over;
+        return recoveredAtMs > lastWindowMs ? Double.POSITIVE_INFINITY : recoveredAtMs - faultsEndMs;
     }
 
-    private static double share(List<double[]> ends, double from, double to) {
-        double[] of = ends.stream()
-                .filter(one -> one[0] >= from && one[0] < to)
+    private static double shareServedBetween(List<double[]> outcomes, double fromMs, double toMs) {
+        double[] served = outcomes.stream()
+                .filter(one -> one[0] >= fromMs && one[0] < toMs)
                 .mapToDouble(one -> one[1])
                 .toArray();
         double sum = 0;
-        for (double one : of) {
+        for (double one : served) {
             sum += one;
         }
-        return of.length == 0 ? 1 : sum / of.length;
+        return served.length == 0 ? 1 : sum / served.length;
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/judge/Finding.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/Finding.java
@@ -1,10 +1,11 @@
 package martenlatch.fleet.judge;
 
 /**
- * Something that should not have been.
+ * A violation that a check found in a run. The component names are fields of the JSON report.
  *
- * @param judge who found it: lost, twice, drain, cold, hold, or rig where the run itself was spoilt
- * @param id the request's, or empty
- * @param atMs when, since the run's start
+ * @param judge the name of the check: lost, twice, drain, cold, crash, hold, or rig if the test rig was at fault
+ * @param id the id of the request, or empty
+ * @param atMs the time of the violation, since the start of the run
+ * @param what a description of the violation
  */
 public record Finding(String judge, String id, double atMs, String what) {}
--- a/fleet/src/main/java/martenlatch/fleet/judge/LostRequestChecker.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/LostRequestChecker.java
@@ -5,8 +5,9 @@
 import java.util.Locale;
 
 /**
- * No request lost: each that a living sidecar has taken gets one final answer by its deadline. Not a
- * sidecar's doing is what ends while it is dead or stands still, and what its link to the client spoils.
+ * Checks that no request is lost: each request that a running sidecar has accepted gets one final answer by its
+ * deadline. Requests are exempt if the sidecar was dead or paused meanwhile, or if a fault was on the link between
+ * the client and the sidecar.
  */
 public final class LostRequestChecker implements RunChecker {
 
@@ -17,47 +18,51 @@
 
     @Override
     public List<Finding> check(RunRecord run) {
-        List<Finding> found = new ArrayList<>();
-        for (RunRecord.RequestRecord one : run.requests()) {
-            if (Double.isNaN(one.askedAt()) || isAnswered(one.end()) || neverTaken(one.end()) || isCrossed(run, one)) {
+        List<Finding> findings = new ArrayList<>();
+        for (RunRecord.RequestRecord request : run.requests()) {
+            if (Double.isNaN(request.askedAtMs())
+                    || isAnswered(request.outcome())
+                    || isNeverAccepted(request.outcome())
+                    || isCrossed(run, request)) {
                 continue;
             }
-            double until = Double.isInfinite(one.endedAt()) ? one.deadlineAt() : one.endedAt();
-            if (run.wasAway(one.sidecar(), one.askedAt(), until)
-                    || run.wasDisturbed("clients", one.sidecar(), one.askedAt(), until)) {
+            double untilMs = Double.isInfinite(request.endedAtMs()) ? request.deadlineAtMs() : request.endedAtMs();
+            if (run.wasUnavailable(request.sidecar(), request.askedAtMs(), untilMs)
+                    || run.wasLinkFaulted("clients", request.sidecar(), request.askedAtMs(), untilMs)) {
                 continue;
             }
-            found.add(new Finding(
+            findings.add(new Finding(
                     name(),
-                    one.id(),
-                    until,
+                    request.id(),
+                    untilMs,
                     String.format(
                             Locale.ROOT,
                             "%s took it at %.0f ms, to be answered by %.0f ms: %s",
-                            one.sidecar(),
-                            one.askedAt(),
-                            one.deadlineAt(),
-                            one.end().isEmpty() ? "no end" : one.end())));
+                            request.sidecar(),
+                            request.askedAtMs(),
+                            request.deadlineAtMs(),
+                            request.outcome().isEmpty() ? "no end" : request.outcome())));
         }
-        return found;
+        return findings;
     }
 
-    /** Whether an end is a final answer. */
-    static boolean isAnswered(String end) {
-        return end.startsWith("SERVED") || end.startsWith("REFUSED") || end.startsWith("FAILED status");
+    /** Returns whether an outcome is a final answer of the sidecar. */
+    static boolean isAnswered(String outcome) {
+        return outcome.startsWith("SERVED") || outcome.startsWith("REFUSED") || outcome.startsWith("FAILED status");
     }
 
-    private static boolean neverTaken(String end) {
-        return end.startsWith("NOT_SENT") || end.equals("FAILED no connect");
+    private static boolean isNeverAccepted(String outcome) {
+        return outcome.startsWith("NOT_SENT") || outcome.equals("FAILED no connect");
     }
 
     /**
-     * A sidecar may close a connection between two requests; one that crosses this and was not read is sent
-     * again by its client.
+     * Returns whether a request arrived while a draining sidecar closed the connection. A sidecar may close a
+     * connection between two requests; the client sends a request again that was not read because of this.
      */
-    static boolean isCrossed(RunRecord run, RunRecord.RequestRecord one) {
-        return one.sent().isEmpty()
-                && (one.end().equals("FAILED closed") || one.end().equals("FAILED reset"))
-                && run.wasLeaving(one.sidecar(), one.askedAt(), one.endedAt());
+    static boolean isCrossed(RunRecord run, RunRecord.RequestRecord request) {
+        return request.attempts().isEmpty()
+                && (request.outcome().equals("FAILED closed")
+                        || request.outcome().equals("FAILED reset"))
+                && run.wasDraining(request.sidecar(), request.askedAtMs(), request.endedAtMs());
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/judge/RunChecker.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/RunChecker.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** Looks for one kind of harm in what a run has left. */
+/** Checks a finished run for violations of one rule. */
 public interface RunChecker {
 
-    /** Its name in findings. */
+    /** Returns the name of this check in findings. */
     String name();
 
-    /** All that it finds, in order of time. */
+    /** Returns all violations in the run, ordered by time. */
     List<Finding> check(RunRecord run);
 }
--- a/fleet/src/main/java/martenlatch/fleet/judge/RunRecord.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/RunRecord.java
@@ -10,20 +10,20 @@
 import martenlatch.fleet.scenario.Fault;
 import martenlatch.fleet.scenario.Scenario;
 
-/** A run's history, put together by request: what all judges read. */
+/** The history of a run, grouped by request. All checkers read it. */
 public final class RunRecord {
 
-    /** One request with its id, from all sides. */
+    /** One request with all events that clients, sidecars and endpoints recorded of it. */
     public static final class RequestRecord {
         private final String id;
         private String sidecar = "";
         private String kind = "";
         private boolean unsafe;
-        private double askedAt = Double.NaN;
-        private double deadlineAt = Double.NaN;
+        private double askedAtMs = Double.NaN;
+        private double deadlineAtMs = Double.NaN;
         private final List<Event> ends = new ArrayList<>();
-        private final List<Event> sent = new ArrayList<>();
-        private final List<Event> ran = new ArrayList<>();
+        private final List<Event> attempts = new ArrayList<>();
+        private final List<Event> executions = new ArrayList<>();
         private final List<Event> turnedAway = new ArrayList<>();
 
         RequestRecord(String id) {
@@ -34,7 +34,7 @@
             return id;
         }
 
-        /** Whom its client asked. */
+        /** Returns the sidecar that the client sent the request to. */
         public String sidecar() {
             return sidecar;
         }
@@ -47,47 +47,47 @@
             return unsafe;
         }
 
-        /** NaN where no client's side of it was seen. */
-        public double askedAt() {
-            return askedAt;
+        /** Returns when the client sent the request; NaN if no client recorded it. */
+        public double askedAtMs() {
+            return askedAtMs;
         }
 
-        public double deadlineAt() {
-            return deadlineAt;
+        public double deadlineAtMs() {
+            return deadlineAtMs;
         }
 
         public List<Event> ends() {
             return ends;
         }
 
-        public List<Event> sent() {
-            return sent;
+        public List<Event> attempts() {
+            return attempts;
         }
 
-        public List<Event> ran() {
-            return ran;
+        public List<Event> executions() {
+            return executions;
         }
 
         public List<Event> turnedAway() {
             return turnedAway;
         }
 
-        /** How it ended for its client, or empty while it has not. */
-        public String end() {
+        /** Returns how the request ended for its client, or an empty string if it has not ended. */
+        public String outcome() {
             return ends.isEmpty() ? "" : ends.get(0).detail();
         }
 
-        /** When it ended for its client; infinite while it has not. */
-        public double endedAt() {
+        /** Returns when the request ended for its client; infinite if it has not ended. */
+        public double endedAtMs() {
             return ends.isEmpty() ? Double.POSITIVE_INFINITY : ends.get(0).atMs();
         }
     }
 
-    /** A time in which something held. */
-    public record Span(double from, double to) {
-        /** Whether any of it lies in this one. */
-        boolean touches(double begins, double ends) {
-            return from <= ends && begins <= to;
+    /** A period of time in which a condition held. */
+    public record Span(double fromMs, double toMs) {
+        /** Returns whether the given period overlaps this one. */
+        boolean overlaps(double startMs, double endMs) {
+            return fromMs <= endMs && startMs <= toMs;
         }
     }
 
@@ -95,64 +95,67 @@
     private final List<Event> events;
     private final long missing;
     private final Map<String, RequestRecord> requests = new LinkedHashMap<>();
-    /** When each sidecar could not be expected to answer: paused, crawling, dead, or starting. */
-    private final Map<String, List<Span>> away = new LinkedHashMap<>();
+    /** The periods in which each sidecar could not be expected to answer: paused, slowed down, dead or starting. */
+    private final Map<String, List<Span>> unavailable = new LinkedHashMap<>();
 
-    private final Map<String, List<Span>> leaving = new LinkedHashMap<>();
+    /** The periods in which each sidecar was draining after it was asked to exit. */
+    private final Map<String, List<Span>> draining = new LinkedHashMap<>();
 
     /**
-     * Of a run that is over.
+     * Groups the events of a finished run.
      *
-     * @param missing events that there was no room for
+     * @param missing number of events that were dropped because the history was full
      */
     public RunRecord(Scenario scenario, List<Event> history, long missing) {
         this.scenario = scenario;
         this.missing = missing;
         events =
                 history.stream().sorted(Comparator.comparingDouble(Event::atMs)).toList();
-        Map<String, Double> awaySince = new LinkedHashMap<>();
-        Map<String, Double> leavingSince = new LinkedHashMap<>();
+        Map<String, Double> unavailableSinceMs = new LinkedHashMap<>();
+        Map<String, Double> drainingSinceMs = new LinkedHashMap<>();
         for (Event event : events) {
             switch (event.what()) {
                 case ASKED -> {
-                    RequestRecord of = of(event.id());
+                    RequestRecord request = requestOf(event.id());
                     String[] words = event.detail().split(" ");
-                    of.sidecar = event.whom();
-                    of.kind = words[0];
-                    of.unsafe = words[1].equals("UNSAFE");
-                    of.askedAt = event.atMs();
-                    of.deadlineAt = event.atMs() + Double.parseDouble(words[2]);
+                    request.sidecar = event.whom();
+                    request.kind = words[0];
+                    request.unsafe = words[1].equals("UNSAFE");
+                    request.askedAtMs = event.atMs();
+                    request.deadlineAtMs = event.atMs() + Double.parseDouble(words[2]);
                 }
-                case ENDED -> of(event.id()).ends.add(event);
-                case SENT -> of(event.id()).sent.add(event);
-                case RAN -> of(event.id()).ran.add(event);
-                case TURNED_AWAY -> of(event.id()).turnedAway.add(event);
+                case ENDED -> requestOf(event.id()).ends.add(event);
+                case SENT -> requestOf(event.id()).attempts.add(event);
+                case RAN -> requestOf(event.id()).executions.add(event);
+                case TURNED_AWAY -> requestOf(event.id()).turnedAway.add(event);
                 case PROCESS -> {
                     if (event.detail().equals("told to end")) {
-                        leavingSince.put(event.who(), event.atMs());
-                    } else if (event.detail().startsWith("ended") && leavingSince.containsKey(event.who())) {
-                        leaving.computeIfAbsent(event.who(), k -> new ArrayList<>())
-                                .add(new Span(leavingSince.remove(event.who()), event.atMs()));
+                        drainingSinceMs.put(event.who(), event.atMs());
+                    } else if (event.detail().startsWith("ended") && drainingSinceMs.containsKey(event.who())) {
+                        draining.computeIfAbsent(event.who(), k -> new ArrayList<>())
+                                .add(new Span(drainingSinceMs.remove(event.who()), event.atMs()));
                     }
-                    boolean back =
+                    boolean isBack =
                             event.detail().equals("resumed") || event.detail().equals("serves");
-                    if (back && awaySince.containsKey(event.who())) {
-                        away.computeIfAbsent(event.who(), k -> new ArrayList<>())
-                                .add(new Span(awaySince.remove(event.who()), event.atMs()));
-                    } else if (!back
+                    if (isBack && unavailableSinceMs.containsKey(event.who())) {
+                        unavailable
+                                .computeIfAbsent(event.who(), k -> new ArrayList<>())
+                                .add(new Span(unavailableSinceMs.remove(event.who()), event.atMs()));
+                    } else if (!isBack
                             && !event.detail().equals("reloads")
                             && !event.detail().equals("told to end")) {
-                        awaySince.putIfAbsent(event.who(), event.atMs());
+                        unavailableSinceMs.putIfAbsent(event.who(), event.atMs());
                     }
                 }
                 default -> {}
             }
         }
-        awaySince.forEach((who, since) ->
-                away.computeIfAbsent(who, k -> new ArrayList<>()).add(new Span(since, Double.POSITIVE_INFINITY)));
+        unavailableSinceMs.forEach((who, sinceMs) -> unavailable
+                .computeIfAbsent(who, k -> new ArrayList<>())
+                .add(new Span(sinceMs, Double.POSITIVE_INFINITY)));
     }
 
-    private RequestRecord of(String id) {
+    private RequestRecord requestOf(String id) {
         return requests.computeIfAbsent(id, RequestRecord::new);
     }
 
@@ -160,65 +163,68 @@
         return scenario;
     }
 
-    /** All events, by time. */
+    /** Returns all events, ordered by time. */
     public List<Event> events() {
         return events;
     }
 
-    /** How many events there was no room for. */
+    /** Returns how many events were dropped because the history was full. */
     public long missing() {
         return missing;
     }
 
-    /** All requests that any side has seen, by the time of the first sight. */
+    /** Returns all requests that appear in any event, in the order of their first events. */
     public Iterable<RequestRecord> requests() {
         return requests.values();
     }
 
-    /** Events of one kind, by time. */
+    /** Returns the events of one kind, ordered by time. */
     public List<Event> all(What what) {
         return events.stream().filter(event -> event.what() == what).toList();
     }
 
-    /** Whether a sidecar was paused, dead or not yet back at any time of these. */
-    public boolean wasAway(String sidecar, double from, double to) {
-        return away.getOrDefault(sidecar, List.of()).stream().anyMatch(span -> span.touches(from, to));
+    /** Returns whether a sidecar was paused, dead or not yet serving again at any time in this period. */
+    public boolean wasUnavailable(String sidecar, double fromMs, double toMs) {
+        return unavailable.getOrDefault(sidecar, List.of()).stream().anyMatch(span -> span.overlaps(fromMs, toMs));
     }
 
-    /** Whether a sidecar that had been asked to end was still there at any time of these. */
-    public boolean wasLeaving(String sidecar, double from, double to) {
-        return leaving.getOrDefault(sidecar, List.of()).stream().anyMatch(span -> span.touches(from, to));
+    /** Returns whether a sidecar that had been asked to exit was still running at any time in this period. */
+    public boolean wasDraining(String sidecar, double fromMs, double toMs) {
+        return draining.getOrDefault(sidecar, List.of()).stream().anyMatch(span -> span.overlaps(fromMs, toMs));
     }
 
-    /** The end of the time for which a sidecar was away at this one; this one if it was not. */
-    public double backAt(String sidecar, double at) {
-        return away.getOrDefault(sidecar, List.of()).stream()
-                .filter(span -> span.touches(at, at))
-                .mapToDouble(Span::to)
+    /** Returns when a sidecar that is unavailable at this time is available again; this time if it is available. */
+    public double availableAgainAtMs(String sidecar, double atMs) {
+        return unavailable.getOrDefault(sidecar, List.of()).stream()
+                .filter(span -> span.overlaps(atMs, atMs))
+                .mapToDouble(Span::toMs)
                 .max()
-                .orElse(at);
+                .orElse(atMs);
     }
 
     /**
-     * When what is sent at this time over the link between these two has surely arrived: at the end of what
-     * disturbs the link then. Infinite where that loses: TCP's next try may lie long after the fault's end,
-     * as the pause before each is twice the last.
+     * Returns by when data has arrived that is sent at this time over the link between these two: at the end of the
+     * faults on the link, or at this time if there are none. Infinite if a fault loses packets: TCP doubles the
+     * delay before each retransmission, so the next one may come long after the end of the fault.
      */
-    public double arrivesBy(String one, String other, double at) {
+    public double arrivesByMs(String one, String other, double atMs) {
         return scenario.faults().stream()
-                .filter(fault -> fault.isOn(one, other) && fault.atMs() <= at && at <= fault.endMs())
+                .filter(fault -> fault.isOn(one, other) && fault.atMs() <= atMs && atMs <= fault.endMs())
                 .mapToDouble(fault -> fault.onwards().loss() + fault.backwards().loss() > 0
                         ? Double.POSITIVE_INFINITY
                         : fault.endMs())
                 .max()
-                .orElse(at);
+                .orElse(atMs);
     }
 
-    /** Whether a fault was on the link between these two at any time of these, its after-effects included. */
-    public boolean wasDisturbed(String one, String other, double from, double to) {
+    /**
+     * Returns whether a fault was on the link between these two at any time in this period. A fault that resets
+     * connections counts at its start only.
+     */
+    public boolean wasLinkFaulted(String one, String other, double fromMs, double toMs) {
         return scenario.faults().stream()
                 .anyMatch(fault -> fault.isOn(one, other)
                         && new Span(fault.atMs(), fault.what() == Fault.What.BREAK ? fault.atMs() : fault.endMs())
-                                .touches(from, to));
+                                .overlaps(fromMs, toMs));
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/judge/Verdict.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/Verdict.java
@@ -3,17 +3,17 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import martenlatch.fleet.scenario.Hold;
+import martenlatch.fleet.scenario.PassCriteria;
 
 /**
- * What a run came to.
+ * The result of a run.
  *
- * @param findings what broke a rule, or a hold of the scenario's; empty where all held
- * @param spoilt why the run says nothing; empty where it does
+ * @param findings violations of the rules or of the scenario's pass criteria; empty if all hold
+ * @param spoilt faults of the test rig that make the run void; empty if the run is valid
  */
 public record Verdict(Figures figures, List<Finding> findings, List<Finding> spoilt) {
 
-    /** A run's outcome in one word. */
+    /** The outcome of a run. */
     public enum Outcome {
         HELD,
         BROKEN,
@@ -27,19 +27,20 @@
             new ColdEndpointChecker(),
             new CrashChecker());
 
-    /** Of a run, by all judges. */
+    /** Runs all checks on a run. */
     public static Verdict of(RunRecord run) {
         List<Finding> findings = new ArrayList<>();
         CHECKERS.forEach(checker -> findings.addAll(checker.check(run)));
         Figures figures = Figures.of(run);
-        findings.addAll(holds(run.scenario().hold(), figures, run.scenario().seconds() * 1000));
+        findings.addAll(checkPassCriteria(
+                run.scenario().passCriteria(), figures, run.scenario().seconds() * 1000));
         return new Verdict(figures, List.copyOf(findings), new RigChecker().check(run));
     }
 
-    private static List<Finding> holds(Hold hold, Figures figures, double endMs) {
-        List<Finding> found = new ArrayList<>();
-        if (figures.recoveryMs() > hold.recoverySeconds() * 1000) {
-            found.add(new Finding(
+    private static List<Finding> checkPassCriteria(PassCriteria criteria, Figures figures, double endMs) {
+        List<Finding> findings = new ArrayList<>();
+        if (figures.recoveryMs() > criteria.maxRecoverySeconds() * 1000) {
+            findings.add(new Finding(
                     "hold",
                     "",
                     endMs,
@@ -47,10 +48,10 @@
                             Locale.ROOT,
                             "service came back %.0f ms after the last fault, later than %.0f ms",
                             figures.recoveryMs(),
-                            hold.recoverySeconds() * 1000)));
+                            criteria.maxRecoverySeconds() * 1000)));
         }
-        if (figures.amplification() > hold.amplification()) {
-            found.add(new Finding(
+        if (figures.amplification() > criteria.maxAmplification()) {
+            findings.add(new Finding(
                     "hold",
                     "",
                     endMs,
@@ -58,10 +59,10 @@
                             Locale.ROOT,
                             "%.3f attempts for each request, more than %.3f",
                             figures.amplification(),
-                            hold.amplification())));
+                            criteria.maxAmplification())));
         }
-        if (figures.servedShare() < hold.served()) {
-            found.add(new Finding(
+        if (figures.servedShare() < criteria.minServedShare()) {
+            findings.add(new Finding(
                     "hold",
                     "",
                     endMs,
@@ -69,10 +70,10 @@
                             Locale.ROOT,
                             "%.3f of all requests served, fewer " + "than %.3f",
                             figures.servedShare(),
-                            hold.served())));
+                            criteria.minServedShare())));
         }
-        if (figures.listRefusals() > hold.listRefusals()) {
-            found.add(new Finding(
+        if (figures.listRefusals() > criteria.maxListRefusals()) {
+            findings.add(new Finding(
                     "hold",
                     "",
                     endMs,
@@ -80,12 +81,12 @@
                             Locale.ROOT,
                             "discovery turned away %d calls, more than %.0f",
                             figures.listRefusals(),
-                            hold.listRefusals())));
+                            criteria.maxListRefusals())));
         }
-        return found;
+        return findings;
     }
 
-    /** In one word. A spoilt run is void, whatever was found in it. */
+    /** Returns the outcome. A run is void if the rig was at fault, whatever else was found. */
     public Outcome outcome() {
         return !spoilt.isEmpty() ? Outcome.VOID : findings.isEmpty() ? Outcome.HELD : Outcome.BROKEN;
     }
--- a/fleet/src/main/java/martenlatch/fleet/report/HtmlReport.java
+++ b/fleet/src/main/java/martenlatch/fleet/report/HtmlReport.java
@@ -14,14 +14,14 @@
 import martenlatch.fleet.judge.Verdict;
 import martenlatch.fleet.scenario.Fault;
 
-/** A run as one page without outside files: curves over time, faults as bands, a row for each process. */
+/** Writes a run as one self-contained HTML page: curves over time, faults as bands, a row for each process. */
 public final class HtmlReport {
 
     private static final int WIDTH = 960;
-    private static final int HEIGHT = 180;
-    private static final int ROW = 14;
-    private static final int LEFT = 60;
-    private static final Map<String, String> COLOURS = Map.of(
+    private static final int PLOT_HEIGHT = 180;
+    private static final int ROW_HEIGHT = 14;
+    private static final int PLOT_LEFT = 60;
+    private static final Map<String, String> CURVE_COLOURS = Map.of(
             "asked",
             "#999999",
             "served",
@@ -34,15 +34,16 @@
             "#0969da",
             "open",
             "#8250df");
-    private static final Map<String, String> STATES = Map.of("up", "#d2f0d9", "leaving", "#f5dfa0", "away", "#e7a3a8");
+    private static final Map<String, String> STATE_COLOURS =
+            Map.of("up", "#d2f0d9", "leaving", "#f5dfa0", "away", "#e7a3a8");
 
     private HtmlReport() {}
 
-    /** Writes it. */
+    /** Writes the page. */
     public static void write(Path file, RunRecord run, Verdict verdict) throws IOException {
         Timeline timeline = Timeline.of(run);
-        ByteArrayOutputStream words = new ByteArrayOutputStream();
-        TextReport.print(run, verdict, new PrintStream(words, true, StandardCharsets.UTF_8));
+        ByteArrayOutputStream text = new ByteArrayOutputStream();
+        TextReport.print(run, verdict, new PrintStream(text, true, StandardCharsets.UTF_8));
         StringBuilder page = new StringBuilder("<!doctype html><html lang=\"en\">" + "<meta charset=\"utf-8\"><title>")
                 .append(escape(run.scenario().name()))
                 .append("</title><style>"
@@ -54,25 +55,31 @@
                 .append("</h1><p>")
                 .append(escape(run.scenario().about()))
                 .append("</p>");
-        plot(page, run, timeline, List.of("asked", "served", "refused", "failed"), "requests, by when they were asked");
-        plot(page, run, timeline, List.of("attempts", "asked"), "attempts by sidecars");
-        plot(page, run, timeline, List.of("open"), "requests in hand");
-        grid(page, run, timeline);
+        appendPlot(
+                page,
+                run,
+                timeline,
+                List.of("asked", "served", "refused", "failed"),
+                "requests, by when they were asked");
+        appendPlot(page, run, timeline, List.of("attempts", "asked"), "attempts by sidecars");
+        appendPlot(page, run, timeline, List.of("open"), "requests in hand");
+        appendProcessRows(page, run, timeline);
         page.append("<pre>")
-                .append(escape(words.toString(StandardCharsets.UTF_8)))
+                .append(escape(text.toString(StandardCharsets.UTF_8)))
                 .append("</pre></html>");
         Files.writeString(file, page);
     }
 
-    private static double x(RunRecord run, double ms) {
-        return LEFT
-                + (WIDTH - LEFT) * Math.max(0, Math.min(1, ms / (run.scenario().seconds() * 1000)));
+    private static double xOf(RunRecord run, double ms) {
+        return PLOT_LEFT
+                + (WIDTH - PLOT_LEFT)
+                        * Math.max(0, Math.min(1, ms / (run.scenario().seconds() * 1000)));
     }
 
-    private static void bands(StringBuilder page, RunRecord run, int height) {
+    private static void appendFaultBands(StringBuilder page, RunRecord run, int height) {
         for (Fault fault : run.scenario().faults()) {
-            double from = x(run, fault.atMs());
-            double to = Math.max(from + 2, x(run, fault.endMs()));
+            double from = xOf(run, fault.atMs());
+            double to = Math.max(from + 2, xOf(run, fault.endMs()));
             page.append(String.format(
                     Locale.ROOT,
                     "<rect x=\"%.1f\" y=\"0\" width=\"%.1f\" height=\"%d\" "
@@ -84,8 +91,9 @@
         }
     }
 
-    private static void plot(StringBuilder page, RunRecord run, Timeline timeline, List<String> names, String title) {
-        int most = Math.max(
+    private static void appendPlot(
+            StringBuilder page, RunRecord run, Timeline timeline, List<String> names, String title) {
+        int maxCount = Math.max(
                 1,
                 names.stream()
                         .flatMapToInt(n -> Arrays.stream(timeline.counts().get(n)))
@@ -96,10 +104,10 @@
                 .append("</h2><svg width=\"")
                 .append(WIDTH)
                 .append("\" height=\"")
-                .append(HEIGHT + 20)
+                .append(PLOT_HEIGHT + 20)
                 .append("\">");
-        bands(page, run, HEIGHT);
-        int key = LEFT;
+        appendFaultBands(page, run, PLOT_HEIGHT);
+        int legendX = PLOT_LEFT;
         for (String name : names) {
             StringBuilder points = new StringBuilder();
             int[] values = timeline.counts().get(name);
@@ -107,63 +115,63 @@
                 points.append(String.format(
                         Locale.ROOT,
                         "%.1f,%.1f ",
-                        x(run, i * timeline.stepMs()),
-                        HEIGHT - (HEIGHT - 10.0) * values[i] / most));
+                        xOf(run, i * timeline.stepMs()),
+                        PLOT_HEIGHT - (PLOT_HEIGHT - 10.0) * values[i] / maxCount));
             }
             page.append("<polyline fill=\"none\" stroke-width=\"1.5\" stroke=\"")
-                    .append(COLOURS.get(name))
+                    .append(CURVE_COLOURS.get(name))
                     .append("\" points=\"")
                     .append(points)
                     .append("\"/><text x=\"")
-                    .append(key)
+                    .append(legendX)
                     .append("\" y=\"")
-                    .append(HEIGHT + 14)
+                    .append(PLOT_HEIGHT + 14)
                     .append("\" fill=\"")
-                    .append(COLOURS.get(name))
+                    .append(CURVE_COLOURS.get(name))
                     .append("\">")
                     .append(name)
                     .append("</text>");
-            key += 70;
+            legendX += 70;
         }
         page.append(String.format(
                 Locale.ROOT,
                 "<text x=\"0\" y=\"12\">%.0f a second</text><text x=\"0\" y=\"%d\">0"
                         + "</text><text x=\"%d\" y=\"%d\">%.0f s</text></svg>",
-                most * 1000 / timeline.stepMs(),
-                HEIGHT,
+                maxCount * 1000 / timeline.stepMs(),
+                PLOT_HEIGHT,
                 WIDTH - 30,
-                HEIGHT + 14,
+                PLOT_HEIGHT + 14,
                 run.scenario().seconds()));
     }
 
-    private static void grid(StringBuilder page, RunRecord run, Timeline timeline) {
-        int height = ROW * timeline.states().size();
+    private static void appendProcessRows(StringBuilder page, RunRecord run, Timeline timeline) {
+        int height = ROW_HEIGHT * timeline.states().size();
         page.append("<h2>processes: up, leaving, away</h2><svg width=\"")
                 .append(WIDTH)
                 .append("\" height=\"")
                 .append(height)
                 .append("\">");
-        int row = 0;
+        int rowY = 0;
         for (Map.Entry<String, List<String>> one : timeline.states().entrySet()) {
             page.append("<text x=\"0\" y=\"")
-                    .append(row + ROW - 3)
+                    .append(rowY + ROW_HEIGHT - 3)
                     .append("\">")
                     .append(one.getKey())
                     .append("</text>");
             for (int i = 0; i < one.getValue().size(); i++) {
-                double from = x(run, i * timeline.stepMs());
+                double from = xOf(run, i * timeline.stepMs());
                 page.append(String.format(
                         Locale.ROOT,
                         "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" " + "fill=\"%s\"/>",
                         from,
-                        row,
-                        x(run, (i + 1) * timeline.stepMs()) - from,
-                        ROW - 2,
-                        STATES.get(one.getValue().get(i))));
+                        rowY,
+                        xOf(run, (i + 1) * timeline.stepMs()) - from,
+                        ROW_HEIGHT - 2,
+                        STATE_COLOURS.get(one.getValue().get(i))));
             }
-            row += ROW;
+            rowY += ROW_HEIGHT;
         }
-        bands(page, run, height);
+        appendFaultBands(page, run, height);
         page.append("</svg>");
     }
 
--- a/fleet/src/main/java/martenlatch/fleet/report/TextReport.java
+++ b/fleet/src/main/java/martenlatch/fleet/report/TextReport.java
@@ -10,14 +10,14 @@
 import martenlatch.fleet.judge.RunRecord;
 import martenlatch.fleet.judge.Verdict;
 
-/** A run in some lines. */
+/** Prints a short summary of a run. */
 public final class TextReport {
 
-    private static final int MOST_LINES = 20;
+    private static final int MAX_FINDINGS = 20;
 
     private TextReport() {}
 
-    /** Prints it. */
+    /** Prints the summary. */
     public static void print(RunRecord run, Verdict verdict, PrintStream out) {
         Figures figures = verdict.figures();
         out.printf(
@@ -45,17 +45,17 @@
                 figures.sent(),
                 figures.amplification(),
                 figures.crossed(),
-                recovery(figures));
+                recoveryTime(figures));
         out.printf(
                 Locale.ROOT,
                 "calls to discovery %d, of which it turned away %d%n",
                 figures.listCalls(),
                 figures.listRefusals());
-        Map<String, Integer> byJudge = new TreeMap<>();
-        verdict.findings().forEach(one -> byJudge.merge(one.judge(), 1, Integer::sum));
-        byJudge.forEach((judge, count) -> out.println("BROKEN " + judge + ": " + count));
-        list(verdict.findings(), out);
-        list(verdict.spoilt(), out);
+        Map<String, Integer> countsByCheck = new TreeMap<>();
+        verdict.findings().forEach(finding -> countsByCheck.merge(finding.judge(), 1, Integer::sum));
+        countsByCheck.forEach((check, count) -> out.println("BROKEN " + check + ": " + count));
+        printFindings(verdict.findings(), out);
+        printFindings(verdict.spoilt(), out);
         out.println(
                 switch (verdict.outcome()) {
                     case HELD -> "HELD: the four rules, and what the scenario asks";
@@ -64,7 +64,7 @@
                 });
     }
 
-    private static String recovery(Figures figures) {
+    private static String recoveryTime(Figures figures) {
         return Double.isNaN(figures.recoveryMs())
                 ? "no fault"
                 : Double.isInfinite(figures.recoveryMs())
@@ -72,18 +72,18 @@
                         : String.format(Locale.ROOT, "%.2f s", figures.recoveryMs() / 1000);
     }
 
-    private static void list(List<Finding> findings, PrintStream out) {
+    private static void printFindings(List<Finding> findings, PrintStream out) {
         findings.stream()
-                .limit(MOST_LINES)
-                .forEach(one -> out.printf(
+                .limit(MAX_FINDINGS)
+                .forEach(finding -> out.printf(
                         Locale.ROOT,
                         "  %s at %.0f ms%s: %s%n",
-                        one.judge(),
-                        one.atMs(),
-                        one.id().isEmpty() ? "" : ", request " + one.id(),
-                        one.what()));
-        if (findings.size() > MOST_LINES) {
-            out.println("  and " + (findings.size() - MOST_LINES) + " more");
+                        finding.judge(),
+                        finding.atMs(),
+                        finding.id().isEmpty() ? "" : ", request " + finding.id(),
+                        finding.what()));
+        if (findings.size() > MAX_FINDINGS) {
+            out.println("  and " + (findings.size() - MAX_FINDINGS) + " more");
         }
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/report/Timeline.java
+++ b/fleet/src/main/java/martenlatch/fleet/report/Timeline.java
@@ -10,61 +10,67 @@
 import martenlatch.fleet.scenario.Selector.Group;
 
 /**
- * A run in steps of time.
+ * A run divided into time steps of equal length.
  *
- * @param stepMs how long each is
- * @param counts by name, one for each step
- * @param states by sidecar, one for each step: up, away or leaving
+ * @param stepMs the length of a step
+ * @param counts by the name of the curve, one count for each step
+ * @param states by sidecar, one state for each step: up, away or leaving
  */
 record Timeline(double stepMs, Map<String, int[]> counts, Map<String, List<String>> states) {
 
     static final double STEP_MS = 250;
 
+    /** Computes the timeline of a run. */
     static Timeline of(RunRecord run) {
         int steps = 1 + (int) (run.scenario().seconds() * 1000 / STEP_MS);
         Map<String, int[]> counts = new LinkedHashMap<>();
         List.of("asked", "served", "refused", "failed", "attempts", "open").forEach(n -> counts.put(n, new int[steps]));
-        for (RunRecord.RequestRecord one : run.requests()) {
-            if (Double.isNaN(one.askedAt())) {
+        for (RunRecord.RequestRecord request : run.requests()) {
+            if (Double.isNaN(request.askedAtMs())) {
                 continue;
             }
-            String end = one.end();
-            add(counts.get("asked"), one.askedAt());
-            add(
-                    counts.get(end.startsWith("SERVED") ? "served" : end.startsWith("REFUSED") ? "refused" : "failed"),
-                    one.askedAt());
-            one.sent().forEach(sent -> add(counts.get("attempts"), sent.atMs()));
-            for (int i = step(one.askedAt()) + 1; i <= Math.min(steps - 1, step(Math.min(1e9, one.endedAt()))); i++) {
+            String outcome = request.outcome();
+            increment(counts.get("asked"), request.askedAtMs());
+            increment(
+                    counts.get(
+                            outcome.startsWith("SERVED")
+                                    ? "served"
+                                    : outcome.startsWith("REFUSED") ? "refused" : "failed"),
+                    request.askedAtMs());
+            request.attempts().forEach(sent -> increment(counts.get("attempts"), sent.atMs()));
+            for (int i = stepOf(request.askedAtMs()) + 1;
+                    i <= Math.min(steps - 1, stepOf(Math.min(1e9, request.endedAtMs())));
+                    i++) {
                 counts.get("open")[i]++;
             }
         }
         Map<String, List<String>> states = new LinkedHashMap<>();
         for (int i = 0; i < run.scenario().sizes().sidecars(); i++) {
             String name = Group.SIDECAR.name(i);
-            List<String> of = new ArrayList<>();
-            for (int step = 0; step < steps; step++) {
-                double from = step * STEP_MS;
-                of.add(
-                        run.wasAway(name, from, from + STEP_MS)
+            List<String> sidecarStates = new ArrayList<>();
+            for (int index = 0; index < steps; index++) {
+                double fromMs = index * STEP_MS;
+                sidecarStates.add(
+                        run.wasUnavailable(name, fromMs, fromMs + STEP_MS)
                                 ? "away"
-                                : run.wasLeaving(name, from, from + STEP_MS) ? "leaving" : "up");
+                                : run.wasDraining(name, fromMs, fromMs + STEP_MS) ? "leaving" : "up");
             }
-            states.put(name, of);
+            states.put(name, sidecarStates);
         }
         return new Timeline(STEP_MS, counts, states);
     }
 
-    private static int step(double ms) {
-        return (int) (ms / STEP_MS);
+    private static int stepOf(double atMs) {
+        return (int) (atMs / STEP_MS);
     }
 
-    private static void add(int[] counts, double atMs) {
-        if (atMs >= 0 && step(atMs) < counts.length) {
-            counts[step(atMs)]++;
+    private static void increment(int[] counts, double atMs) {
+        if (atMs >= 0 && stepOf(atMs) < counts.length) {
+            counts[stepOf(atMs)]++;
         }
     }
 
-    /** Faults that began, in words. */
+    /** Returns the descriptions of the faults that began. */
     static List<String> faults(RunRecord run) {
         return run.all(What.FAULT_BEGINS).stream().map(Event::detail).toList();
     }
--- a/fleet/src/main/java/martenlatch/fleet/report/package-info.java
+++ b/fleet/src/main/java/martenlatch/fleet/report/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tells what a run came to: lines, JSON, and a page without outside files. It reads histories and verdicts
- * only.
+ * Reports the result of a run as text, as JSON and as a self-contained HTML page. It only reads the history and the
+ * verdict.
  */
 package martenlatch.fleet.report;
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Fault.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Fault.java
@@ -6,18 +6,18 @@
 import martenlatch.fleet.link.Conduct;
 
 /**
- * One fault of a plan, with the parts that it hits.
+ * One fault of a plan, with the parts of the fleet that it affects.
  *
- * @param number its place in the scenario, from 0: what a shrunk plan keeps
- * @param atMs when it begins, since the run's start
- * @param forMs how long it lasts; infinite where nothing ends it
- * @param who the processes, endpoints or discovery that it hits; for links, their senders
+ * @param number its position in the scenario, from 0; it stays the same when a plan is shrunk
+ * @param atMs when it begins, since the start of the run
+ * @param forMs how long it lasts; infinite if it never ends
+ * @param who the processes, endpoints or discovery that it affects; for links, their senders
  * @param to for links, their targets
- * @param onwards for links, the conduct from sender to target
- * @param backwards for links, the conduct from target to sender
- * @param share for {@link What#CRAWL}, the share of its speed that is left
- * @param jar for {@link What#RESTART}, the other build, or empty
- * @param moves for {@link What#RELOAD}, whether the configuration names another discovery
+ * @param onwards for links, how data from sender to target is treated
+ * @param backwards for links, how data from target to sender is treated
+ * @param share for {@link What#CRAWL}, the share of the process's speed that is left
+ * @param jar for {@link What#RESTART}, the jar of the build to start, or empty for the same build
+ * @param moves for {@link What#RELOAD}, whether the new configuration names another discovery
  */
 public record Fault(
         int number,
@@ -32,7 +32,7 @@
         String jar,
         boolean moves) {
 
-    /** What a fault hits. */
+    /** The kind of part that a fault affects. */
     public enum Aim {
         SIDECARS,
         ENDPOINTS,
@@ -42,21 +42,21 @@
 
     /** Kinds of faults. */
     public enum What {
-        /** The process stands still (SIGSTOP). */
+        /** The process is paused (SIGSTOP). */
         PAUSE(Aim.SIDECARS, true),
-        /** It stands still and runs in turn, so that it has a share of its speed. */
+        /** The process is paused and resumed in turn, so that it runs at a share of its speed. */
         CRAWL(Aim.SIDECARS, true),
-        /** It is killed; at the fault's end it starts again. */
+        /** The process is killed; when the fault ends, it starts again. */
         KILL(Aim.SIDECARS, false),
-        /** It is asked to end; at the fault's end, or as soon after it as it has ended, it starts again. */
+        /** The process is asked to exit; it starts again when the fault ends, or once it has exited if that is later. */
         TERM(Aim.SIDECARS, false),
-        /** It is asked to end and starts again at once when it has, perhaps from another build's jar. */
+        /** The process is asked to exit and starts again as soon as it has, possibly from the jar of another build. */
         RESTART(Aim.SIDECARS, false),
-        /** It reads its configuration again. */
+        /** The process reloads its configuration. */
         RELOAD(Aim.SIDECARS, false),
-        /** A second process is started at its name and address. */
+        /** A second process is started with the name and address of the first. */
         TWIN(Aim.SIDECARS, false),
-        /** It does not start with the others, but at the fault's end. */
+        /** The process does not start with the others but when the fault ends. */
         LATE(Aim.SIDECARS, true),
         HANG(Aim.ENDPOINTS, false),
         ERROR(Aim.ENDPOINTS, false),
@@ -64,16 +64,16 @@
         RESET(Aim.ENDPOINTS, false),
         HALF(Aim.ENDPOINTS, false),
         DEAF(Aim.ENDPOINTS, false),
-        /** An endpoint's process dies; at the fault's end it starts again, cold. */
+        /** The process of an endpoint dies; when the fault ends, it starts again, cold. */
         DIE(Aim.ENDPOINTS, false),
-        /** It is told to drain, and discovery tells so; at the fault's end it starts again, cold. */
+        /** The endpoint drains, and discovery lists it as draining; when the fault ends, it starts again, cold. */
         DRAIN(Aim.ENDPOINTS, false),
         SILENT(Aim.DISCOVERY, false),
         DOWN(Aim.DISCOVERY, false),
         WRONG(Aim.DISCOVERY, false),
-        /** Links have the conduct that the fault says. */
+        /** Links treat data as the fault describes. */
         LINK(Aim.LINKS, false),
-        /** All connections of links are reset, once. */
+        /** All connections of the links are reset once. */
         BREAK(Aim.LINKS, false);
 
         private final Aim aim;
@@ -88,12 +88,12 @@
             return aim;
         }
 
-        /** Whether it has to say how long it lasts. */
+        /** Returns whether a fault of this kind must have a duration. */
         public boolean mustEnd() {
             return mustEnd;
         }
 
-        /** Its word in files. */
+        /** Returns the name of this kind in scenario files. */
         public String word() {
             return name().toLowerCase(Locale.ROOT);
         }
@@ -112,17 +112,17 @@
         to = List.copyOf(to);
     }
 
-    /** When it is over, since the run's start. */
+    /** Returns when the fault ends, since the start of the run. */
     public double endMs() {
         return atMs + forMs;
     }
 
-    /** Whether a name is a sidecar's. */
+    /** Returns whether a name is that of a sidecar. */
     public static boolean isSidecar(String name) {
         return name.matches("n\\d+");
     }
 
-    /** Whether it is one of a link between these two, in either direction. */
+    /** Returns whether the fault is on a link between these two, in either direction. */
     public boolean isOn(String one, String other) {
         return what.aim() == Aim.LINKS
                 && (who.contains(one) && to.contains(other) || who.contains(other) && to.contains(one));
--- a/fleet/src/main/java/martenlatch/fleet/scenario/LinkFaults.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/LinkFaults.java
@@ -5,33 +5,34 @@
 import java.util.Set;
 import martenlatch.fleet.link.Conduct;
 
-/** The faults that are on links at a time, and what they come to: the same for relays and in simulation. */
+/** Tracks the link faults that are active and combines them; used by the relays and by the simulation. */
 public final class LinkFaults {
 
-    private record One(Fault fault, Set<String> from, Set<String> to) {}
+    private record ActiveFault(Fault fault, Set<String> from, Set<String> to) {}
 
-    private final List<One> active = new ArrayList<>();
+    private final List<ActiveFault> active = new ArrayList<>();
 
-    /** A fault begins; one that is not of links changes nothing. */
+    /** Called when a fault begins. Ignores faults of other kinds. */
     public void begin(Fault fault) {
         if (fault.what() == Fault.What.LINK) {
-            active.add(new One(fault, Set.copyOf(fault.who()), Set.copyOf(fault.to())));
+            active.add(new ActiveFault(fault, Set.copyOf(fault.who()), Set.copyOf(fault.to())));
         }
     }
 
-    /** A fault is over. */
+    /** Called when a fault ends. */
     public void end(Fault fault) {
         active.removeIf(one -> one.fault().number() == fault.number());
     }
 
-    /** How what is sent over a link is treated, from its sender on, or back to it. */
+    /** Returns how a link treats data: from sender to target if {@code onwards}, otherwise from target to sender. */
     public Conduct conduct(String from, String to, boolean onwards) {
-        Conduct all = Conduct.CLEAR;
-        for (One one : active) {
+        Conduct combined = Conduct.CLEAR;
+        for (ActiveFault one : active) {
             if (one.from().contains(from) && one.to().contains(to)) {
-                all = all.and(onwards ? one.fault().onwards() : one.fault().backwards());
+                combined = combined.and(
+                        onwards ? one.fault().onwards() : one.fault().backwards());
             }
         }
-        return all;
+        return combined;
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/scenario/ListService.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/ListService.java
@@ -4,27 +4,27 @@
 import martenlatch.world.CallQueue;
 
 /**
- * How discovery works through sidecars' calls for lists.
+ * How discovery serves sidecars' calls for endpoint lists. It handles one call at a time.
  *
- * @param callMs how long each takes, in turn; 0 for no time
- * @param rejectionMs how long a rejection takes, in turn; 0 for one that is free
- * @param mostWaitMs a call that waits longer for its turn is turned away
- * @param askWithinMs what the settings allow a sidecar between two calls
- * @param known which list a sidecar's configuration has when its process starts
+ * @param callMs how long each call takes; 0 for no time
+ * @param rejectionMs how long each rejection takes; 0 for no time
+ * @param mostWaitMs a call that waits longer than this in the queue is rejected
+ * @param askWithinMs the longest time that the settings allow a sidecar between two calls
+ * @param known which list is in a sidecar's configuration when its process starts
  */
 public record ListService(double callMs, double rejectionMs, double mostWaitMs, double askWithinMs, KnownList known) {
 
-    /** The endpoint list in the configuration of a process that starts. */
+    /** The endpoint list in the configuration of a process when it starts. */
     public enum KnownList {
-        /** Discovery's list at that moment. */
+        /** Discovery's list at the start of the process. */
         CURRENT,
-        /** Discovery's list when the run began, as the platform's page allows: it may be old. */
+        /** Discovery's list at the start of the run, which may be outdated. */
         FIRST;
 
         static KnownList parse(String text) {
-            for (KnownList each : values()) {
-                if (each.name().toLowerCase(Locale.ROOT).equals(text)) {
-                    return each;
+            for (KnownList list : values()) {
+                if (list.name().toLowerCase(Locale.ROOT).equals(text)) {
+                    return list;
                 }
             }
             throw new IllegalArgumentException("discovery.known must be current or first but is \"" + text + "\"");
@@ -42,7 +42,7 @@
         }
     }
 
-    /** One that nobody waits in yet. */
+    /** Creates an empty queue for calls. */
     public CallQueue queue() {
         return new CallQueue(callMs, rejectionMs, mostWaitMs);
     }
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Load.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Load.java
@@ -4,15 +4,22 @@
 import martenlatch.load.Kind;
 
 /**
- * What clients want.
+ * The load that clients put on the fleet.
  *
- * @param rate requests a second over all sidecars, first tries
- * @param skew how many times as much the busiest sidecar gets as the quietest; 1 for all alike
- * @param noticeMs how long clients go on to a sidecar that is down
+ * @param rate requests per second over all sidecars, without clients' retries
+ * @param skew the ratio of the loads of the busiest and the least busy sidecar; 1 for equal loads
+ * @param noticeMs how long clients keep sending to a sidecar that is down
+ * @param classes the request classes
  */
 public record Load(double rate, double skew, double noticeMs, List<ClassSettings> classes) {
 
-    /** A class of requests, for clients and for sidecars. */
+    /**
+     * A request class, as clients and sidecars are configured with it.
+     *
+     * @param kind the requests that clients send
+     * @param aimMs the latency objective
+     * @param worth the priority weight
+     */
     public record ClassSettings(Kind kind, double aimMs, double worth) {
         public ClassSettings {
             if (!(aimMs > 0 && aimMs <= kind.deadlineMs())) {
@@ -37,7 +44,7 @@
             throw new IllegalArgumentException("load.notice-ms must be 0 to 600000 but is " + noticeMs);
         }
         if (classes.isEmpty()) {
-            throw new IllegalArgumentException("class must be there at least once ([[class]])");
+            throw new IllegalArgumentException("at least one [[class]] is required but there is none");
         }
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Scenario.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Scenario.java
@@ -17,12 +17,13 @@
 import martenlatch.world.WorldSettings;
 
 /**
- * A run as its file describes it.
+ * The description of a run, read from a TOML file.
  *
- * @param seconds how long the load goes on
- * @param world endpoints and what they are like
- * @param discovery how it works through calls
- * @param faults by their times, with the parts that the seed has them hit
+ * @param seconds how long the load lasts
+ * @param world the endpoints and their properties
+ * @param discovery how discovery serves calls
+ * @param faults ordered by time, with the parts that they affect, which depend on the seed
+ * @param passCriteria what the run must achieve
  */
 public record Scenario(
         String name,
@@ -34,18 +35,18 @@
         WorldSettings world,
         ListService discovery,
         List<Fault> faults,
-        Hold hold) {
+        PassCriteria passCriteria) {
 
-    private static final Set<String> NAMES = Set.of(
+    private static final Set<String> TOP_LEVEL_KEYS = Set.of(
             "name", "about", "seed", "seconds", "fleet", "load", "class", "endpoint", "discovery", "fault", "hold");
-    private static final Set<String> DISCOVERY =
+    private static final Set<String> DISCOVERY_KEYS =
             Set.of("call-ms", "rejection-ms", "most-wait-ms", "ask-within-ms", "known");
-    private static final Set<String> FLEET = Set.of("sidecars", "endpoints", "zones", "peers");
-    private static final Set<String> LOAD = Set.of("rate", "skew", "notice-ms");
-    private static final Set<String> CLASS =
+    private static final Set<String> FLEET_KEYS = Set.of("sidecars", "endpoints", "zones", "peers");
+    private static final Set<String> LOAD_KEYS = Set.of("rate", "skew", "notice-ms");
+    private static final Set<String> CLASS_KEYS =
             Set.of("name", "share", "effect", "body-bytes", "aim-ms", "deadline-ms", "retries", "worth");
-    private static final Set<String> ENDPOINT = Set.of("service", "slots", "queue", "cold-ms", "cold-factor");
-    private static final Set<String> FAULT = Set.of(
+    private static final Set<String> ENDPOINT_KEYS = Set.of("service", "slots", "queue", "cold-ms", "cold-factor");
+    private static final Set<String> FAULT_KEYS = Set.of(
             "at",
             "for",
             "do",
@@ -64,41 +65,41 @@
             "share",
             "jar",
             "moves");
-    private static final Set<String> HOLD = Set.of("recovery-seconds", "amplification", "served", "list-refusals");
+    private static final Set<String> HOLD_KEYS = Set.of("recovery-seconds", "amplification", "served", "list-refusals");
     private static final double DRAIN_GRACE_MS = 500;
-    private static final int MOST_IDS = 5_000_000;
-    private static final double MOST_SECONDS = 3600;
+    private static final int MAX_IDS = 5_000_000;
+    private static final double MAX_SECONDS = 3600;
 
     public Scenario {
         faults = List.copyOf(faults);
-        if (!(seconds >= 1 && seconds <= MOST_SECONDS)) {
+        if (!(seconds >= 1 && seconds <= MAX_SECONDS)) {
             throw new IllegalArgumentException("seconds must be 1 to 3600 but is " + seconds);
         }
     }
 
-    /** Reads a file; what can't be used is an exception whose message names field and value. */
+    /** Reads a file. Throws an exception that names the field and the value if the file is invalid. */
     public static Scenario read(Path file) throws IOException {
         return of(TomlFile.read(file));
     }
 
     /**
-     * A seed of its own for each thing that draws: two that drew from the same would agree, and one sidecar
-     * would get all requests of a class.
+     * Returns a separate seed for each purpose. Generators with the same seed would draw the same numbers, so that one
+     * sidecar would get all requests of a class.
      */
-    public long seedFor(Object what) {
-        return new SplittableRandom(seed * 1_000_003 + what.hashCode()).nextLong();
+    public long seedFor(Object purpose) {
+        return new SplittableRandom(seed * 1_000_003 + purpose.hashCode()).nextLong();
     }
 
-    /** The same run with other faults. */
+    /** Returns the same scenario with other faults. */
     public Scenario with(List<Fault> others) {
-        return new Scenario(name, about, seed, seconds, sizes, load, world, discovery, others, hold);
+        return new Scenario(name, about, seed, seconds, sizes, load, world, discovery, others, passCriteria);
     }
 
-    /** Of a file's tree. */
+    /** Creates a scenario from a parsed file. */
     public static Scenario of(JsonNode file) {
-        TomlFile.knownOnly("", file, NAMES);
+        TomlFile.knownOnly("", file, TOP_LEVEL_KEYS);
         JsonNode fleet = file.path("fleet");
-        TomlFile.knownOnly("fleet.", fleet, FLEET);
+        TomlFile.knownOnly("fleet.", fleet, FLEET_KEYS);
         List<String> zones = new ArrayList<>();
         fleet.path("zones").forEach(zone -> zones.add(zone.asText()));
         Sizes sizes = new Sizes(
@@ -118,15 +119,15 @@
                 world(file.path("endpoint"), sizes, seed),
                 discovery(file.path("discovery")),
                 faults(file.path("fault"), sizes, seed, seconds),
-                hold(file.path("hold")));
+                passCriteria(file.path("hold")));
     }
 
     private static Load load(JsonNode file) {
         JsonNode load = file.path("load");
-        TomlFile.knownOnly("load.", load, LOAD);
+        TomlFile.knownOnly("load.", load, LOAD_KEYS);
         List<Load.ClassSettings> classes = new ArrayList<>();
         for (JsonNode one : file.path("class")) {
-            TomlFile.knownOnly("class.", one, CLASS);
+            TomlFile.knownOnly("class.", one, CLASS_KEYS);
             int deadline = TomlFile.whole("class.deadline-ms", one.path("deadline-ms"), 1000);
             try {
                 Kind kind = new Kind(
@@ -154,7 +155,7 @@
     }
 
     private static WorldSettings world(JsonNode one, Sizes sizes, long seed) {
-        TomlFile.knownOnly("endpoint.", one, ENDPOINT);
+        TomlFile.knownOnly("endpoint.", one, ENDPOINT_KEYS);
         return new WorldSettings(
                 sizes.endpoints(),
                 sizes.zones(),
@@ -165,12 +166,12 @@
                 TomlFile.number("endpoint.cold-factor", one.path("cold-factor"), 4),
                 DRAIN_GRACE_MS,
                 1,
-                MOST_IDS,
+                MAX_IDS,
                 seed);
     }
 
     private static ListService discovery(JsonNode one) {
-        TomlFile.knownOnly("discovery.", one, DISCOVERY);
+        TomlFile.knownOnly("discovery.", one, DISCOVERY_KEYS);
         return new ListService(
                 TomlFile.number("discovery.call-ms", one.path("call-ms"), 0),
                 TomlFile.number("discovery.rejection-ms", one.path("rejection-ms"), 0),
@@ -182,19 +183,19 @@
     private static List<Fault> faults(JsonNode list, Sizes sizes, long seed, double seconds) {
         Random random = new Random(seed);
         List<Fault> faults = new ArrayList<>();
-        double before = 0;
+        double previousAtMs = 0;
         for (JsonNode one : list) {
-            TomlFile.knownOnly("fault.", one, FAULT);
+            TomlFile.knownOnly("fault.", one, FAULT_KEYS);
             Fault fault = fault(one, faults.size(), sizes, random);
-            if (fault.atMs() < before) {
-                throw new IllegalArgumentException("fault.at must not be before that of the fault before ("
-                        + before / 1000 + ") but is " + fault.atMs() / 1000);
+            if (fault.atMs() < previousAtMs) {
+                throw new IllegalArgumentException("fault.at must not be earlier than that of the previous fault ("
+                        + previousAtMs / 1000 + ") but is " + fault.atMs() / 1000);
             }
             if (!(fault.atMs() <= seconds * 1000)) {
                 throw new IllegalArgumentException(
                         "fault.at must be within the run's " + seconds + " seconds but is " + one.path("at"));
             }
-            before = fault.atMs();
+            previousAtMs = fault.atMs();
             faults.add(fault);
         }
         faults.sort(Comparator.comparingDouble(Fault::atMs));
@@ -202,19 +203,19 @@
     }
 
     private static Fault fault(JsonNode one, int number, Sizes sizes, Random random) {
-        double at = TomlFile.number("fault.at", one.path("at"), Double.NaN) * 1000;
-        if (!(at >= 0)) {
+        double atMs = TomlFile.number("fault.at", one.path("at"), Double.NaN) * 1000;
+        if (!(atMs >= 0)) {
             throw new IllegalArgumentException("fault.at must be 0 or more seconds but is " + one.path("at"));
         }
         Fault.What what = Fault.What.parse(one.path("do").asText(""));
-        double lasts = TomlFile.number("fault.for", one.path("for"), Double.POSITIVE_INFINITY) * 1000;
-        if (!(lasts > 0) || what.mustEnd() && Double.isInfinite(lasts)) {
+        double durationMs = TomlFile.number("fault.for", one.path("for"), Double.POSITIVE_INFINITY) * 1000;
+        if (!(durationMs > 0) || what.mustEnd() && Double.isInfinite(durationMs)) {
             throw new IllegalArgumentException("fault.for must be above 0 seconds"
-                    + (what.mustEnd() ? ", and be there for " + what.word() : "") + ", but is "
+                    + (what.mustEnd() ? " and is required for " + what.word() : "") + ", but is "
                     + one.path("for"));
         }
-        boolean links = what.aim() == Fault.Aim.LINKS;
-        for (String field : links
+        boolean isLinkFault = what.aim() == Fault.Aim.LINKS;
+        for (String field : isLinkFault
                 ? List.of("who", "share", "jar")
                 : List.of(
                         "from",
@@ -230,36 +231,36 @@
                         "half")) {
             if (one.has(field)) {
                 throw new IllegalArgumentException(
-                        "fault." + field + " says nothing to " + what.word() + " but is " + one.path(field));
+                        "fault." + field + " does not apply to " + what.word() + " but is " + one.path(field));
             }
         }
         if (one.has("moves") && what != Fault.What.RELOAD) {
             throw new IllegalArgumentException(
-                    "fault.moves says nothing to " + what.word() + " but is " + one.path("moves"));
+                    "fault.moves does not apply to " + what.word() + " but is " + one.path("moves"));
         }
         double share = TomlFile.number("fault.share", one.path("share"), 0.1);
         if (!(share > 0 && share < 1)) {
             throw new IllegalArgumentException("fault.share must be between 0 and 1 but is " + share);
         }
-        if (!links) {
+        if (!isLinkFault) {
             Selector who = what.aim() == Fault.Aim.DISCOVERY && !one.has("who")
                     ? new Selector(Selector.Group.DISCOVERY, -1, "", 1)
                     : Selector.parse("fault.who", one.path("who").asText(""), sizes);
-            Selector.Group wanted =
+            Selector.Group expectedGroup =
                     switch (what.aim()) {
                         case SIDECARS -> Selector.Group.SIDECAR;
                         case ENDPOINTS -> Selector.Group.ENDPOINT;
                         default -> Selector.Group.DISCOVERY;
                     };
-            if (who.group() != wanted) {
+            if (who.group() != expectedGroup) {
                 throw new IllegalArgumentException(
-                        "fault.who must be of " + wanted.name().toLowerCase(Locale.ROOT) + "s for " + what.word()
+                        "fault.who must be of " + expectedGroup.name().toLowerCase(Locale.ROOT) + "s for " + what.word()
                                 + " but is " + one.path("who"));
             }
             return new Fault(
                     number,
-                    at,
-                    lasts,
+                    atMs,
+                    durationMs,
                     what,
                     who.resolve(sizes, random),
                     List.of(),
@@ -284,8 +285,8 @@
         }
         return new Fault(
                 number,
-                at,
-                lasts,
+                atMs,
+                durationMs,
                 what,
                 from.resolve(sizes, random),
                 to.resolve(sizes, random),
@@ -317,9 +318,9 @@
         }
     }
 
-    private static Hold hold(JsonNode hold) {
-        TomlFile.knownOnly("hold.", hold, HOLD);
-        return new Hold(
+    private static PassCriteria passCriteria(JsonNode hold) {
+        TomlFile.knownOnly("hold.", hold, HOLD_KEYS);
+        return new PassCriteria(
                 TomlFile.number("hold.recovery-seconds", hold.path("recovery-seconds"), Double.POSITIVE_INFINITY),
                 TomlFile.number("hold.amplification", hold.path("amplification"), Double.POSITIVE_INFINITY),
                 TomlFile.number("hold.served", hold.path("served"), 0),
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Selector.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Selector.java
@@ -8,13 +8,13 @@
 import java.util.stream.IntStream;
 
 /**
- * Names some of the parts of a fleet: {@code sidecar 3}, {@code sidecars}, {@code sidecars zone north},
- * {@code sidecars random 0.1}, the same of endpoints, {@code discovery}, {@code clients}.
+ * Selects parts of a fleet: {@code sidecar 3}, {@code sidecars}, {@code sidecars zone north},
+ * {@code sidecars random 0.1}, the same forms for endpoints, {@code discovery}, {@code clients}.
  *
- * @param group which kind of part
- * @param number one of them, or -1
- * @param zone those of a zone, or empty
- * @param share a random share of them, at least one; 1 for all
+ * @param group the kind of part
+ * @param number the number of a single part, or -1
+ * @param zone the zone to select from, or empty for all zones
+ * @param share the share of the parts to select at random, at least one part; 1 for all
  */
 public record Selector(Group group, int number, String zone, double share) {
 
@@ -31,34 +31,36 @@
             this.prefix = prefix;
         }
 
-        /** The name of one of them. */
+        /** Returns the name of the part with this number. */
         public String name(int number) {
             return this == SIDECAR || this == ENDPOINT ? prefix + number : prefix;
         }
     }
 
-    private static final String FORMS = "sidecar N, sidecars, sidecars zone Z, sidecars random SHARE, the same of "
+    private static final String SYNTAX = "sidecar N, sidecars, sidecars zone Z, sidecars random SHARE, the same of "
             + "endpoints, discovery or clients";
 
-    /** Reads one of a fleet of that size; what names nobody is an exception with field and value. */
+    /** Parses a selector. Throws an exception with the field and the value if it selects no part of the fleet. */
     public static Selector parse(String field, String text, Sizes sizes) {
         String[] words = text.trim().split("\\s+");
-        Selector read = words.length == 1 ? one(words[0]) : words.length == 2 ? numbered(words) : some(words);
-        if (read == null) {
-            throw new IllegalArgumentException(field + " must be " + FORMS + " but is \"" + text + "\"");
+        Selector selector = words.length == 1
+                ? parseGroup(words[0])
+                : words.length == 2 ? parseNumbered(words) : parseSubset(words);
+        if (selector == null) {
+            throw new IllegalArgumentException(field + " must be " + SYNTAX + " but is \"" + text + "\"");
         }
-        if (read.number >= sizes.count(read.group)) {
-            throw new IllegalArgumentException(field + " must name one of " + sizes.count(read.group)
+        if (selector.number >= sizes.count(selector.group)) {
+            throw new IllegalArgumentException(field + " must name one of " + sizes.count(selector.group)
                     + ", counted from 0, but is \"" + text + "\"");
         }
-        if (!read.zone.isEmpty() && !sizes.zones().contains(read.zone)) {
+        if (!selector.zone.isEmpty() && !sizes.zones().contains(selector.zone)) {
             throw new IllegalArgumentException(
                     field + " must name one of the zones " + sizes.zones() + " but is \"" + text + "\"");
         }
-        return read;
+        return selector;
     }
 
-    private static Selector one(String word) {
+    private static Selector parseGroup(String word) {
         return switch (word) {
             case "sidecars" -> new Selector(Group.SIDECAR, -1, "", 1);
             case "endpoints" -> new Selector(Group.ENDPOINT, -1, "", 1);
@@ -68,15 +70,15 @@
         };
     }
 
-    private static Selector numbered(String[] words) {
+    private static Selector parseNumbered(String[] words) {
         Group group = words[0].equals("sidecar") ? Group.SIDECAR : words[0].equals("endpoint") ? Group.ENDPOINT : null;
         return group == null || !words[1].matches("\\d{1,6}")
                 ? null
                 : new Selector(group, Integer.parseInt(words[1]), "", 1);
     }
 
-    private static Selector some(String[] words) {
-        Selector all = one(words[0]);
+    private static Selector parseSubset(String[] words) {
+        Selector all = parseGroup(words[0]);
         if (all == null || all.group == Group.DISCOVERY || all.group == Group.CLIENTS || words.length != 3) {
             return null;
         }
@@ -89,7 +91,7 @@
         return null;
     }
 
-    /** The parts that it means, in order; what is random of them comes from {@code random}. */
+    /** Returns the names of the selected parts, in order; a random share is drawn with {@code random}. */
     public List<String> resolve(Sizes sizes, Random random) {
         List<Integer> numbers = new ArrayList<>(IntStream.range(0, sizes.count(group))
                 .filter(i -> (number < 0 || i == number)
@@ -106,12 +108,12 @@
 
     @Override
     public String toString() {
-        String one = group.name().toLowerCase(Locale.ROOT);
+        String groupName = group.name().toLowerCase(Locale.ROOT);
         if (group == Group.DISCOVERY || group == Group.CLIENTS) {
-            return one;
+            return groupName;
         }
         return number >= 0
-                ? one + " " + number
-                : one + "s" + (zone.isEmpty() ? share < 1 ? " random " + share : "" : " zone " + zone);
+                ? groupName + " " + number
+                : groupName + "s" + (zone.isEmpty() ? share < 1 ? " random " + share : "" : " zone " + zone);
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Sizes.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Sizes.java
@@ -3,31 +3,31 @@
 import java.util.List;
 
 /**
- * How large a fleet is. Sidecars and endpoints are dealt out among the zones in turn.
+ * The size of a fleet. Sidecars and endpoints are assigned to the zones in turn.
  *
- * @param peers whether sidecars keep each other informed; in simulated time they do not yet
+ * @param peers whether sidecars gossip with each other; not supported in simulated time
  */
 public record Sizes(int sidecars, int endpoints, List<String> zones, boolean peers) {
 
-    private static final int MOST_SIDECARS = 10_000;
-    private static final int MOST_ENDPOINTS = 100_000;
+    private static final int MAX_SIDECARS = 10_000;
+    private static final int MAX_ENDPOINTS = 100_000;
 
     public Sizes {
         zones = List.copyOf(zones);
-        within("fleet.sidecars", sidecars, MOST_SIDECARS);
-        within("fleet.endpoints", endpoints, MOST_ENDPOINTS);
+        requireRange("fleet.sidecars", sidecars, MAX_SIDECARS);
+        requireRange("fleet.endpoints", endpoints, MAX_ENDPOINTS);
         if (zones.isEmpty()) {
-            throw new IllegalArgumentException("fleet.zones must name one but is empty");
+            throw new IllegalArgumentException("fleet.zones must name at least one zone but is empty");
         }
     }
 
-    private static void within(String field, int value, int most) {
-        if (value < 1 || value > most) {
-            throw new IllegalArgumentException(field + " must be 1 to " + most + " but is " + value);
+    private static void requireRange(String field, int value, int max) {
+        if (value < 1 || value > max) {
+            throw new IllegalArgumentException(field + " must be 1 to " + max + " but is " + value);
         }
     }
 
-    /** How many there are of a kind. */
+    /** Returns the number of parts of a kind. */
     public int count(Selector.Group group) {
         return switch (group) {
             case SIDECAR -> sidecars;
@@ -36,7 +36,7 @@
         };
     }
 
-    /** The zone of a sidecar or an endpoint. */
+    /** Returns the zone of the sidecar or endpoint with this number. */
     public String zoneOf(int number) {
         return zones.get(number % zones.size());
     }
--- a/fleet/src/main/java/martenlatch/fleet/scenario/package-info.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a run is to be: sizes, load, faults and what must hold, read from a file, and the plan that follows
- * from it and its seed. It has no I/O but the reading of that file.
+ * Describes a run: the size of the fleet, its load, its faults and its pass criteria. A scenario is read from a file;
+ * its plan of faults follows from the file and the seed. The package does no other I/O.
  */
 package martenlatch.fleet.scenario;
