--- a/fleet/src/main/java/martenlatch/fleet/cli/Main.java
+++ b/fleet/src/main/java/martenlatch/fleet/cli/Main.java
@@ -39,12 +39,12 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code martenlatch-fleet}: many sidecars as processes, with faults between them. */
+/** The command {@code martenlatch-fleet}: runs a fleet of sidecars as processes and injects faults. */
 @Command(
         name = "martenlatch-fleet",
         mixinStandardHelpOptions = true,
         version = "martenlatch-fleet 0.3.0",
-        description = "Runs many sidecars as processes on this machine and puts faults between them.",
+        description = "Runs a fleet of sidecars as processes on this machine and injects faults.",
         subcommands = {
             Main.Run.class,
             Main.Simulate.class,
@@ -58,15 +58,18 @@
 public final class Main implements Runnable {
 
     private static final int BROKEN = 1;
-    private static final int UNUSABLE = 2;
+    private static final int USAGE_ERROR = 2;
     private static final int VOID = 3;
-    private static final long LONGEST_END_S = 30;
-    private static final String SCENARIOS = "/scenarios/";
+    private static final long MAX_SHUTDOWN_S = 30;
+    private static final String SCENARIO_FOLDER = "/scenarios/";
 
     @Spec
     private CommandSpec spec;
 
-    /** Runs a command; exit status 0 held, 1 broken or failed, 2 a command line or file of no use, 3 void. */
+    /**
+     * Runs a command. Exit status: 0 if the run held, 1 if it was broken or failed, 2 if the command line or a file is
+     * invalid, 3 if the run was void.
+     */
     public static void main(String[] args) {
         System.exit(execute(args));
     }
@@ -75,7 +78,7 @@
         CommandLine line = new CommandLine(new Main());
         line.setExecutionExceptionHandler((e, command, parsed) -> {
             command.getErr().println("martenlatch-fleet: " + e.getMessage());
-            return e instanceof IllegalArgumentException ? UNUSABLE : BROKEN;
+            return e instanceof IllegalArgumentException ? USAGE_ERROR : BROKEN;
         });
         return line.execute(args);
     }
@@ -86,29 +89,29 @@
                 spec.commandLine(), "a command is missing: run, simulate, explore, shrink, list, table, peers or cost");
     }
 
-    static List<String> names() throws IOException {
-        try (InputStream in = Main.class.getResourceAsStream(SCENARIOS + "index")) {
+    static List<String> scenarioNames() throws IOException {
+        try (InputStream in = Main.class.getResourceAsStream(SCENARIO_FOLDER + "index")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8).lines().toList();
         }
     }
 
-    /** A scenario of that name or file, as its tree. */
-    static JsonNode tree(String name) throws IOException {
+    /** Returns the parsed file of a scenario, given as a file or as the name of a built-in scenario. */
+    static JsonNode scenarioTree(String name) throws IOException {
         if (Files.exists(Path.of(name))) {
             return TomlFile.read(Path.of(name));
         }
-        try (InputStream in = Main.class.getResourceAsStream(SCENARIOS + name + ".toml")) {
+        try (InputStream in = Main.class.getResourceAsStream(SCENARIO_FOLDER + name + ".toml")) {
             if (in == null) {
                 throw new IllegalArgumentException(
-                        "the scenario must be a file or one of " + names() + " but is \"" + name + "\"");
+                        "the scenario must be a file or one of " + scenarioNames() + " but is \"" + name + "\"");
             }
             return new TomlMapper().readTree(in);
         }
     }
 
-    /** Which scenario, at which size, with which faults. */
-    static final class Chosen {
-        @Parameters(paramLabel = "SCENARIO", description = "a file, or the name of one that comes with the program")
+    /** Options that select the scenario, its size and its faults. */
+    static final class ScenarioOptions {
+        @Parameters(paramLabel = "SCENARIO", description = "a file, or the name of a built-in scenario")
         private String name;
 
         @Option(names = "--sidecars", paramLabel = "N", description = "instead of the scenario's own number")
@@ -117,10 +120,10 @@
         @Option(names = "--endpoints", paramLabel = "N", description = "instead of the scenario's own number")
         private Integer endpoints;
 
-        @Option(names = "--rate", paramLabel = "R", description = "requests a second, instead of the scenario's own")
+        @Option(names = "--rate", paramLabel = "R", description = "requests per second, instead of the scenario's own")
         private Double rate;
 
-        @Option(names = "--seed", paramLabel = "S", description = "instead of the scenario's own")
+        @Option(names = "--seed", paramLabel = "S", description = "seed, instead of the scenario's own")
         private Integer seed;
 
         @Option(
@@ -133,14 +136,14 @@
                 names = "--count",
                 paramLabel = "N",
                 defaultValue = "6",
-                description = "how many faults are drawn (${DEFAULT-VALUE})")
+                description = "number of faults to draw (${DEFAULT-VALUE})")
         private int count;
 
         @Option(names = "--only", split = ",", paramLabel = "N", description = "only these faults, counted from 0")
         private List<Integer> only;
 
         Scenario read() throws IOException {
-            ObjectNode tree = (ObjectNode) tree(name);
+            ObjectNode tree = (ObjectNode) scenarioTree(name);
             ObjectNode fleet = tree.withObject("/fleet");
             if (sidecars != null) {
                 fleet.put("sidecars", sidecars);
@@ -162,23 +165,23 @@
             return only == null
                     ? scenario
                     : scenario.with(faults.stream()
-                            .filter(one -> only.contains(one.number()))
+                            .filter(fault -> only.contains(fault.number()))
                             .toList());
         }
     }
 
-    /** Where a run is told of. */
-    static final class Told {
-        @Option(names = "--html", paramLabel = "FILE", description = "writes a page")
+    /** Options for the reports of a run. */
+    static final class ReportOptions {
+        @Option(names = "--html", paramLabel = "FILE", description = "writes the report as an HTML page")
         private Path html;
 
         @Option(names = "--json", paramLabel = "FILE", description = "writes the report as JSON")
         private Path json;
 
-        @Option(names = "--quiet", description = "no line a second")
+        @Option(names = "--quiet", description = "prints no line per second")
         private boolean quiet;
 
-        int tell(Scenario scenario, History history) throws IOException {
+        int report(Scenario scenario, History history) throws IOException {
             RunRecord record = new RunRecord(scenario, history.events(), history.missing());
             Verdict verdict = Verdict.of(record);
             TextReport.print(record, verdict, System.out);
@@ -196,43 +199,44 @@
         }
     }
 
-    static Verdict simulated(Scenario scenario) {
+    static Verdict simulate(Scenario scenario) {
         SimRun run = new SimRun(scenario);
         History history = run.play(second -> {});
         return Verdict.of(new RunRecord(scenario, history.events(), history.missing()));
     }
 
-    @Command(name = "list", mixinStandardHelpOptions = true, description = "Scenarios that come with the program.")
+    @Command(name = "list", mixinStandardHelpOptions = true, description = "Lists the built-in scenarios.")
     static final class ListScenarios implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
-            for (String name : names()) {
-                System.out.printf("%-18s %s%n", name, Scenario.of(tree(name)).about());
+            for (String name : scenarioNames()) {
+                System.out.printf(
+                        "%-18s %s%n", name, Scenario.of(scenarioTree(name)).about());
             }
             return 0;
         }
     }
 
-    @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays a scenario with real processes.")
+    @Command(name = "run", mixinStandardHelpOptions = true, description = "Runs a scenario with real processes.")
     static final class Run implements Callable<Integer> {
         @Mixin
-        private Chosen chosen;
+        private ScenarioOptions options;
 
         @Mixin
-        private Told told;
+        private ReportOptions reportOptions;
 
         @Option(
                 names = "--root",
                 paramLabel = "FOLDER",
                 defaultValue = ".",
-                description =
-                        "the checkout whose deploy/balancer.toml says how a sidecar is started " + "(${DEFAULT-VALUE})")
+                description = "the root of the checkout whose deploy/balancer.toml defines how a sidecar is started "
+                        + "(${DEFAULT-VALUE})")
         private Path root;
 
         @Override
         public Integer call() throws IOException, InterruptedException {
-            Scenario scenario = chosen.read();
-            CountDownLatch over = new CountDownLatch(1);
+            Scenario scenario = options.read();
+            CountDownLatch finished = new CountDownLatch(1);
             try (FleetRun run = new FleetRun(
                     scenario,
                     DeployFile.read(root.toAbsolutePath().normalize()),
@@ -242,14 +246,14 @@
                                 () -> {
                                     run.stop();
                                     try {
-                                        over.await(LONGEST_END_S, TimeUnit.SECONDS);
+                                        finished.await(MAX_SHUTDOWN_S, TimeUnit.SECONDS);
                                     } catch (InterruptedException e) {
                                         Thread.currentThread().interrupt();
                                     }
                                 },
                                 "stop"));
                 run.play(second -> {
-                    if (!told.quiet) {
+                    if (!reportOptions.quiet) {
                         System.out.printf(
                                 Locale.ROOT,
                                 "%4d s  sent %5d  served %5d  p50 %7.1f  p99 %8.1f ms%n",
@@ -260,9 +264,9 @@
                                 second.ms(99));
                     }
                 });
-                return told.tell(scenario, run.history());
+                return reportOptions.report(scenario, run.history());
             } finally {
-                over.countDown();
+                finished.countDown();
             }
         }
     }
@@ -270,25 +274,25 @@
     @Command(
             name = "simulate",
             mixinStandardHelpOptions = true,
-            description = "Plays a scenario in simulated time, with the program's decisions and their host.")
+            description = "Runs a scenario in simulated time, with the policy of the sidecars and its host.")
     static final class Simulate implements Callable<Integer> {
         @Mixin
-        private Chosen chosen;
+        private ScenarioOptions options;
 
         @Mixin
-        private Told told;
+        private ReportOptions reportOptions;
 
         @Override
         public Integer call() throws IOException {
-            Scenario scenario = chosen.read();
-            long began = System.nanoTime();
+            Scenario scenario = options.read();
+            long startNanos = System.nanoTime();
             SimRun run = new SimRun(scenario);
             History history = run.play(at -> {
-                if (!told.quiet) {
+                if (!reportOptions.quiet) {
                     System.out.printf(Locale.ROOT, "%4.0f s  %d tasks%n", at / 1000, run.ran());
                 }
             });
-            double seconds = (System.nanoTime() - began) / 1e9;
+            double seconds = (System.nanoTime() - startNanos) / 1e9;
             System.out.printf(
                     Locale.ROOT,
                     "simulated in %.1f s of real time, %.0f tasks a second, heap %d MB, " + "history %s%n",
@@ -296,30 +300,39 @@
                     run.ran() / seconds,
                     (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 20,
                     history.digest());
-            return told.tell(scenario, history);
+            return reportOptions.report(scenario, history);
         }
     }
 
     @Command(
             name = "explore",
             mixinStandardHelpOptions = true,
-            description = "Draws fault plans, plays each in simulated time, and names those that break " + "something.")
+            description =
+                    "Draws random fault plans, runs each in simulated time, and prints those that violate a rule.")
     static final class Explore implements Callable<Integer> {
         @Mixin
-        private Chosen chosen;
+        private ScenarioOptions options;
 
-        @Option(names = "--seeds", paramLabel = "N", defaultValue = "20", description = "how many (${DEFAULT-VALUE})")
+        @Option(
+                names = "--seeds",
+                paramLabel = "N",
+                defaultValue = "20",
+                description = "number of plans (${DEFAULT-VALUE})")
         private int seeds;
 
-        @Option(names = "--from", paramLabel = "S", defaultValue = "1", description = "the first (${DEFAULT-VALUE})")
+        @Option(
+                names = "--from",
+                paramLabel = "S",
+                defaultValue = "1",
+                description = "seed of the first plan (${DEFAULT-VALUE})")
         private int from;
 
         @Override
         public Integer call() throws IOException {
-            Scenario base = chosen.read();
+            Scenario base = options.read();
             int broken = 0;
             for (int seed = from; seed < from + seeds; seed++) {
-                Verdict verdict = simulated(RandomFaults.in(base, seed, chosen.count));
+                Verdict verdict = simulate(RandomFaults.in(base, seed, options.count));
                 if (verdict.outcome() == Verdict.Outcome.BROKEN) {
                     broken++;
                     System.out.println("plan " + seed + " breaks "
@@ -332,7 +345,7 @@
                 }
             }
             System.out.println(broken + " of " + seeds + " plans break something; to cut one down: shrink "
-                    + chosen.name + " --plan SEED --count " + chosen.count);
+                    + options.name + " --plan SEED --count " + options.count);
             return broken == 0 ? 0 : BROKEN;
         }
     }
@@ -340,27 +353,29 @@
     @Command(
             name = "shrink",
             mixinStandardHelpOptions = true,
-            description = "Cuts a plan that breaks something in simulated time down to the faults that matter.")
+            description = "Reduces a plan that violates a rule in simulated time to the faults that are needed.")
     static final class ShrinkPlan implements Callable<Integer> {
         @Mixin
-        private Chosen chosen;
+        private ScenarioOptions options;
 
         @Override
         public Integer call() throws IOException {
-            Scenario scenario = chosen.read();
-            Set<String> judges =
-                    simulated(scenario).findings().stream().map(Finding::judge).collect(Collectors.toSet());
-            if (judges.isEmpty()) {
+            Scenario scenario = options.read();
+            Set<String> brokenChecks =
+                    simulate(scenario).findings().stream().map(Finding::judge).collect(Collectors.toSet());
+            if (brokenChecks.isEmpty()) {
                 System.out.println("nothing breaks");
                 return 0;
             }
-            List<Fault> left = Shrink.of(
+            List<Fault> remaining = Shrink.of(
                     scenario.faults(),
-                    faults -> simulated(scenario.with(faults)).findings().stream()
-                            .anyMatch(found -> judges.contains(found.judge())));
-            left.forEach(fault -> System.out.println(fault.number() + ": " + fault));
+                    faults -> simulate(scenario.with(faults)).findings().stream()
+                            .anyMatch(found -> brokenChecks.contains(found.judge())));
+            remaining.forEach(fault -> System.out.println(fault.number() + ": " + fault));
             System.out.println("play it again with --only "
-                    + left.stream().map(one -> String.valueOf(one.number())).collect(Collectors.joining(",")));
+                    + remaining.stream()
+                            .map(fault -> String.valueOf(fault.number()))
+                            .collect(Collectors.joining(",")));
             return BROKEN;
         }
     }
--- a/fleet/src/main/java/martenlatch/fleet/cli/PeersCommand.java
+++ b/fleet/src/main/java/martenlatch/fleet/cli/PeersCommand.java
@@ -7,12 +7,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Measures membership among sidecars in simulated time, beside other ways to do it. */
+/** Compares the membership protocol of the sidecars with other protocols in simulated time. */
 @Command(
         name = "peers",
         mixinStandardHelpOptions = true,
-        description = "Plays what may befall a fleet in simulated time, and prints how well membership among "
-                + "sidecars bore it, beside heartbeats, phi accrual and plain SWIM (Markdown).")
+        description =
+                "Runs failure cases of a fleet in simulated time and prints how the membership protocol of the sidecars "
+                        + "does in them, compared with heartbeats, phi accrual and plain SWIM (Markdown).")
 final class PeersCommand implements Callable<Integer> {
 
     @Option(
@@ -20,16 +21,20 @@
             split = ",",
             paramLabel = "N",
             defaultValue = "10,100",
-            description = "sizes (${DEFAULT-VALUE})")
+            description = "fleet sizes (${DEFAULT-VALUE})")
     private List<Integer> members = List.of();
 
-    @Option(names = "--cases", split = ",", paramLabel = "NAME", description = "only these")
+    @Option(names = "--cases", split = ",", paramLabel = "NAME", description = "only these cases")
     private List<String> cases;
 
-    @Option(names = "--ways", split = ",", paramLabel = "NAME", description = "only these")
+    @Option(names = "--ways", split = ",", paramLabel = "NAME", description = "only these protocols")
     private List<String> ways;
 
-    @Option(names = "--seeds", paramLabel = "N", defaultValue = "5", description = "plays of each (${DEFAULT-VALUE})")
+    @Option(
+            names = "--seeds",
+            paramLabel = "N",
+            defaultValue = "5",
+            description = "runs of each case (${DEFAULT-VALUE})")
     private int seeds;
 
     @Override
@@ -37,11 +42,11 @@
         System.out.println("| case | way | members | wrongly faulty a play | bytes/s a member "
                 + "| messages, worst second | first | all (p99) | whole at the end |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-        for (String what : cases == null ? PeerMeasure.cases() : cases) {
+        for (String caseName : cases == null ? PeerMeasure.cases() : cases) {
             for (int size : members) {
-                for (String way : ways == null ? new ArrayList<>(PeerMeasure.ways()) : ways) {
+                for (String protocol : ways == null ? new ArrayList<>(PeerMeasure.ways()) : ways) {
                     System.out.println(
-                            PeerMeasure.measure(way, what, size, seeds).row());
+                            PeerMeasure.measure(protocol, caseName, size, seeds).row());
                 }
             }
         }
--- a/fleet/src/main/java/martenlatch/fleet/cli/TableCommand.java
+++ b/fleet/src/main/java/martenlatch/fleet/cli/TableCommand.java
@@ -17,35 +17,40 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Plays all scenarios at several sizes, with processes and in simulated time, and prints one table. */
+/** Runs all scenarios at several sizes, with processes and in simulated time, and prints one table. */
 @Command(
         name = "table",
         mixinStandardHelpOptions = true,
-        description = "Plays every scenario at several sizes and prints one table (Markdown). Endpoints and rate "
+        description = "Runs every scenario at several sizes and prints one table (Markdown). Endpoints and rate "
                 + "grow with the number of sidecars.")
 final class TableCommand implements Callable<Integer> {
 
-    private static final int TRIES = 3;
-    /** As the scenarios that come with the program have it for their six sidecars. */
-    private static final int OWN_SIDECARS = 6;
+    /** A void run is repeated up to this many runs in total. */
+    private static final int MAX_RUNS = 3;
+    /** The number of sidecars that the built-in scenarios are written for. */
+    private static final int BASE_SIDECARS = 6;
 
-    private static final int ENDPOINTS_EACH = 2;
-    private static final double RATE_EACH = 25;
+    private static final int ENDPOINTS_PER_SIDECAR = 2;
+    private static final double RATE_PER_SIDECAR = 25;
 
-    @Option(names = "--processes", split = ",", paramLabel = "N", description = "sizes with real processes")
+    @Option(
+            names = "--processes",
+            split = ",",
+            paramLabel = "N",
+            description = "fleet sizes to run with real processes")
     private List<Integer> processes = List.of();
 
-    @Option(names = "--simulated", split = ",", paramLabel = "N", description = "sizes in simulated time")
+    @Option(names = "--simulated", split = ",", paramLabel = "N", description = "fleet sizes to run in simulated time")
     private List<Integer> simulated = List.of();
 
-    @Option(names = "--scenarios", split = ",", paramLabel = "NAME", description = "only these")
+    @Option(names = "--scenarios", split = ",", paramLabel = "NAME", description = "only these scenarios")
     private List<String> scenarios;
 
     @Option(
             names = "--root",
             paramLabel = "FOLDER",
             defaultValue = ".",
-            description = "the checkout (${DEFAULT-VALUE})")
+            description = "the root of the checkout (${DEFAULT-VALUE})")
     private Path root;
 
     @Override
@@ -53,34 +58,34 @@
         System.out.println("| scenario | sidecars | requests | served | refused | failed | no answer "
                 + "| attempts/request | back after | broken |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-        for (String name : scenarios == null ? Main.names() : scenarios) {
+        for (String name : scenarios == null ? Main.scenarioNames() : scenarios) {
             for (int size : processes) {
-                line(name, size + " processes", played(sized(name, size)));
+                printRow(name, size + " processes", runWithProcesses(scenarioOfSize(name, size)));
             }
             for (int size : simulated) {
-                line(name, size + " simulated", Main.simulated(sized(name, size)));
+                printRow(name, size + " simulated", Main.simulate(scenarioOfSize(name, size)));
             }
         }
         return 0;
     }
 
-    private static Scenario sized(String name, int size) throws IOException {
-        ObjectNode tree = (ObjectNode) Main.tree(name);
-        tree.withObject("/fleet").put("sidecars", size).put("endpoints", size * ENDPOINTS_EACH);
-        tree.withObject("/load").put("rate", size * RATE_EACH);
+    private static Scenario scenarioOfSize(String name, int size) throws IOException {
+        ObjectNode tree = (ObjectNode) Main.scenarioTree(name);
+        tree.withObject("/fleet").put("sidecars", size).put("endpoints", size * ENDPOINTS_PER_SIDECAR);
+        tree.withObject("/load").put("rate", size * RATE_PER_SIDECAR);
         if (tree.has("discovery")) {
-            // What discovery can do grows with the fleet too.
+            // The capacity of discovery grows with the fleet too.
             ObjectNode discovery = tree.withObject("/discovery");
             for (String field : List.of("call-ms", "most-wait-ms")) {
-                discovery.put(field, discovery.path(field).asDouble() * OWN_SIDECARS / size);
+                discovery.put(field, discovery.path(field).asDouble() * BASE_SIDECARS / size);
             }
         }
         return Scenario.of(tree);
     }
 
-    private Verdict played(Scenario scenario) throws IOException, InterruptedException {
+    private Verdict runWithProcesses(Scenario scenario) throws IOException, InterruptedException {
         Verdict verdict = null;
-        for (int i = 0; i < TRIES && (verdict == null || verdict.outcome() == Verdict.Outcome.VOID); i++) {
+        for (int i = 0; i < MAX_RUNS && (verdict == null || verdict.outcome() == Verdict.Outcome.VOID); i++) {
             try (FleetRun run = new FleetRun(
                     scenario,
                     DeployFile.read(root.toAbsolutePath().normalize()),
@@ -93,26 +98,28 @@
         return verdict;
     }
 
-    private static void line(String name, String size, Verdict verdict) {
-        Figures of = verdict.figures();
-        Map<String, Integer> broken = new TreeMap<>();
-        verdict.findings().forEach(one -> broken.merge(one.judge(), 1, Integer::sum));
+    private static void printRow(String name, String size, Verdict verdict) {
+        Figures figures = verdict.figures();
+        Map<String, Integer> findingsByCheck = new TreeMap<>();
+        verdict.findings().forEach(finding -> findingsByCheck.merge(finding.judge(), 1, Integer::sum));
         System.out.printf(
                 Locale.ROOT,
                 "| %s | %s | %d | %.4f | %d | %d | %d | %.3f | %s | %s |%n",
                 name,
                 size,
-                of.asked(),
-                of.servedShare(),
-                of.refused(),
-                of.failed(),
-                of.timedOut() + of.notSent(),
-                of.amplification(),
-                Double.isNaN(of.recoveryMs())
+                figures.asked(),
+                figures.servedShare(),
+                figures.refused(),
+                figures.failed(),
+                figures.timedOut() + figures.notSent(),
+                figures.amplification(),
+                Double.isNaN(figures.recoveryMs())
                         ? ""
-                        : Double.isInfinite(of.recoveryMs())
+                        : Double.isInfinite(figures.recoveryMs())
                                 ? "never"
-                                : String.format(Locale.ROOT, "%.2f s", of.recoveryMs() / 1000),
-                verdict.outcome() == Verdict.Outcome.VOID ? "void" : broken.isEmpty() ? "" : broken.toString());
+                                : String.format(Locale.ROOT, "%.2f s", figures.recoveryMs() / 1000),
+                verdict.outcome() == Verdict.Outcome.VOID
+                        ? "void"
+                        : findingsByCheck.isEmpty() ? "" : findingsByCheck.toString());
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/cli/package-info.java
+++ b/fleet/src/main/java/martenlatch/fleet/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line of the fleet's rig: one class a command, no logic. */
+/** The command line of the fleet test rig. The logic of the commands is in other packages. */
 package martenlatch.fleet.cli;
--- a/fleet/src/main/java/martenlatch/fleet/scenario/LinkFaults.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/LinkFaults.java
@@ -21,16 +21,18 @@
 
     /** Called when a fault ends. */
     public void end(Fault fault) {
-        active.removeIf(one -> one.fault().number() == fault.number());
+        active.removeIf(activeFault -> activeFault.fault().number() == fault.number());
     }
 
     /** Returns how a link treats data: from sender to target if {@code onwards}, otherwise from target to sender. */
     public Conduct conduct(String from, String to, boolean onwards) {
         Conduct combined = Conduct.CLEAR;
-        for (ActiveFault one : active) {
-            if (one.from().contains(from) && one.to().contains(to)) {
+        for (ActiveFault activeFault : active) {
+            if (activeFault.from().contains(from) && activeFault.to().contains(to)) {
                 combined = combined.and(
-                        onwards ? one.fault().onwards() : one.fault().backwards());
+                        onwards
+                                ? activeFault.fault().onwards()
+                                : activeFault.fault().backwards());
             }
         }
         return combined;
--- a/fleet/src/test/java/martenlatch/fleet/cli/MainTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/cli/MainTest.java
@@ -15,13 +15,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Scenarios that come with the program, played with real processes: six sidecars, twelve endpoints, two
- * zones.
+ * Runs built-in scenarios with real processes: six sidecars, twelve endpoints, two zones.
  */
 @Timeout(value = 240, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class MainTest {
 
-    private static final int TRIES = 3;
+    private static final int MAX_RUNS = 3;
     private static final int VOID = 3;
 
     @TempDir
@@ -29,7 +28,7 @@
 
     private int run(String... args) {
         int status = VOID;
-        for (int i = 0; i < TRIES && status == VOID; i++) {
+        for (int i = 0; i < MAX_RUNS && status == VOID; i++) {
             status = Main.execute(args);
         }
         return status;
@@ -37,23 +36,23 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"pause", "one-way", "third-killed", "discovery-silent", "lossy-zone", "moved-together"})
-    void whatTheScenarioAsksHolds(String name) throws Exception {
+    void builtInScenarioMeetsItsPassCriteria(String name) throws Exception {
         Path json = folder.resolve("report.json");
-        Path page = folder.resolve("report.html");
+        Path html = folder.resolve("report.html");
         assertEquals(
                 0,
-                run("run", name, "--quiet", "--root", "..", "--json", json.toString(), "--html", page.toString()),
-                () -> text(json));
+                run("run", name, "--quiet", "--root", "..", "--json", json.toString(), "--html", html.toString()),
+                () -> reportText(json));
         JsonNode report = new ObjectMapper().readTree(json.toFile());
         assertEquals("HELD", report.path("outcome").asText());
         assertTrue(
                 report.path("figures").path("asked").asInt() > 1200,
                 report.path("figures").toString());
         assertTrue(report.path("faults").size() > 0);
-        assertTrue(Files.readString(page).contains("HELD"));
+        assertTrue(Files.readString(html).contains("HELD"));
     }
 
-    private static String text(Path file) {
+    private static String reportText(Path file) {
         try {
             return Files.readString(file);
         } catch (IOException e) {
@@ -62,7 +61,7 @@
     }
 
     @Test
-    void whatCannotBePlayedIsOneLineAndAStatus() {
+    void invalidCommandLineExitsWithStatusTwo() {
         assertEquals(2, Main.execute("run", "no-such-scenario"));
         assertEquals(2, Main.execute());
         assertEquals(0, Main.execute("list"));
--- a/fleet/src/test/java/martenlatch/fleet/explore/ShrinkTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/explore/ShrinkTest.java
@@ -9,11 +9,11 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Plans are cut down to what matters. */
+/** Tests that plans are reduced to the faults that are needed to fail. */
 class ShrinkTest {
 
     @Test
-    void ofTwelveTheTwoThatMatterAreLeft() {
+    void reducesTwelveEntriesToTheTwoThatMatter() {
         List<Integer> twelve = IntStream.range(0, 12).boxed().toList();
         for (int a = 0; a < 12; a++) {
             for (int b = a + 1; b < 12; b++) {
@@ -23,9 +23,9 @@
         }
     }
 
-    /** Whatever fails, of what is left nothing can be left out. */
+    /** Removing any single entry from the result must make the failure disappear, for random lists and conditions. */
     @Test
-    void nothingMoreCanBeLeftOut() {
+    void noSingleEntryOfTheResultCanBeRemoved() {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
             List<Integer> all =
@@ -33,13 +33,13 @@
             int sum = 1 + random.nextInt(all.stream().mapToInt(i -> i + 1).sum());
             Predicate<List<Integer>> fails =
                     plan -> plan.stream().mapToInt(i -> i + 1).sum() >= sum;
-            List<Integer> left = Shrink.of(all, fails);
-            assertEquals(true, fails.test(left));
-            for (Integer one : left) {
+            List<Integer> remaining = Shrink.of(all, fails);
+            assertEquals(true, fails.test(remaining));
+            for (Integer one : remaining) {
                 assertEquals(
                         false,
-                        left.size() > 1
-                                && fails.test(left.stream()
+                        remaining.size() > 1
+                                && fails.test(remaining.stream()
                                         .filter(i -> !i.equals(one))
                                         .toList()),
                         "seed " + seed);
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aPlanThatDoesNotFailIsRefused() {
+    void rejectsAPlanThatDoesNotFail() {
         assertThrows(IllegalArgumentException.class, () -> Shrink.of(List.of(1), plan -> false));
     }
 }
--- a/fleet/src/test/java/martenlatch/fleet/judge/JudgesTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/judge/JudgesTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Judges before histories with a planted violation each: it is found by its id, and what only looks like
- * one is not.
+ * Runs the checks on histories with one violation each. The violation must be found with the id of its request, and
+ * similar events that are no violation must not be reported.
  */
 class JudgesTest {
 
@@ -60,10 +60,10 @@
         }
     }
 
-    private void assertFound(String judge, String id) {
+    private void assertFound(String check, String id) {
         Verdict verdict = verdict("");
         assertEquals(
-                List.of(judge + " " + id),
+                List.of(check + " " + id),
                 verdict.findings().stream().map(f -> f.judge() + " " + f.id()).toList());
         assertEquals(Verdict.Outcome.BROKEN, verdict.outcome());
     }
@@ -75,34 +75,34 @@
     }
 
     @Test
-    void aRequestThatGetsNoAnswerIsLost() {
+    void requestWithoutAnswerIsLost() {
         asked(100, "r1").ran(110, "r1", "s0").ended(1350, "r1", "TIMED_OUT");
         asked(100, "r2").ran(110, "r2", "s0").ended(200, "r2", "SERVED");
         assertFound("lost", "r1");
     }
 
     @Test
-    void whatADeadOrPausedSidecarHadIsNotLostByIt() {
+    void requestAtAPausedSidecarIsNotLost() {
         at(500, What.PROCESS, "n0", "", "", "paused").at(3500, What.PROCESS, "n0", "", "", "resumed");
         asked(100, "r1").ran(110, "r1", "s0").ended(1350, "r1", "TIMED_OUT");
         asked(3400, "r2").ended(4650, "r2", "TIMED_OUT");
         assertClean("");
-        // Asked well after it went on: that is its own.
+        // Sent well after the sidecar resumed, so the sidecar is responsible.
         asked(3700, "r3").ended(4950, "r3", "TIMED_OUT");
         assertFound("lost", "r3");
     }
 
     @Test
-    void whatALinkSpoilsIsNotTheSidecars() {
+    void requestOnAFaultyClientLinkIsNotLost() {
         asked(1100, "r1").ended(1200, "r1", "FAILED reset");
         assertClean(
                 "[[fault]]\nat = 1\nfor = 1\ndo = \"link\"\nfrom = \"clients\"\n" + "to = \"sidecar 0\"\nhalf = 0.5\n");
         assertFound("lost", "r1");
     }
 
-    /** A close between two requests crosses one that was not read; one that was sent on is lost. */
+    /** A request that was not read before the connection closed is exempt; one that was sent to an endpoint is lost. */
     @Test
-    void aCloseDuringADrainCrossesWhatWasNotRead() {
+    void unreadRequestOnAConnectionClosedByADrainIsNotLost() {
         at(100, What.PROCESS, "n0", "", "", "told to end").at(3000, What.PROCESS, "n0", "", "", "ended 0");
         asked(2700, "r1").ended(2701, "r1", "FAILED closed");
         assertClean("");
@@ -111,20 +111,20 @@
     }
 
     @Test
-    void anUnsafeRequestThatRunsTwiceIsNamed() {
+    void unsafeRequestThatRunsTwiceIsReported() {
         asked(100, "r1").ran(110, "r1", "s0").ran(150, "r1", "s1").ended(200, "r1", "SERVED");
         assertFound("twice", "r1");
     }
 
     @Test
-    void anUnsafeRequestThatRanIsNotRefused() {
+    void unsafeRequestRefusedAfterItRanIsReported() {
         asked(100, "r1").ran(110, "r1", "s0").ended(200, "r1", "REFUSED refused 503");
         assertFound("twice", "r1");
     }
 
-    /** Told and sent count at the sidecar's end: what its link then delays is not its own. */
+    /** Times are taken when the sidecar sends: a delay on the link to the endpoint is not the sidecar's fault. */
     @Test
-    void whatIsSentAfterADrainWasToldIsNamed() {
+    void requestSentAfterTheDrainGraceIsReported() {
         at(100, What.TOLD, "n0", "s0", "", "terminating");
         asked(400, "r1")
                 .at(600, What.SENT, "n0", "s0", "r1", "")
@@ -136,9 +136,9 @@
         assertFound("drain", "r2");
     }
 
-    /** What a process was told is not known to the next one, which starts from a list of its own. */
+    /** A restarted process does not know what the previous one was notified of; it starts from its own list. */
     @Test
-    void aRestartForgetsWhatWasTold() {
+    void restartedSidecarIsNotBoundByEarlierNotifications() {
         at(100, What.TOLD, "n0", "s0", "", "terminating")
                 .at(200, What.PROCESS, "n0", "", "", "killed")
                 .at(1200, What.PROCESS, "n0", "", "", "serves");
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void aDrainThatASidecarCouldNotHearCountsLater() {
+    void drainNotificationCountsFromTheEndOfALinkFault() {
         at(100, What.TOLD, "n0", "s0", "", "terminating");
         asked(500, "r1").ran(2500, "r1", "s0").ended(2600, "r1", "SERVED");
         String cut = "[[fault]]\nat = 0\nfor = 2\ndo = \"link\"\nfrom = \"sidecar 0\"\n"
@@ -158,9 +158,9 @@
                 List.of("r2"), verdict(cut).findings().stream().map(Finding::id).toList());
     }
 
-    /** Warm it does 100 a second, cold 25: three times that for 1.5 s, and what chance adds, are 144. */
+    /** A cold endpoint serves 25 requests per second; three times that for 1.5 s plus three deviations is at most 144. */
     @Test
-    void aColdEndpointThatAllSidecarsFloodIsNamed() {
+    void overloadedColdEndpointIsReported() {
         at(1000, What.ENDPOINT_UP, "s0", "", "", "3000.0");
         for (int i = 0; i < 144; i++) {
             asked(1000 + i, "r" + i).ran(1000 + i, "r" + i, "s0").ended(2000, "r" + i, "SERVED");
@@ -171,23 +171,24 @@
     }
 
     @Test
-    void aProcessThatEndsUnaskedIsNamed() {
+    void unexpectedExitOfASidecarIsReported() {
         at(1000, What.PROCESS, "n1", "", "", "died 134");
         assertEquals("n1 ended with status 134", verdict("").findings().get(0).what());
     }
 
-    /** Where the rig was at fault the run says nothing, whatever was found in it. */
+    /** A run in which the rig was at fault is void, whatever else was found in it. */
     @Test
-    void aSpoiltRunIsVoid() {
+    void runWithARigFaultIsVoid() {
         asked(100, "r1").ran(110, "r1", "s0").ended(1350, "r1", "TIMED_OUT");
         at(300, What.RIG, "beat", "", "", "120.0");
-        assertEquals(Verdict.Outcome.BROKEN, verdict("").outcome(), "a little late is no excuse");
+        assertEquals(
+                Verdict.Outcome.BROKEN, verdict("").outcome(), "a small delay of the rig must not make the run void");
         at(300, What.RIG, "beat", "", "", "400.0");
         assertEquals(Verdict.Outcome.VOID, verdict("").outcome());
     }
 
     @Test
-    void aHistoryWithAGapIsVoid() {
+    void historyWithAGapIsVoid() {
         ran(100, "r1", "s0");
         assertTrue(verdict("").spoilt().get(0).what().contains("no client has sent this request"));
         events.clear();
@@ -198,9 +199,9 @@
         assertEquals(Verdict.Outcome.VOID, verdict("").outcome());
     }
 
-    /** Guards against a sidecar that keeps its list because it never asks. */
+    /** Guards against a sidecar that keeps an outdated list because it never polls. */
     @Test
-    void whoDoesNotAskCountsAsTold() {
+    void sidecarThatDoesNotPollCountsAsNotified() {
         String often = "[discovery]\nask-within-ms = 2000\n";
         at(-5, What.PROCESS, "n0", "", "", "serves").at(1000, What.CHANGED, "discovery", "s0", "", "terminating");
         asked(3400, "r1").ran(3410, "r1", "s0").ended(3450, "r1", "SERVED");
@@ -212,13 +213,13 @@
                         .map(f -> f.judge() + " " + f.id())
                         .toList());
         assertClean("");
-        // While discovery says nothing there is nothing to hear, and then four times as long is allowed.
+        // No change arrives while discovery is silent; after that, four times the poll interval is allowed.
         assertClean(often + "[[fault]]\nat = 2\nfor = 0.5\ndo = \"silent\"\n");
     }
 
-    /** A process that starts from an old list has no more time for a change than others: 6 s from the change. */
+    /** A process that starts from an outdated list must know a change 6 s after it, like any other. */
     @Test
-    void whoeverStartsAfterAChangeCountsAsToldSixSecondsAfterIt() {
+    void sidecarStartedAfterAChangeCountsAsNotifiedSixSecondsAfterIt() {
         at(1000, What.CHANGED, "discovery", "s0", "", "terminating")
                 .at(1100, What.PROCESS, "n0", "", "", "killed")
                 .at(5000, What.PROCESS, "n0", "", "", "serves");
@@ -229,9 +230,9 @@
         assertClean("[[fault]]\nat = 2\nfor = 0.5\ndo = \"down\"\n");
     }
 
-    /** What a lossy link has swallowed is sent again long after the loss is over (plan 41 of calm). */
+    /** TCP may retransmit data that a lossy link dropped long after the loss is over (plan 41 of calm). */
     @Test
-    void whatALossyLinkHeldBackIsToldLater() {
+    void notificationOnALossyLinkCountsLater() {
         String fault = "[[fault]]\nat = 1\nfor = 1\ndo = \"link\"\nfrom = \"sidecar 0\"\n" + "to = \"discovery\"\n";
         at(1500, What.TOLD, "n0", "s0", "", "terminating");
         asked(3000, "r1").ran(3010, "r1", "s0").ended(3050, "r1", "SERVED");
@@ -241,9 +242,9 @@
         assertEquals("r2", verdict(fault + "loss = 0.4\n").findings().get(0).id());
     }
 
-    /** A long poll that discovery was silent on may notice that when its wait is over: 2 s later at the latest. */
+    /** A sidecar notices an unanswered long poll at most 2 s after the wait of the poll is over. */
     @Test
-    void whatASilentLongPollMissedCountsAsToldTwoSecondsAfterItsWait() {
+    void changeMissedByAnUnansweredLongPollCountsTwoSecondsAfterItsWait() {
         String silence = "[[fault]]\nat = 2\nfor = 1\ndo = \"silent\"\n";
         at(1000, What.LONG_POLL, "n0", "discovery", "", "10000")
                 .at(2500, What.CHANGED, "discovery", "s0", "", "terminating");
--- a/fleet/src/test/java/martenlatch/fleet/scenario/ScenarioTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/scenario/ScenarioTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Files of scenarios: what they come to, and what is said of those of no use. */
+/** Tests reading scenario files: the plan that follows from a file and a seed, and the messages for invalid files. */
 class ScenarioTest {
 
-    private static final String GOOD = """
+    private static final String VALID_FILE = """
         seed = %d
         seconds = 10
         [fleet]
@@ -28,11 +28,11 @@
         """;
 
     private static Scenario read(int seed, String more) throws IOException {
-        return Scenario.of(new TomlMapper().readTree(GOOD.formatted(seed) + more));
+        return Scenario.of(new TomlMapper().readTree(VALID_FILE.formatted(seed) + more));
     }
 
     @Test
-    void oneSeedGivesOnePlan() throws IOException {
+    void sameSeedGivesTheSamePlan() throws IOException {
         String faults = """
             [[fault]]
             at = 1
@@ -54,7 +54,7 @@
         assertEquals(List.of("s1", "s3"), one.faults().get(1).to());
         assertTrue(one.faults().get(1).backwards().silent()
                 && !one.faults().get(1).onwards().silent());
-        long others = IntStream.range(0, 20)
+        long differingPlans = IntStream.range(0, 20)
                 .filter(seed -> {
                     try {
                         return !read(seed, faults)
@@ -67,14 +67,14 @@
                     }
                 })
                 .count();
-        assertTrue(others > 10, "another seed, another third");
+        assertTrue(differingPlans > 10, "other seeds must select other sidecars");
     }
 
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             value = {
-                "at = 1\\ndo = \"pause\"\\nwho = \"sidecar 0\"|fault.for must be above 0 seconds, and be",
+                "at = 1\\ndo = \"pause\"\\nwho = \"sidecar 0\"|fault.for must be above 0 seconds and is required",
                 "at = -1\\ndo = \"kill\"\\nwho = \"sidecar 0\"|fault.at must be 0 or more seconds but is -1",
                 "at = 11\\ndo = \"kill\"\\nwho = \"sidecar 0\"|fault.at must be within the run's 10.0 seconds",
                 "at = 1\\ndo = \"vanish\"\\nwho = \"sidecar 0\"|fault.do must be one of [pause, crawl,",
@@ -83,21 +83,21 @@
                 "at = 1\\ndo = \"kill\"\\nwho = \"sidecars zone south\"|fault.who must name one of the zones",
                 "at = 1\\ndo = \"kill\"\\nwho = \"sidecars random 2\"|fault.who must be sidecar N, sidecars,",
                 "at = 1\\ndo = \"kill\"\\nwho = \"sidecar 1\"\\nwhen = 2|fault.when is no setting; there are [at,",
-                "at = 1\\ndo = \"kill\"\\nwho = \"sidecar 1\"\\nloss = 0.1|fault.loss says nothing to kill",
+                "at = 1\\ndo = \"kill\"\\nwho = \"sidecar 1\"\\nloss = 0.1|fault.loss does not apply to kill",
                 "at = 1\\ndo = \"link\"\\nfrom = \"endpoints\"\\nto = \"sidecars\"|fault.to must be at the other end",
                 "at = 1\\ndo = \"link\"\\nfrom = \"clients\"\\nto = \"sidecars\"\\nloss = 2|fault.loss must be",
             })
-    void whatCannotBeUsedIsNamed(String fault, String message) {
-        String got = assertThrows(
+    void invalidFaultIsRejectedWithFieldAndValue(String fault, String message) {
+        String actual = assertThrows(
                         IllegalArgumentException.class,
                         () -> read(1, "[[fault]]\n" + fault.replace("\\n", "\n") + "\n"))
                 .getMessage();
-        assertTrue(got.startsWith(message), got);
+        assertTrue(actual.startsWith(message), actual);
     }
 
     @Test
-    void aTimeLineOutOfOrderIsNamed() {
-        String got =
+    void faultsOutOfOrderAreRejected() {
+        String actual =
                 assertThrows(IllegalArgumentException.class, () -> read(1, """
             [[fault]]
             at = 3
@@ -106,6 +106,6 @@
             at = 2
             do = "silent"
             """)).getMessage();
-        assertEquals("fault.at must not be before that of the fault before (3.0) but is 2.0", got);
+        assertEquals("fault.at must not be earlier than that of the previous fault (3.0) but is 2.0", actual);
     }
 }
