--- a/fleet/src/main/java/martenlatch/fleet/cli/PeersCommand.java
+++ b/fleet/src/main/java/martenlatch/fleet/cli/PeersCommand.java
@@ -11,9 +11,8 @@
 @Command(
         name = "peers",
         mixinStandardHelpOptions = true,
-        description =
-                "Runs failure cases of a fleet in simulated time and prints how the membership protocol of the sidecars "
-                        + "does in them, compared with heartbeats, phi accrual and plain SWIM (Markdown).")
+        description = "Runs failure cases of a fleet in simulated time and prints how the sidecars' membership "
+                + "protocol performs, compared with heartbeats, phi accrual and plain SWIM (Markdown).")
 final class PeersCommand implements Callable<Integer> {
 
     @Option(
--- a/fleet/src/main/java/martenlatch/fleet/front/Front.java
+++ b/fleet/src/main/java/martenlatch/fleet/front/Front.java
@@ -24,7 +24,7 @@
     private final State[] nextStates;
     private final SplittableRandom random;
 
-    /** Creates a front with all sidecars down. The busiest sidecar gets {@code skew} times as much as the least busy. */
+    /** Creates a front with all sidecars down. The busiest one gets {@code skew} times as much as the least busy. */
     public Front(int sidecars, double skew, long seed) {
         weights = new double[sidecars];
         states = new State[sidecars];
--- a/fleet/src/main/java/martenlatch/fleet/history/Event.java
+++ b/fleet/src/main/java/martenlatch/fleet/history/Event.java
@@ -44,7 +44,7 @@
         FAULT_BEGINS,
         /** A fault is over. */
         FAULT_ENDS,
-        /** The rig was late or could not carry out an action; the detail is the delay in milliseconds or the failure. */
+        /** The rig was late or could not carry out an action; the detail is the delay in ms or the failure. */
         RIG
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/history/History.java
+++ b/fleet/src/main/java/martenlatch/fleet/history/History.java
@@ -39,8 +39,8 @@
     public synchronized void startAt(long nanos) {
         double shiftMs = (startNanos - nanos) / NANOS_PER_MS;
         startNanos = nanos;
-        events.replaceAll(
-                one -> new Event(one.atMs() + shiftMs, one.what(), one.who(), one.whom(), one.id(), one.detail()));
+        events.replaceAll(event ->
+                new Event(event.atMs() + shiftMs, event.what(), event.who(), event.whom(), event.id(), event.detail()));
     }
 
     /** Returns the milliseconds since the start. */
--- a/fleet/src/main/java/martenlatch/fleet/judge/Figures.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/Figures.java
@@ -57,7 +57,7 @@
             outcomes.add(new double[] {request.askedAtMs(), served ? 1 : 0});
         }
         List<Event> calls = run.all(Event.What.LIST_CALL);
-        outcomes.sort(Comparator.comparingDouble(one -> one[0]));
+        outcomes.sort(Comparator.comparingDouble(sample -> sample[0]));
         return new Figures(
                 counts[0],
                 counts[1],
@@ -69,9 +69,9 @@
                 counts[7],
                 calls.size(),
                 (int) calls.stream()
-                        .filter(one -> one.detail().equals("refused"))
+                        .filter(call -> call.detail().equals("refused"))
                         .count(),
-                recoveryMs(run, outcomes));
+                computeRecoveryMs(run, outcomes));
     }
 
     /** Returns the share of the clients' requests that was served. */
@@ -84,7 +84,7 @@
         return asked == 0 ? 0 : sent / (double) asked;
     }
 
-    private static double recoveryMs(RunRecord run, List<double[]> outcomes) {
+    private static double computeRecoveryMs(RunRecord run, List<double[]> outcomes) {
         List<Fault> faults = run.scenario().faults();
         if (faults.isEmpty()) {
             return Double.NaN;
@@ -107,12 +107,12 @@
 
     private static double shareServedBetween(List<double[]> outcomes, double fromMs, double toMs) {
         double[] served = outcomes.stream()
-                .filter(one -> one[0] >= fromMs && one[0] < toMs)
-                .mapToDouble(one -> one[1])
+                .filter(sample -> sample[0] >= fromMs && sample[0] < toMs)
+                .mapToDouble(sample -> sample[1])
                 .toArray();
         double sum = 0;
-        for (double one : served) {
-            sum += one;
+        for (double value : served) {
+            sum += value;
         }
         return served.length == 0 ? 1 : sum / served.length;
     }
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Fault.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Fault.java
@@ -48,7 +48,7 @@
         CRAWL(Aim.SIDECARS, true),
         /** The process is killed; when the fault ends, it starts again. */
         KILL(Aim.SIDECARS, false),
-        /** The process is asked to exit; it starts again when the fault ends, or once it has exited if that is later. */
+        /** The process is asked to exit; it starts again once it has exited and the fault is over. */
         TERM(Aim.SIDECARS, false),
         /** The process is asked to exit and starts again as soon as it has, possibly from the jar of another build. */
         RESTART(Aim.SIDECARS, false),
@@ -100,7 +100,7 @@
 
         static What parse(String text) {
             return Arrays.stream(values())
-                    .filter(one -> one.word().equals(text))
+                    .filter(kind -> kind.word().equals(text))
                     .findFirst()
                     .orElseThrow(() -> new IllegalArgumentException("fault.do must be one of "
                             + Arrays.stream(values()).map(What::word).toList() + " but is \"" + text + "\""));
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Scenario.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Scenario.java
@@ -126,21 +126,21 @@
         JsonNode load = file.path("load");
         TomlFile.knownOnly("load.", load, LOAD_KEYS);
         List<Load.ClassSettings> classes = new ArrayList<>();
-        for (JsonNode one : file.path("class")) {
-            TomlFile.knownOnly("class.", one, CLASS_KEYS);
-            int deadline = TomlFile.whole("class.deadline-ms", one.path("deadline-ms"), 1000);
+        for (JsonNode node : file.path("class")) {
+            TomlFile.knownOnly("class.", node, CLASS_KEYS);
+            int deadline = TomlFile.whole("class.deadline-ms", node.path("deadline-ms"), 1000);
             try {
                 Kind kind = new Kind(
-                        one.path("name").asText(""),
-                        TomlFile.number("class.share", one.path("share"), 1),
-                        Kind.Effect.parse(one.path("effect").asText("")),
-                        TomlFile.whole("class.body-bytes", one.path("body-bytes"), 0),
+                        node.path("name").asText(""),
+                        TomlFile.number("class.share", node.path("share"), 1),
+                        Kind.Effect.parse(node.path("effect").asText("")),
+                        TomlFile.whole("class.body-bytes", node.path("body-bytes"), 0),
                         deadline,
-                        TomlFile.whole("class.retries", one.path("retries"), 0));
+                        TomlFile.whole("class.retries", node.path("retries"), 0));
                 classes.add(new Load.ClassSettings(
                         kind,
-                        TomlFile.number("class.aim-ms", one.path("aim-ms"), deadline / 2.0),
-                        TomlFile.number("class.worth", one.path("worth"), 1)));
+                        TomlFile.number("class.aim-ms", node.path("aim-ms"), deadline / 2.0),
+                        TomlFile.number("class.worth", node.path("worth"), 1)));
             } catch (IllegalArgumentException e) {
                 throw e.getMessage().startsWith("class.")
                         ? e
@@ -154,46 +154,46 @@
                 classes);
     }
 
-    private static WorldSettings world(JsonNode one, Sizes sizes, long seed) {
-        TomlFile.knownOnly("endpoint.", one, ENDPOINT_KEYS);
+    private static WorldSettings world(JsonNode node, Sizes sizes, long seed) {
+        TomlFile.knownOnly("endpoint.", node, ENDPOINT_KEYS);
         return new WorldSettings(
                 sizes.endpoints(),
                 sizes.zones(),
-                ServiceTime.parse(one.path("service").asText("lognormal 8 0.5")),
-                TomlFile.whole("endpoint.slots", one.path("slots"), 16),
-                TomlFile.whole("endpoint.queue", one.path("queue"), 32),
-                TomlFile.number("endpoint.cold-ms", one.path("cold-ms"), 1500),
-                TomlFile.number("endpoint.cold-factor", one.path("cold-factor"), 4),
+                ServiceTime.parse(node.path("service").asText("lognormal 8 0.5")),
+                TomlFile.whole("endpoint.slots", node.path("slots"), 16),
+                TomlFile.whole("endpoint.queue", node.path("queue"), 32),
+                TomlFile.number("endpoint.cold-ms", node.path("cold-ms"), 1500),
+                TomlFile.number("endpoint.cold-factor", node.path("cold-factor"), 4),
                 DRAIN_GRACE_MS,
                 1,
                 MAX_IDS,
                 seed);
     }
 
-    private static ListService discovery(JsonNode one) {
-        TomlFile.knownOnly("discovery.", one, DISCOVERY_KEYS);
+    private static ListService discovery(JsonNode node) {
+        TomlFile.knownOnly("discovery.", node, DISCOVERY_KEYS);
         return new ListService(
-                TomlFile.number("discovery.call-ms", one.path("call-ms"), 0),
-                TomlFile.number("discovery.rejection-ms", one.path("rejection-ms"), 0),
-                TomlFile.number("discovery.most-wait-ms", one.path("most-wait-ms"), 1000),
-                TomlFile.number("discovery.ask-within-ms", one.path("ask-within-ms"), 10_000),
-                ListService.KnownList.parse(one.path("known").asText("current")));
+                TomlFile.number("discovery.call-ms", node.path("call-ms"), 0),
+                TomlFile.number("discovery.rejection-ms", node.path("rejection-ms"), 0),
+                TomlFile.number("discovery.most-wait-ms", node.path("most-wait-ms"), 1000),
+                TomlFile.number("discovery.ask-within-ms", node.path("ask-within-ms"), 10_000),
+                ListService.KnownList.parse(node.path("known").asText("current")));
     }
 
     private static List<Fault> faults(JsonNode list, Sizes sizes, long seed, double seconds) {
         Random random = new Random(seed);
         List<Fault> faults = new ArrayList<>();
         double previousAtMs = 0;
-        for (JsonNode one : list) {
-            TomlFile.knownOnly("fault.", one, FAULT_KEYS);
-            Fault fault = fault(one, faults.size(), sizes, random);
+        for (JsonNode node : list) {
+            TomlFile.knownOnly("fault.", node, FAULT_KEYS);
+            Fault fault = fault(node, faults.size(), sizes, random);
             if (fault.atMs() < previousAtMs) {
                 throw new IllegalArgumentException("fault.at must not be earlier than that of the previous fault ("
                         + previousAtMs / 1000 + ") but is " + fault.atMs() / 1000);
             }
             if (!(fault.atMs() <= seconds * 1000)) {
                 throw new IllegalArgumentException(
-                        "fault.at must be within the run's " + seconds + " seconds but is " + one.path("at"));
+                        "fault.at must be within the run's " + seconds + " seconds but is " + node.path("at"));
             }
             previousAtMs = fault.atMs();
             faults.add(fault);
@@ -202,17 +202,17 @@
         return faults;
     }
 
-    private static Fault fault(JsonNode one, int number, Sizes sizes, Random random) {
-        double atMs = TomlFile.number("fault.at", one.path("at"), Double.NaN) * 1000;
+    private static Fault fault(JsonNode node, int number, Sizes sizes, Random random) {
+        double atMs = TomlFile.number("fault.at", node.path("at"), Double.NaN) * 1000;
         if (!(atMs >= 0)) {
-            throw new IllegalArgumentException("fault.at must be 0 or more seconds but is " + one.path("at"));
+            throw new IllegalArgumentException("fault.at must be 0 or more seconds but is " + node.path("at"));
         }
-        Fault.What what = Fault.What.parse(one.path("do").asText(""));
-        double durationMs = TomlFile.number("fault.for", one.path("for"), Double.POSITIVE_INFINITY) * 1000;
+        Fault.What what = Fault.What.parse(node.path("do").asText(""));
+        double durationMs = TomlFile.number("fault.for", node.path("for"), Double.POSITIVE_INFINITY) * 1000;
         if (!(durationMs > 0) || what.mustEnd() && Double.isInfinite(durationMs)) {
             throw new IllegalArgumentException("fault.for must be above 0 seconds"
                     + (what.mustEnd() ? " and is required for " + what.word() : "") + ", but is "
-                    + one.path("for"));
+                    + node.path("for"));
         }
         boolean isLinkFault = what.aim() == Fault.Aim.LINKS;
         for (String field : isLinkFault
@@ -229,23 +229,23 @@
                         "reorder",
                         "rate",
                         "half")) {
-            if (one.has(field)) {
+            if (node.has(field)) {
                 throw new IllegalArgumentException(
-                        "fault." + field + " does not apply to " + what.word() + " but is " + one.path(field));
+                        "fault." + field + " does not apply to " + what.word() + " but is " + node.path(field));
             }
         }
-        if (one.has("moves") && what != Fault.What.RELOAD) {
+        if (node.has("moves") && what != Fault.What.RELOAD) {
             throw new IllegalArgumentException(
-                    "fault.moves does not apply to " + what.word() + " but is " + one.path("moves"));
+                    "fault.moves does not apply to " + what.word() + " but is " + node.path("moves"));
         }
-        double share = TomlFile.number("fault.share", one.path("share"), 0.1);
+        double share = TomlFile.number("fault.share", node.path("share"), 0.1);
         if (!(share > 0 && share < 1)) {
             throw new IllegalArgumentException("fault.share must be between 0 and 1 but is " + share);
         }
         if (!isLinkFault) {
-            Selector who = what.aim() == Fault.Aim.DISCOVERY && !one.has("who")
+            Selector who = what.aim() == Fault.Aim.DISCOVERY && !node.has("who")
                     ? new Selector(Selector.Group.DISCOVERY, -1, "", 1)
-                    : Selector.parse("fault.who", one.path("who").asText(""), sizes);
+                    : Selector.parse("fault.who", node.path("who").asText(""), sizes);
             Selector.Group expectedGroup =
                     switch (what.aim()) {
                         case SIDECARS -> Selector.Group.SIDECAR;
@@ -255,7 +255,7 @@
             if (who.group() != expectedGroup) {
                 throw new IllegalArgumentException(
                         "fault.who must be of " + expectedGroup.name().toLowerCase(Locale.ROOT) + "s for " + what.word()
-                                + " but is " + one.path("who"));
+                                + " but is " + node.path("who"));
             }
             return new Fault(
                     number,
@@ -267,18 +267,18 @@
                     Conduct.CLEAR,
                     Conduct.CLEAR,
                     share,
-                    one.path("jar").asText(""),
-                    one.path("moves").asBoolean(false));
+                    node.path("jar").asText(""),
+                    node.path("moves").asBoolean(false));
         }
-        Selector from = Selector.parse("fault.from", one.path("from").asText(""), sizes);
-        Selector to = Selector.parse("fault.to", one.path("to").asText(""), sizes);
+        Selector from = Selector.parse("fault.from", node.path("from").asText(""), sizes);
+        Selector to = Selector.parse("fault.to", node.path("to").asText(""), sizes);
         if (!isLink(from.group(), to.group())) {
             throw new IllegalArgumentException("fault.to must be at the other end of a link from " + from
                     + " (clients to sidecars; sidecars to endpoints, discovery or sidecars) but is "
-                    + one.path("to"));
+                    + node.path("to"));
         }
-        Conduct conduct = conduct(one);
-        String direction = one.path("direction").asText("both");
+        Conduct conduct = conduct(node);
+        String direction = node.path("direction").asText("both");
         if (!List.of("both", "onwards", "backwards").contains(direction)) {
             throw new IllegalArgumentException(
                     "fault.direction must be both, onwards or backwards but is \"" + direction + "\"");
@@ -302,17 +302,17 @@
                 || from == Selector.Group.SIDECAR && to != Selector.Group.CLIENTS;
     }
 
-    private static Conduct conduct(JsonNode one) {
+    private static Conduct conduct(JsonNode node) {
         try {
             return new Conduct(
-                    TomlFile.number("fault.delay-ms", one.path("delay-ms"), 0),
-                    TomlFile.number("fault.jitter-ms", one.path("jitter-ms"), 0),
-                    TomlFile.number("fault.loss", one.path("loss"), 0),
-                    TomlFile.number("fault.duplicate", one.path("duplicate"), 0),
-                    TomlFile.number("fault.reorder", one.path("reorder"), 0),
-                    TomlFile.number("fault.rate", one.path("rate"), Double.POSITIVE_INFINITY),
-                    TomlFile.number("fault.half", one.path("half"), 0),
-                    one.path("cut").asBoolean(false));
+                    TomlFile.number("fault.delay-ms", node.path("delay-ms"), 0),
+                    TomlFile.number("fault.jitter-ms", node.path("jitter-ms"), 0),
+                    TomlFile.number("fault.loss", node.path("loss"), 0),
+                    TomlFile.number("fault.duplicate", node.path("duplicate"), 0),
+                    TomlFile.number("fault.reorder", node.path("reorder"), 0),
+                    TomlFile.number("fault.rate", node.path("rate"), Double.POSITIVE_INFINITY),
+                    TomlFile.number("fault.half", node.path("half"), 0),
+                    node.path("cut").asBoolean(false));
         } catch (IllegalArgumentException e) {
             throw e.getMessage().startsWith("fault.") ? e : new IllegalArgumentException("fault." + e.getMessage(), e);
         }
--- a/fleet/src/test/java/martenlatch/fleet/judge/JudgesTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/judge/JudgesTest.java
@@ -158,7 +158,7 @@
                 List.of("r2"), verdict(cut).findings().stream().map(Finding::id).toList());
     }
 
-    /** A cold endpoint serves 25 requests per second; three times that for 1.5 s plus three deviations is at most 144. */
+    /** A cold endpoint serves 25 requests/s; three times that for 1.5 s plus three standard deviations gives 144. */
     @Test
     void overloadedColdEndpointIsReported() {
         at(1000, What.ENDPOINT_UP, "s0", "", "", "3000.0");
