--- a/sidecar/src/main/java/martenlatch/upstream/EndpointAttempt.java
+++ b/sidecar/src/main/java/martenlatch/upstream/EndpointAttempt.java
@@ -7,25 +7,27 @@
 import martenlatch.request.Scheduler;
 import martenlatch.request.Transport;
 
-/** One attempt: a request that is sent to one endpoint, on one connection, once. */
+/** One attempt at a request: it is sent once, to one endpoint, on one connection. */
 final class EndpointAttempt implements Transport.Attempt {
 
-    /** Tells the endpoint how long its response is waited for, in whole milliseconds. */
+    /** The header that tells the endpoint how long its response is awaited, in whole milliseconds. */
     private static final String DEADLINE_HEADER = "X-Deadline-Ms";
 
     private final HttpRequest request;
-    /** The body while it is still being received, or null where the request is complete. */
+    /** The body if it is still being received, or null if the request is complete. */
     private final StreamedRequestBody streamedBody;
 
     private final Transport.WriteConditions conditions;
+    /** The time after which the attempt must not be written any more. */
     private final double notAfterMs;
+
     private final Scheduler scheduler;
-    /** Null once the attempt has ended, or nobody waits for its end any more. */
+    /** The listener, or null once the attempt has ended or its result is no longer needed. */
     private Transport.AttemptListener listener;
 
     private EndpointConnection connection;
     private Scheduler.Timer notAfterTimer;
-    /** The system has taken the last byte: from here on the request may have been executed. */
+    /** Whether the operating system has accepted the last byte; from then on the request may have been executed. */
     private boolean written;
 
     EndpointAttempt(
@@ -51,17 +53,18 @@
         return streamedBody;
     }
 
-    /** The connection on which the attempt is, or is going to be, written. */
-    void assignTo(EndpointConnection assigned) {
-        connection = assigned;
+    /** Sets the connection on which the attempt is written. */
+    void assignTo(EndpointConnection assignedConnection) {
+        connection = assignedConnection;
     }
 
-    /** Whether somebody still waits for the attempt, and its client is still connected. */
-    boolean isWanted() {
+    /** Returns whether the attempt's result is still needed and its client is still connected. */
+    boolean isStillNeeded() {
         return listener != null && conditions.isClientConnected();
     }
 
-    boolean isTooLate() {
+    /** Returns whether the time has passed after which the attempt must not be written. */
+    boolean isPastNotAfter() {
         return scheduler.now() > notAfterMs;
     }
 
@@ -69,14 +72,14 @@
         return written;
     }
 
-    /** Ends the attempt unless it is written by the time after which it must not be. */
+    /** Starts the timer that withdraws the attempt if it is not written in time. */
     void startNotAfterTimer() {
         if (listener != null && !written && notAfterMs < Double.POSITIVE_INFINITY) {
             notAfterTimer = scheduler.after(notAfterMs - scheduler.now(), this::withdrawAndNotify);
         }
     }
 
-    /** Ends an attempt that is not written yet as not executed. */
+    /** Withdraws the attempt if it is not completely written, and notifies its listener that it was not executed. */
     void withdrawAndNotify() {
         Transport.AttemptListener notified = listener;
         if (withdraw()) {
@@ -84,24 +87,27 @@
         }
     }
 
-    /** To be called just before the request is written: establishing its connection has taken time. */
+    /**
+     * Sets the deadline header to the remaining time. Must be called just before the request is written, because
+     * establishing the connection takes time.
+     */
     void setDeadlineHeader() {
         long remaining = Math.max(1, (long) Math.ceil(conditions.remainingMs()));
         request.headers().set(DEADLINE_HEADER, remaining);
     }
 
-    /** The system has taken the last byte of the request. */
+    /** Called when the operating system has accepted the last byte of the request. */
     void onWritten() {
         written = true;
         cancelTimer();
     }
 
-    /** The request will not be written. */
+    /** Releases the request message if it will not be written. */
     void release() {
         ReferenceCountUtil.release(request);
     }
 
-    /** Closes the connection, which tells the endpoint that nobody waits any more. */
+    /** Closes the connection, which tells the endpoint that its response is no longer awaited. */
     @Override
     public boolean giveUp() {
         stopNotifying();
@@ -119,7 +125,7 @@
         return true;
     }
 
-    /** Notifies the listener of the end, unless it has heard of one or does not wait for it. */
+    /** Notifies the listener of the result, unless it was already notified or the attempt was given up. */
     void finish(AttemptOutcome outcome, EndpointResponse response) {
         Transport.AttemptListener notified = listener;
         stopNotifying();
--- a/sidecar/src/main/java/martenlatch/upstream/EndpointConnection.java
+++ b/sidecar/src/main/java/martenlatch/upstream/EndpointConnection.java
@@ -15,27 +15,29 @@
 import martenlatch.request.RateLimitedLogger;
 import martenlatch.request.Scheduler;
 
-/** One connection to an endpoint: carries one attempt at a time, and is idle in between. */
+/** One connection to an endpoint. It carries one attempt at a time and is idle in between. */
 final class EndpointConnection implements ResponseDecoder.Listener, StreamedRequestBody.Sink {
 
-    /** A healthy endpoint takes some of a body within this time, in milliseconds. */
+    /** The time within which a healthy endpoint reads at least some of a request body. */
     private static final int UPLOAD_STALL_MS = 2000;
 
     private final PooledEndpoint endpoint;
+    /** The generation of the endpoint's connections in which this one was opened. */
     private final int generation;
+
     private final OpenConnections openConnections;
     private final Scheduler scheduler;
     private final RateLimitedLogger logger;
     private final ResponseDecoder decoder;
     private EndpointSocket channel;
-    /** The attempt on this connection, or null. */
+    /** The attempt whose response is awaited on this connection, or null. */
     private EndpointAttempt attempt;
-    /** The attempt whose body is being written, or null. */
-    private EndpointAttempt uploading;
+    /** The attempt whose streamed request body is being written, or null. */
+    private EndpointAttempt uploadingAttempt;
 
     private Scheduler.Timer uploadStallTimer;
     private double idleSinceMs;
-    /** Whether the response that is being streamed lets its connection be kept. */
+    /** Whether the response that is being streamed allows the connection to be kept alive. */
     private boolean streamedResponseKeepsAlive;
 
     EndpointConnection(
@@ -56,27 +58,28 @@
         return idleSinceMs;
     }
 
-    /** Whether the connection is open, and neither a byte nor the other side's end has arrived. */
-    boolean isSilent() {
-        return channel.isSilent();
+    /** Returns whether the connection is open and has neither unread bytes nor an end of stream. */
+    boolean isOpenWithoutInput() {
+        return channel.isOpenWithoutInput();
     }
 
-    /** Ends an attempt for which no connection can be opened. */
-    static void refuse(EndpointAttempt attempt, RateLimitedLogger logger, String reason) {
+    /** Fails an attempt for which no connection can be opened, and logs the reason. */
+    static void failUnconnected(EndpointAttempt attempt, RateLimitedLogger logger, String reason) {
         logger.log("no connection", reason);
         attempt.release();
         attempt.finish(AttemptOutcome.CONNECT_ERROR, null);
     }
 
-    /** Establishes the connection for its first attempt. */
+    /** Opens the connection and sends its first attempt once the connection is established. */
     void open(Bootstrap bootstrap, EndpointAttempt first) {
         attempt = first;
         first.assignTo(this);
-        ChannelFuture connecting = bootstrap.clone().handler(new Initializer()).connect(endpoint.address);
+        ChannelFuture connecting =
+                bootstrap.clone().handler(new PipelineInitializer()).connect(endpoint.address);
         if (!(connecting.channel() instanceof EndpointSocket socket)) {
-            // There is no descriptor for it: nothing was opened, and nothing sent.
+            // No file descriptor was available, so nothing was opened or sent.
             attempt = null;
-            refuse(first, logger, String.valueOf(connecting.cause()));
+            failUnconnected(first, logger, String.valueOf(connecting.cause()));
             return;
         }
         channel = socket;
@@ -88,12 +91,12 @@
         });
     }
 
-    private final class Initializer extends ChannelInitializer<EndpointSocket> {
+    private final class PipelineInitializer extends ChannelInitializer<EndpointSocket> {
         @Override
-        protected void initChannel(EndpointSocket fresh) {
-            fresh.pipeline().addLast(new HttpRequestEncoder());
-            decoder.addTo(fresh.pipeline());
-            fresh.pipeline().addLast(new ConnectionEvents());
+        protected void initChannel(EndpointSocket newSocket) {
+            newSocket.pipeline().addLast(new HttpRequestEncoder());
+            decoder.addTo(newSocket.pipeline());
+            newSocket.pipeline().addLast(new ConnectionEventHandler());
         }
     }
 
@@ -102,12 +105,12 @@
             first.release();
             channel.close();
             onClosed();
-        } else if (!first.isWanted()) {
-            // Given up, or its client has left, which the event loop may hear of only after this.
+        } else if (!first.isStillNeeded()) {
+            // The attempt was given up, or its client has disconnected and the event loop may not have read that yet.
             first.release();
             channel.close();
-        } else if (first.isTooLate()) {
-            // Its timer is due too, and runs after the network's events.
+        } else if (first.isPastNotAfter()) {
+            // The not-after timer is due too, but the event loop runs timers after network events.
             first.release();
             first.withdrawAndNotify();
         } else {
@@ -115,7 +118,7 @@
         }
     }
 
-    /** Sends another attempt on this idle connection. */
+    /** Sends the next attempt on this idle connection. */
     void reuse(EndpointAttempt next) {
         removeFromIdle();
         attempt = next;
@@ -129,15 +132,15 @@
             channel.writeAndFlush(sent.request()).addListener(written -> onWritten(sent, written.isSuccess()));
             return;
         }
-        if (!sent.streamedBody().isFresh()) {
-            // The client has left in the meantime: nothing of the request was sent.
+        if (!sent.streamedBody().isAvailableFromStart()) {
+            // The client has disconnected in the meantime; nothing of the request was sent.
             sent.release();
             channel.close();
             return;
         }
-        uploading = sent;
+        uploadingAttempt = sent;
         channel.writeAndFlush(sent.request());
-        // An endpoint may reject a request before all of it has arrived.
+        // An endpoint may reject a request before the whole body has arrived.
         decoder.expectResponse();
         sent.streamedBody().attach(this);
     }
@@ -151,7 +154,7 @@
         }
     }
 
-    // ---- the body of a request that is still being received ----
+    // ---- streamed request body ----
 
     @Override
     public void onPart(ByteBuf bytes) {
@@ -161,20 +164,23 @@
 
     @Override
     public void onEnd() {
-        EndpointAttempt sent = uploading;
+        EndpointAttempt sent = uploadingAttempt;
         cancelUploadStallTimer();
-        uploading = null;
+        uploadingAttempt = null;
         channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
                 .addListener(written -> onWritten(sent, written.isSuccess()));
     }
 
-    /** An endpoint that takes nothing more of a body for a while does not read: its connection is closed. */
+    /**
+     * Pauses or resumes the streamed request body according to whether the channel is writable. Closes the connection
+     * if the endpoint reads nothing for {@link #UPLOAD_STALL_MS}.
+     */
     private void updateUpload() {
-        if (uploading == null) {
+        if (uploadingAttempt == null) {
             return;
         }
         boolean full = !channel.isWritable();
-        uploading.streamedBody().setSinkFull(full);
+        uploadingAttempt.streamedBody().setSinkFull(full);
         if (!full) {
             cancelUploadStallTimer();
         } else if (uploadStallTimer == null) {
@@ -191,26 +197,27 @@
 
     private void stopUpload() {
         cancelUploadStallTimer();
-        if (uploading != null) {
-            EndpointAttempt stopped = uploading;
-            uploading = null;
+        if (uploadingAttempt != null) {
+            EndpointAttempt stopped = uploadingAttempt;
+            uploadingAttempt = null;
             stopped.streamedBody().detach();
         }
     }
 
-    // ---- the response ----
+    // ---- response ----
 
     @Override
     public void onResponse(EndpointResponse response, boolean clean) {
         EndpointAttempt ended = attempt;
         attempt = null;
-        boolean early = uploading != null;
-        // The connection is returned first: what the response leads to may need it.
-        keepOrClose(clean && !early && response.keepAlive());
+        boolean endedEarly = uploadingAttempt != null;
+        // The connection is returned first because the listener may send another attempt that can reuse it.
+        keepOrClose(clean && !endedEarly && response.keepAlive());
         if (ended != null) {
             AttemptOutcome outcome = response.outcome();
-            if (early && outcome == AttemptOutcome.OK) {
-                // It claims to have executed a request that it can't have read: nobody knows.
+            if (endedEarly && outcome == AttemptOutcome.OK) {
+                // The endpoint claims to have executed a request that it cannot have read completely, so the outcome is
+                // unknown.
                 outcome = AttemptOutcome.RESET;
             }
             ended.finish(outcome, outcome == AttemptOutcome.RESET ? null : response);
@@ -221,7 +228,7 @@
     public void onStreamedResponseStarted(EndpointResponse response) {
         EndpointAttempt ended = attempt;
         attempt = null;
-        if (ended == null || uploading != null) {
+        if (ended == null || uploadingAttempt != null) {
             response.remainingBody().abandon();
             close();
             if (ended != null) {
@@ -235,7 +242,7 @@
 
     @Override
     public void onStreamedResponseEnded(boolean clean) {
-        // Reading may be paused although the last bytes have arrived.
+        // Reading may still be paused although the last bytes have arrived.
         channel.config().setAutoRead(true);
         keepOrClose(clean && streamedResponseKeepsAlive);
     }
@@ -250,8 +257,9 @@
         close();
     }
 
-    // ---- idle and closed ----
+    // ---- idle and closed state ----
 
+    /** Returns the connection to the idle ones, or closes it if it cannot be reused. */
     private void keepOrClose(boolean reusable) {
         if (reusable && channel.isActive() && generation == endpoint.generation) {
             idleSinceMs = scheduler.now();
@@ -273,7 +281,7 @@
         channel.close();
     }
 
-    /** The connection is closed; the attempt on it ends by whether its last byte was written. */
+    /** Called when the connection is closed. Whether the last byte was written decides the outcome of its attempt. */
     private void onClosed() {
         removeFromIdle();
         stopUpload();
@@ -284,8 +292,8 @@
         }
     }
 
-    private final class ConnectionEvents extends ChannelInboundHandlerAdapter {
-        /** Called after the last bytes were read, which may be a response that is ended by this. */
+    private final class ConnectionEventHandler extends ChannelInboundHandlerAdapter {
+        /** Called after the last bytes were read, which may belong to a response that ends with the connection. */
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             onClosed();
@@ -298,7 +306,8 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A reset is an ordinary end of an attempt and reported as such; operators should see the rest.
+            // A connection reset is reported as the outcome of the attempt; any other exception is logged for
+            // operators.
             if (!(cause instanceof IOException)) {
                 logger.logException("connection to an endpoint", cause);
             }
--- a/sidecar/src/main/java/martenlatch/upstream/EndpointPool.java
+++ b/sidecar/src/main/java/martenlatch/upstream/EndpointPool.java
@@ -13,17 +13,19 @@
 import martenlatch.request.Scheduler;
 import martenlatch.request.Transport;
 
-/** The connections to all endpoints: one request at a time on each, kept alive, bounded in number. */
+/**
+ * A bounded pool of keep-alive HTTP/1.1 connections to all endpoints. Each connection carries one request at a time.
+ */
 public final class EndpointPool implements EndpointConnections {
 
-    /** An idle connection is closed after this share of the time after which the endpoint may close it. */
-    private static final double IDLE_SHARE = 0.5;
+    /** The pool closes an idle connection after this fraction of the time after which the endpoint may close it. */
+    private static final double IDLE_TIMEOUT_FRACTION = 0.5;
 
-    private static final int SWEEPS_PER_IDLE_TIME = 10;
+    private static final int SWEEPS_PER_IDLE_TIMEOUT = 10;
     /**
-     * A connection is not used again for so long after its last response, in milliseconds: a second response may
-     * arrive shortly after the first, and would be taken for that of the next request. A longer time would cost
-     * connections and not help: what comes later may come at any time.
+     * The minimum time between a response and the next request on the same connection. A faulty endpoint may send a
+     * second response shortly after the first, which would be taken for the response to the next request. A longer
+     * delay would need more connections without helping, because later surplus bytes can arrive at any time.
      */
     private static final double REUSE_DELAY_MS = 10;
 
@@ -32,15 +34,15 @@
     private final Bootstrap bootstrap;
     private final EndpointTable endpoints = new EndpointTable();
     private final OpenConnections openConnections;
-    private double idleTimeMs;
+    private double idleTimeoutMs;
     private Scheduler.Timer sweepTimer;
 
     /**
-     * Creates a pool that knows no endpoint yet.
+     * Creates a pool without endpoints.
      *
-     * @param connectTimeoutMs how long a connect may take, in milliseconds
-     * @param idleCloseMs after how long at most an endpoint closes an idle connection, in milliseconds
-     * @param maxConnections the largest number of open connections to all endpoints together
+     * @param connectTimeoutMs the connect time-out in milliseconds
+     * @param idleCloseMs the idle time in milliseconds after which an endpoint may close a connection
+     * @param maxConnections the maximum number of open connections to all endpoints together
      */
     public EndpointPool(
             EventLoop loop,
@@ -64,21 +66,21 @@
         scheduleSweep();
     }
 
-    /** Takes over time-outs, in milliseconds, as in the constructor. */
+    /** Applies new time-outs, which have the same meaning as in the constructor. */
     public void applyTimeouts(double connectTimeoutMs, double idleCloseMs) {
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(connectTimeoutMs));
-        idleTimeMs = idleCloseMs * IDLE_SHARE;
+        idleTimeoutMs = idleCloseMs * IDLE_TIMEOUT_FRACTION;
     }
 
     private void scheduleSweep() {
-        sweepTimer = scheduler.after(idleTimeMs / SWEEPS_PER_IDLE_TIME, () -> {
+        sweepTimer = scheduler.after(idleTimeoutMs / SWEEPS_PER_IDLE_TIMEOUT, () -> {
             closeExpiredConnections();
             scheduleSweep();
         });
     }
 
     private void closeExpiredConnections() {
-        openConnections.closeIdleSinceBefore(scheduler.now() - idleTimeMs);
+        openConnections.closeIdleSinceBefore(scheduler.now() - idleTimeoutMs);
     }
 
     @Override
@@ -88,7 +90,7 @@
 
     @Override
     public void withdrawAttempts() {
-        endpoints.withdrawUnwantedAttempts();
+        endpoints.withdrawQueuedAttempts();
     }
 
     @Override
@@ -99,23 +101,23 @@
         }
     }
 
-    /** The number of known endpoints. */
+    /** Returns the number of known endpoints. */
     public int size() {
         return endpoints.size();
     }
 
-    /** Whether an endpoint is known and has an address that no other endpoint has taken over. */
+    /** Returns whether an endpoint is known and still owns its address. */
     boolean hasAddress(String endpointId) {
         PooledEndpoint endpoint = endpoints.find(endpointId);
         return endpoint != null && endpoint.address != null;
     }
 
-    /** The number of addresses in the table. */
+    /** Returns the number of addresses that belong to an endpoint. */
     int addressCount() {
         return endpoints.addressCount();
     }
 
-    /** Creates what sends the attempts of one request. */
+    /** Returns a transport that sends the attempts of one request. */
     public Transport transportFor(OutgoingRequest request) {
         return new HttpTransport(this, request);
     }
@@ -124,7 +126,7 @@
         return scheduler;
     }
 
-    /** Sends an attempt on an idle connection or a new one. It may end before this returns. */
+    /** Sends an attempt on an idle or a new connection. The attempt may end before this method returns. */
     void send(String endpointId, EndpointAttempt attempt) {
         PooledEndpoint endpoint = endpoints.find(endpointId);
         closeExpiredConnections();
@@ -132,28 +134,28 @@
         if (reusable != null) {
             reusable.reuse(attempt);
         } else if (endpoint == null || endpoint.address == null) {
-            EndpointConnection.refuse(attempt, logger, "no address is known of " + endpointId);
-        } else if (!openConnections.makeRoom()) {
-            EndpointConnection.refuse(
-                    attempt, logger, "all " + openConnections.max() + " connections to endpoints are busy");
+            EndpointConnection.failUnconnected(attempt, logger, "no address is known of " + endpointId);
+        } else if (!openConnections.ensureCapacity()) {
+            EndpointConnection.failUnconnected(
+                    attempt, logger, "all " + openConnections.maxOpen() + " connections to endpoints are busy");
         } else {
             new EndpointConnection(endpoint, openConnections, scheduler, logger).open(bootstrap, attempt);
         }
         attempt.startNotAfterTimer();
     }
 
-    /** The most recently used idle connection that is still in good order; broken ones are closed. */
+    /** Returns the most recently used idle connection that can be reused, or null, and closes the broken ones. */
     private EndpointConnection findReusable(PooledEndpoint endpoint) {
-        double latestIdleSinceMs = scheduler.now() - REUSE_DELAY_MS;
+        double maxIdleSinceMs = scheduler.now() - REUSE_DELAY_MS;
         List<EndpointConnection> broken = new ArrayList<>();
         EndpointConnection found = null;
         Iterator<EndpointConnection> newestFirst = endpoint.idle.descendingIterator();
         while (newestFirst.hasNext() && found == null) {
             EndpointConnection connection = newestFirst.next();
-            if (connection.idleSinceMs() > latestIdleSinceMs) {
+            if (connection.idleSinceMs() > maxIdleSinceMs) {
                 continue;
             }
-            if (connection.isSilent()) {
+            if (connection.isOpenWithoutInput()) {
                 found = connection;
             } else {
                 broken.add(connection);
@@ -163,7 +165,7 @@
         return found;
     }
 
-    /** Closes all idle connections and stops looking after them. */
+    /** Closes all idle connections and stops the periodic sweep for expired ones. */
     public void close() {
         sweepTimer.cancel();
         endpoints.closeAllIdleConnections();
--- a/sidecar/src/main/java/martenlatch/upstream/EndpointTable.java
+++ b/sidecar/src/main/java/martenlatch/upstream/EndpointTable.java
@@ -10,16 +10,16 @@
 import martenlatch.policy.api.EndpointStatus;
 import martenlatch.request.EndpointList;
 
-/** The endpoints by id and by address, as the endpoint lists tell. */
+/** Indexes the endpoints of the endpoint lists by id and by address. */
 final class EndpointTable {
 
     private final Map<String, PooledEndpoint> endpoints = new HashMap<>();
-    /** The endpoint at each address: a list of ten thousand must not be searched for every entry of it. */
+    /** The endpoint at each address, so that a list of ten thousand entries needs no linear search per entry. */
     private final Map<InetSocketAddress, PooledEndpoint> byAddress = new HashMap<>();
-    /** Attempts that wait for connections to endpoints that take nothing new any more. */
-    private final List<EndpointAttempt> unwantedAttempts = new ArrayList<>();
+    /** The attempts that wait for connections to endpoints that no longer accept new requests. */
+    private final List<EndpointAttempt> attemptsToWithdraw = new ArrayList<>();
 
-    /** The endpoint with this id, or null. */
+    /** Returns the endpoint with this id, or null. */
     PooledEndpoint find(String id) {
         return endpoints.get(id);
     }
@@ -32,7 +32,7 @@
         return byAddress.size();
     }
 
-    /** Takes over a list; connections to a process or address that does not exist any more are dropped. */
+    /** Applies an endpoint list and drops the connections to processes and addresses that no longer exist. */
     void update(EndpointList list) {
         if (list.full()) {
             removeAllBut(list);
@@ -47,10 +47,10 @@
     }
 
     private void removeAllBut(EndpointList list) {
-        Set<String> named = new HashSet<>();
-        list.entries().forEach(entry -> named.add(entry.endpoint().id()));
+        Set<String> listedIds = new HashSet<>();
+        list.entries().forEach(entry -> listedIds.add(entry.endpoint().id()));
         for (String id : List.copyOf(endpoints.keySet())) {
-            if (!named.contains(id)) {
+            if (!listedIds.contains(id)) {
                 remove(id);
             }
         }
@@ -60,44 +60,45 @@
         PooledEndpoint endpoint = endpoints.computeIfAbsent(entry.endpoint().id(), id -> new PooledEndpoint());
         double startedMs = entry.endpoint().startedMs();
         if (!entry.address().equals(endpoint.address) || startedMs != endpoint.startedMs) {
-            retire(endpoint);
+            invalidateConnections(endpoint);
             releaseAddress(endpoint);
         }
         endpoint.address = entry.address();
         endpoint.startedMs = startedMs;
         claimAddress(endpoint);
         if (entry.endpoint().status() != EndpointStatus.READY) {
-            markAttemptsUnwanted(endpoint);
+            queueAttemptsForWithdrawal(endpoint);
         }
     }
 
     private void remove(String id) {
         PooledEndpoint removed = endpoints.remove(id);
         if (removed != null) {
-            retire(removed);
+            invalidateConnections(removed);
             releaseAddress(removed);
         }
     }
 
-    /** The connections so far are of no more use. */
-    private void retire(PooledEndpoint endpoint) {
+    /** Closes the idle connections of an endpoint and ensures that the busy ones are not reused. */
+    private void invalidateConnections(PooledEndpoint endpoint) {
         endpoint.generation++;
-        markAttemptsUnwanted(endpoint);
+        queueAttemptsForWithdrawal(endpoint);
         endpoint.closeIdleConnections();
     }
 
-    private void markAttemptsUnwanted(PooledEndpoint endpoint) {
-        endpoint.connecting.forEach(connection -> unwantedAttempts.add(connection.attempt()));
+    private void queueAttemptsForWithdrawal(PooledEndpoint endpoint) {
+        endpoint.connecting.forEach(connection -> attemptsToWithdraw.add(connection.attempt()));
     }
 
     /**
-     * Ends the attempts that wait for connections to endpoints that take nothing new. An attempt counts as sent from
-     * its first byte: what was decided before the list arrived must not begin after it.
+     * Withdraws the attempts that wait for connections to endpoints that no longer accept new requests. An attempt
+     * counts as sent from its first byte on, so an attempt that was decided before the endpoint list arrived must not
+     * start after it.
      */
-    void withdrawUnwantedAttempts() {
-        List<EndpointAttempt> unwanted = List.copyOf(unwantedAttempts);
-        unwantedAttempts.clear();
-        unwanted.forEach(EndpointAttempt::withdrawAndNotify);
+    void withdrawQueuedAttempts() {
+        List<EndpointAttempt> withdrawn = List.copyOf(attemptsToWithdraw);
+        attemptsToWithdraw.clear();
+        withdrawn.forEach(EndpointAttempt::withdrawAndNotify);
     }
 
     private void releaseAddress(PooledEndpoint endpoint) {
@@ -106,18 +107,21 @@
         }
     }
 
-    /** There is one process at an address: the one that was started earlier does not exist any more. */
+    /**
+     * Registers the address of an endpoint. Only one process can listen at an address, so if two endpoints have the
+     * same address, the process that was started earlier no longer exists.
+     */
     private void claimAddress(PooledEndpoint claimant) {
         PooledEndpoint other = byAddress.putIfAbsent(claimant.address, claimant);
         if (other == null || other == claimant) {
             return;
         }
-        PooledEndpoint former = claimant.startedMs < other.startedMs ? claimant : other;
-        if (former == other) {
+        PooledEndpoint stale = claimant.startedMs < other.startedMs ? claimant : other;
+        if (stale == other) {
             byAddress.put(claimant.address, claimant);
         }
-        retire(former);
-        former.address = null;
+        invalidateConnections(stale);
+        stale.address = null;
     }
 
     void closeAllIdleConnections() {
--- a/sidecar/src/main/java/martenlatch/upstream/HttpTransport.java
+++ b/sidecar/src/main/java/martenlatch/upstream/HttpTransport.java
@@ -11,11 +11,11 @@
 import martenlatch.policy.api.AttemptOutcome;
 import martenlatch.request.Transport;
 
-/** Sends the attempts of one request over HTTP/1.1, on connections of the pool. */
+/** Sends the attempts of one request over HTTP/1.1 on connections of the pool. */
 final class HttpTransport implements Transport {
 
-    /** An attempt that ended before it began. */
-    private static final Transport.Attempt NEVER_BEGUN = new Transport.Attempt() {
+    /** The handle of an attempt that ended without being sent. */
+    private static final Transport.Attempt NOT_STARTED = new Transport.Attempt() {
         @Override
         public boolean giveUp() {
             return false;
@@ -29,6 +29,7 @@
 
     private final EndpointPool pool;
     private final OutgoingRequest request;
+    /** Whether an earlier attempt owns the headers, so that the next one needs a copy. */
     private boolean headersUsed;
 
     HttpTransport(EndpointPool pool, OutgoingRequest request) {
@@ -39,23 +40,23 @@
     @Override
     public Transport.Attempt send(
             String endpointId, WriteConditions conditions, double notAfterMs, AttemptListener listener) {
-        if (request.streamedBody() != null && !request.streamedBody().isFresh()) {
-            // Part of the body has been forwarded already: nothing is sent, and the endpoint is not to blame.
+        if (request.streamedBody() != null && !request.streamedBody().isAvailableFromStart()) {
+            // Part of the body has been forwarded already, so nothing can be sent. The endpoint is not at fault.
             listener.onAttemptFinished(AttemptOutcome.NOT_EXECUTED, null);
-            return NEVER_BEGUN;
+            return NOT_STARTED;
         }
         EndpointAttempt attempt = new EndpointAttempt(
-                message(), request.streamedBody(), conditions, notAfterMs, pool.scheduler(), listener);
+                buildHttpRequest(), request.streamedBody(), conditions, notAfterMs, pool.scheduler(), listener);
         pool.send(endpointId, attempt);
         return attempt;
     }
 
-    private HttpRequest message() {
-        // Few requests need a second attempt: only those copy the headers.
+    private HttpRequest buildHttpRequest() {
+        // The first attempt uses the original headers; only the few requests with further attempts need a copy.
         HttpHeaders headers = headersUsed ? request.headers().copy() : request.headers();
         headersUsed = true;
         if (request.streamedBody() != null) {
-            return streamedMessage(headers);
+            return buildStreamedRequest(headers);
         }
         return new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
@@ -66,7 +67,7 @@
                 EmptyHttpHeaders.INSTANCE);
     }
 
-    private HttpRequest streamedMessage(HttpHeaders headers) {
+    private HttpRequest buildStreamedRequest(HttpHeaders headers) {
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri(), headers);
         long length = request.streamedBody().length();
         if (length >= 0) {
--- a/sidecar/src/main/java/martenlatch/upstream/OpenConnections.java
+++ b/sidecar/src/main/java/martenlatch/upstream/OpenConnections.java
@@ -4,32 +4,35 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** The open connections of one pool: bounds their number, and knows the idle ones of all endpoints. */
+/** Counts and limits the open connections of one pool, and tracks the idle ones of all endpoints. */
 final class OpenConnections {
 
-    private final int max;
-    /** All idle connections, the longest idle first. */
+    private final int maxOpen;
+    /** All idle connections, ordered by how long they have been idle, longest first. */
     private final Set<EndpointConnection> idle = new LinkedHashSet<>();
 
-    private int open;
+    private int openCount;
 
-    OpenConnections(int max) {
-        this.max = max;
+    OpenConnections(int maxOpen) {
+        this.maxOpen = maxOpen;
     }
 
-    int max() {
-        return max;
+    int maxOpen() {
+        return maxOpen;
     }
 
-    /** Whether another connection may be opened; if need be, the longest idle one is closed for it. */
-    boolean makeRoom() {
-        return open < max || closeLongestIdle();
+    /**
+     * Returns whether another connection may be opened. If the limit is reached, closes the longest idle connection to
+     * make that possible.
+     */
+    boolean ensureCapacity() {
+        return openCount < maxOpen || closeLongestIdle();
     }
 
-    /** Counts a connection until it is closed. */
+    /** Counts a connection as open until its channel is closed. */
     void add(Channel channel) {
-        open++;
-        channel.closeFuture().addListener(closed -> open--);
+        openCount++;
+        channel.closeFuture().addListener(closed -> openCount--);
     }
 
     void addIdle(EndpointConnection connection) {
@@ -40,7 +43,7 @@
         idle.remove(connection);
     }
 
-    /** Closes the connections that have been idle since before this time. */
+    /** Closes the connections that became idle before this time. */
     void closeIdleSinceBefore(double timeMs) {
         while (!idle.isEmpty() && idle.iterator().next().idleSinceMs() < timeMs) {
             closeLongestIdle();
--- a/sidecar/src/main/java/martenlatch/upstream/OutgoingRequest.java
+++ b/sidecar/src/main/java/martenlatch/upstream/OutgoingRequest.java
@@ -8,9 +8,9 @@
  *
  * @param method the HTTP method
  * @param uri the request target
- * @param headers the headers to forward; owned by the connection pool from here on
- * @param body the complete body where {@code streamedBody} is null
- * @param streamedBody forwards the body while it is still being received, or null
+ * @param headers the headers to forward; the connection pool takes ownership of them
+ * @param body the complete body if {@code streamedBody} is null
+ * @param streamedBody the body that is forwarded while it is still being received, or null
  */
 @SuppressWarnings("ArrayRecordComponent") // bodies are forwarded without a copy, and requests are not compared
 public record OutgoingRequest(
--- a/sidecar/src/main/java/martenlatch/upstream/PooledEndpoint.java
+++ b/sidecar/src/main/java/martenlatch/upstream/PooledEndpoint.java
@@ -7,18 +7,19 @@
 import java.util.List;
 import java.util.Set;
 
-/** One endpoint process as the pool knows it: where it listens, and the connections to it. */
+/** The pool's state for one endpoint process: its address and the connections to it. */
 final class PooledEndpoint {
 
-    /** Null once another endpoint has taken over the address. */
+    /** The address of the endpoint, or null once another endpoint has taken it over. */
     InetSocketAddress address;
 
+    /** The start time of the endpoint process, as stated by the endpoint list. */
     double startedMs;
-    /** Idle connections, the most recently used last. */
+    /** The idle connections, ordered by last use, most recent last. */
     final Deque<EndpointConnection> idle = new ArrayDeque<>();
-    /** Connections that are being established, each for an attempt that waits for it. */
+    /** The connections that are being established, each of which has an attempt waiting for it. */
     final Set<EndpointConnection> connecting = new LinkedHashSet<>();
-    /** Incremented when the connections so far are of no more use; older ones are not kept. */
+    /** Incremented when the existing connections become invalid; connections of an older generation are not kept. */
     int generation;
 
     void closeIdleConnections() {
--- a/sidecar/src/main/java/martenlatch/upstream/ResponseDecoder.java
+++ b/sidecar/src/main/java/martenlatch/upstream/ResponseDecoder.java
@@ -20,56 +20,70 @@
 import martenlatch.request.Scheduler;
 
 /**
- * Decodes the one response that a connection to an endpoint waits for. A short response is reported once all bytes
- * that arrived with it are read, so that bytes that don't belong to it are never taken for the next one. A long one
- * is reported at its first bytes and streamed.
+ * Decodes the one response that a connection to an endpoint waits for. A short response is reported only after all
+ * bytes that arrived with it are read, so that surplus bytes are never taken for the next response. A long response is
+ * reported before its body is complete, and its body is streamed.
  */
 public final class ResponseDecoder extends ChannelInboundHandlerAdapter {
 
-    /** The largest body that is collected before it is reported, in bytes. */
+    /** The largest body that is collected before the response is reported. */
     public static final int MAX_COLLECTED_BODY_BYTES = 64 * 1024;
-    /** The largest body that is streamed, in bytes: a longer one is not a response of such a service. */
+    /** The largest body that is streamed. A longer one is not a plausible response and is rejected. */
     public static final long MAX_STREAMED_BODY_BYTES = 32 * 1024 * 1024;
 
     private static final int MAX_INTERIM_RESPONSES = 16;
 
-    /** Hears what is decoded. */
+    /** Receives the decoded responses of one connection. */
     public interface Listener {
-        /** A response is complete; {@code clean} if nothing arrived with it, so that its connection may be kept. */
+        /**
+         * Called when a short response is complete.
+         *
+         * @param clean whether no surplus bytes arrived with it, so that the connection may be kept
+         */
         void onResponse(EndpointResponse response, boolean clean);
 
-        /** A long response has started; it has a {@link EndpointResponse#remainingBody}. */
+        /** Called when a long response has started; its body follows in {@link EndpointResponse#remainingBody}. */
         void onStreamedResponseStarted(EndpointResponse response);
 
-        /** The long response is complete; {@code clean} as above. */
+        /**
+         * Called when a long response is complete.
+         *
+         * @param clean whether no surplus bytes arrived with it, so that the connection may be kept
+         */
         void onStreamedResponseEnded(boolean clean);
 
-        /** Reads on from the connection, or stops reading. */
+        /** Resumes or pauses reading from the connection. */
         void setReading(boolean reading);
 
-        /** What arrived is not a response, or was not asked for: the connection is of no further use. */
+        /** Called when an invalid or unexpected response arrived, after which the connection cannot be used. */
         void onInvalidResponse();
     }
 
     private final Listener listener;
     private final Scheduler scheduler;
     private final StrictHttpResponseDecoder httpDecoder = new StrictHttpResponseDecoder();
-    private boolean expecting;
+    /** Whether a request was written whose response is not complete yet. */
+    private boolean responseExpected;
+
     private boolean invalid;
+    /** The head of the response that is being decoded, or null. */
     private HttpResponse head;
+    /** The bytes collected of its body, or null. */
     private ByteBuf body;
+
     private int interimResponses;
-    /** The response that is complete, until the present read is complete too. */
-    private EndpointResponse complete;
-    /** More has arrived with the response than belongs to it. */
-    private boolean surplus;
-    /** The response that is being streamed, or null. */
+    /** The complete short response that is reported at the end of the current read, or null. */
+    private EndpointResponse completeResponse;
+    /** Whether surplus bytes arrived with the complete response. */
+    private boolean surplusReceived;
+    /** The body of the response that is being streamed, or null. */
     private StreamedResponse streamed;
 
     private long streamedBytes;
+    /** Whether the streamed body is complete and its end is reported at the end of the current read. */
     private boolean streamComplete;
-    /** The connection is broken: its end does not end a response. */
-    private boolean broken;
+    /** Whether the connection has failed; its end is then not a valid end of a response. */
+    private boolean connectionFailed;
 
     /** Creates a decoder for one connection. */
     public ResponseDecoder(Listener listener, Scheduler scheduler) {
@@ -77,31 +91,34 @@
         this.scheduler = scheduler;
     }
 
-    /** Adds the handlers that decode responses to a connection's pipeline. */
+    /** Adds the handlers that decode responses to the pipeline of a connection. */
     public void addTo(ChannelPipeline pipeline) {
-        pipeline.addLast(new ByteGate(), httpDecoder, this);
+        pipeline.addLast(new UnexpectedBytesFilter(), httpDecoder, this);
     }
 
-    /** A request has been written: from here on the bytes that arrive may be its response. */
+    /** Called when a request is written; bytes that arrive from now on may be its response. */
     public void expectResponse() {
-        expecting = true;
+        responseExpected = true;
     }
 
     private boolean isComplete() {
-        return complete != null || streamComplete;
+        return completeResponse != null || streamComplete;
     }
 
-    /** Sees bytes before the HTTP decoder does, which keeps half a line to itself. */
-    private final class ByteGate extends ChannelInboundHandlerAdapter {
+    /**
+     * Filters out unexpected bytes before the HTTP decoder. The HTTP decoder would buffer an incomplete line without
+     * reporting it.
+     */
+    private final class UnexpectedBytesFilter extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            if (expecting && !isComplete()) {
+            if (responseExpected && !isComplete()) {
                 ctx.fireChannelRead(bytes);
                 return;
             }
             ReferenceCountUtil.release(bytes);
             if (isComplete()) {
-                surplus = true;
+                surplusReceived = true;
             } else {
                 reportInvalid();
             }
@@ -109,7 +126,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            broken |= cause instanceof IOException;
+            connectionFailed |= cause instanceof IOException;
             ctx.fireExceptionCaught(cause);
         }
     }
@@ -127,7 +144,7 @@
 
     private void onMessage(Object message) {
         if (isComplete()) {
-            surplus = true;
+            surplusReceived = true;
             return;
         }
         if (message instanceof HttpResponse response) {
@@ -152,7 +169,7 @@
         }
     }
 
-    /** Whether a head can be that of a response, and tells where the response ends. */
+    /** Returns whether the status is plausible and the head determines where the response ends. */
     private boolean isAcceptable(HttpResponse response) {
         int status = response.status().code();
         if (status < 200) {
@@ -167,7 +184,7 @@
         if (coding != null) {
             return HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(coding);
         }
-        // Where the connection's end ends a body, its head must say so.
+        // A body may end with the connection only if the head says that the connection is closed.
         if (!HttpUtil.isContentLengthSet(response)) {
             return !HttpUtil.isKeepAlive(response);
         }
@@ -178,8 +195,8 @@
 
     private void onContent(HttpContent content) {
         boolean last = content instanceof LastHttpContent;
-        boolean endsByBreak = last && broken;
-        if (content.decoderResult().isFailure() || endsByBreak) {
+        boolean endedByFailure = last && connectionFailed;
+        if (content.decoderResult().isFailure() || endedByFailure) {
             reportInvalid();
             return;
         }
@@ -205,13 +222,13 @@
         body.writeBytes(bytes);
         if (last) {
             if (head.status().code() >= 200) {
-                complete = response(ByteBufUtil.getBytes(body), null);
+                completeResponse = buildResponse(ByteBufUtil.getBytes(body), null);
             }
             releaseBody();
         }
     }
 
-    /** Reports the response, and streams what is received of it from now on. */
+    /** Reports the response and streams the bytes of its body that arrive from now on. */
     private void startStreaming() {
         StreamedResponse started = new StreamedResponse(
                 HttpUtil.getContentLength(head, -1L),
@@ -230,14 +247,14 @@
         streamed = started;
         streamedBytes = body.readableBytes();
         byte[] collected = ByteBufUtil.getBytes(body);
-        EndpointResponse response = response(new byte[0], started);
+        EndpointResponse response = buildResponse(new byte[0], started);
         if (collected.length > 0) {
             started.onPart(collected);
         }
         listener.onStreamedResponseStarted(response);
     }
 
-    private EndpointResponse response(byte[] bytes, RemainingBody remainingBody) {
+    private EndpointResponse buildResponse(byte[] bytes, RemainingBody remainingBody) {
         return new EndpointResponse(
                 head.status().code(),
                 "1".equals(head.headers().get("X-Not-Run")),
@@ -272,7 +289,7 @@
     public void channelInactive(ChannelHandlerContext ctx) {
         reportComplete();
         releaseBody();
-        cutStream();
+        endTruncatedStream();
         ctx.fireChannelInactive();
     }
 
@@ -280,12 +297,12 @@
         if (!isComplete()) {
             return;
         }
-        boolean clean = !surplus && !httpDecoder.holdsBytes();
+        boolean clean = !surplusReceived && !httpDecoder.hasUndecodedBytes();
         StreamedResponse endedStream = streamComplete ? streamed : null;
-        EndpointResponse response = complete;
+        EndpointResponse response = completeResponse;
         reset();
         if (endedStream != null) {
-            // The connection is returned first: what the end leads to may need it.
+            // The connection is returned first because the receiver may send another request that can reuse it.
             listener.onStreamedResponseEnded(clean);
             endedStream.onEnd(true);
         } else {
@@ -298,22 +315,22 @@
             streamed = null;
         }
         streamComplete = false;
-        complete = null;
-        surplus = false;
+        completeResponse = null;
+        surplusReceived = false;
         interimResponses = 0;
-        expecting = false;
+        responseExpected = false;
     }
 
     private void reportInvalid() {
         releaseBody();
-        cutStream();
+        endTruncatedStream();
         if (!invalid) {
             invalid = true;
             listener.onInvalidResponse();
         }
     }
 
-    private void cutStream() {
+    private void endTruncatedStream() {
         if (streamed != null) {
             streamed.onEnd(false);
             streamed = null;
--- a/sidecar/src/main/java/martenlatch/upstream/StreamedRequestBody.java
+++ b/sidecar/src/main/java/martenlatch/upstream/StreamedRequestBody.java
@@ -5,47 +5,55 @@
 import java.util.Deque;
 
 /**
- * A request body that is forwarded while it is being received: a client's connection offers parts, an endpoint's
- * connection takes them. The first attempt that takes a part gets all of it; a later one finds the body used up. The
- * bytes that wait in between are bounded by pausing the client.
+ * A request body that is forwarded while it is being received. The client's connection is its source and offers the
+ * parts; an endpoint's connection is its sink and takes them. Only the first attempt whose connection attaches can send
+ * the body, because forwarded parts are not kept for a later one. Pausing the client limits the number of bytes that
+ * wait to be forwarded.
  */
 public final class StreamedRequestBody {
 
-    /** The client is paused when so many bytes wait for the endpoint; one read more may follow. */
-    private static final int MAX_WAITING_BYTES = 32 * 1024;
+    /** The number of bytes waiting for the endpoint at which the client is paused. One more read may follow. */
+    private static final int PAUSE_THRESHOLD_BYTES = 32 * 1024;
 
-    /** Where the body comes from. */
+    /** The client's connection, from which the body is received. */
     public interface Source {
-        /** Stops reading the body, or reads on. */
+        /** Pauses or resumes reading the body. */
         void setPaused(boolean paused);
 
-        /** An endpoint is ready for the body: a client that waits for {@code 100 Continue} may have it. */
+        /** Called when an endpoint is ready for the body, so that {@code 100 Continue} may be sent to the client. */
         void onSinkAttached();
     }
 
-    /** Where the body goes. */
+    /** The endpoint's connection, to which the body is forwarded. */
     interface Sink {
-        /** The next part, to be released by the sink. */
+        /** Receives the next part, which the sink must release. */
         void onPart(ByteBuf bytes);
 
-        /** The body is complete. */
+        /** Called when the body is complete and all its parts were forwarded. */
         void onEnd();
     }
 
+    /** The length in bytes, or -1 if it is not known before the end. */
     private final long length;
+
     private final Source source;
-    private final Deque<ByteBuf> waiting = new ArrayDeque<>();
-    private int waitingBytes;
+    private final Deque<ByteBuf> pendingParts = new ArrayDeque<>();
+    private int pendingBytes;
     private Sink sink;
     private boolean sinkFull;
-    /** A sink has been attached: the body cannot be had from its first byte any more. */
-    private boolean used;
+    /** Whether a sink was ever attached; the body can no longer be sent from its first byte then. */
+    private boolean attachedOnce;
 
     private boolean complete;
     private boolean aborted;
     private boolean sourcePaused;
 
-    /** Creates a body of so many bytes, or -1 where only its end tells. */
+    /**
+     * Creates a body.
+     *
+     * @param length the length in bytes, or -1 if it is not known before the end
+     * @param source the connection from which the body is received
+     */
     public StreamedRequestBody(long length, Source source) {
         this.length = length;
         this.source = source;
@@ -55,80 +63,80 @@
         return length;
     }
 
-    /** Whether the body can still be had from its first byte. */
-    boolean isFresh() {
-        return !used && !aborted;
+    /** Returns whether the body can still be sent from its first byte. */
+    boolean isAvailableFromStart() {
+        return !attachedOnce && !aborted;
     }
 
-    /** The next part has been received; it is owned by this object from now on. */
+    /** Adds the next received part and takes ownership of it. */
     public void offer(ByteBuf part) {
-        boolean unwanted = used && sink == null;
-        if (aborted || unwanted) {
+        boolean discarded = attachedOnce && sink == null;
+        if (aborted || discarded) {
             part.release();
             return;
         }
-        waiting.add(part);
-        waitingBytes += part.readableBytes();
-        transfer();
+        pendingParts.add(part);
+        pendingBytes += part.readableBytes();
+        forwardPendingParts();
     }
 
-    /** The last part has been received. */
+    /** Marks the body as complete after its last part. */
     public void complete() {
         complete = true;
-        transfer();
+        forwardPendingParts();
     }
 
-    /** No more will be received: what was not taken is dropped. */
+    /** Ends the body before it is complete, and drops the parts that were not forwarded. */
     public void abort() {
         aborted = true;
         sink = null;
-        releaseWaiting();
+        releasePendingParts();
     }
 
-    /** An endpoint's connection takes the body from its first byte. */
-    void attach(Sink taker) {
-        sink = taker;
-        used = true;
+    /** Attaches the endpoint's connection that receives the body from its first byte. */
+    void attach(Sink newSink) {
+        sink = newSink;
+        attachedOnce = true;
         source.onSinkAttached();
-        transfer();
+        forwardPendingParts();
     }
 
-    /** The endpoint's connection takes no more; what is still received is dropped. */
+    /** Detaches the endpoint's connection. Parts that arrive afterwards are dropped. */
     void detach() {
         sink = null;
-        releaseWaiting();
-        updateSource();
+        releasePendingParts();
+        updateSourcePause();
     }
 
-    /** The endpoint's connection can take no more for now, or can again. */
+    /** Sets whether the endpoint's connection cannot accept more bytes at the moment. */
     void setSinkFull(boolean full) {
         sinkFull = full;
-        transfer();
+        forwardPendingParts();
     }
 
-    private void releaseWaiting() {
-        waiting.forEach(ByteBuf::release);
-        waiting.clear();
-        waitingBytes = 0;
+    private void releasePendingParts() {
+        pendingParts.forEach(ByteBuf::release);
+        pendingParts.clear();
+        pendingBytes = 0;
     }
 
-    private void transfer() {
-        while (sink != null && !sinkFull && !waiting.isEmpty()) {
-            ByteBuf next = waiting.poll();
-            waitingBytes -= next.readableBytes();
+    private void forwardPendingParts() {
+        while (sink != null && !sinkFull && !pendingParts.isEmpty()) {
+            ByteBuf next = pendingParts.poll();
+            pendingBytes -= next.readableBytes();
             sink.onPart(next);
         }
-        if (sink != null && complete && waiting.isEmpty()) {
+        if (sink != null && complete && pendingParts.isEmpty()) {
             Sink finished = sink;
             sink = null;
             finished.onEnd();
         }
-        updateSource();
+        updateSourcePause();
     }
 
-    private void updateSource() {
-        // After a complete body only the client's disconnect can follow, which has to be seen.
-        boolean pause = waitingBytes >= MAX_WAITING_BYTES && !complete;
+    private void updateSourcePause() {
+        // After a complete body the client is read again, so that its disconnect is noticed.
+        boolean pause = pendingBytes >= PAUSE_THRESHOLD_BYTES && !complete;
         if (pause != sourcePaused && !aborted) {
             sourcePaused = pause;
             source.setPaused(pause);
--- a/sidecar/src/main/java/martenlatch/upstream/StreamedResponse.java
+++ b/sidecar/src/main/java/martenlatch/upstream/StreamedResponse.java
@@ -5,33 +5,35 @@
 import martenlatch.request.RemainingBody;
 import martenlatch.request.Scheduler;
 
-/** A response body that is forwarded while it is being received from an endpoint's connection. */
+/** The rest of a response body, which is forwarded while it is being received from an endpoint's connection. */
 final class StreamedResponse implements RemainingBody {
 
     /**
-     * If no byte moves for so long, in milliseconds, one of both sides is gone without notice: longer than any pause
-     * of a healthy peer, and short enough for what the stream holds.
+     * The time without progress after which the endpoint or the client is assumed to be gone without notice. It is
+     * longer than any pause of a healthy peer, and short enough for the resources that the stream holds.
      */
     static final int STALL_MS = 10_000;
 
     /** The connection from which the body is received. */
     interface Connection {
-        /** Reads on from the connection, or stops reading. */
+        /** Resumes or pauses reading from the connection. */
         void setReading(boolean reading);
 
-        /** Closes the connection: the rest of the body is of no use. */
+        /** Closes the connection because the rest of the body is not needed. */
         void close();
     }
 
+    /** The length of the whole body in bytes, or -1 if it is not known before the end. */
     private final long length;
+
     private final Connection connection;
     private final Scheduler scheduler;
-    /** Parts that were received before somebody took them. */
-    private final Deque<byte[]> earlyParts = new ArrayDeque<>();
+    /** The parts that arrived before a receiver was set. */
+    private final Deque<byte[]> bufferedParts = new ArrayDeque<>();
 
     private Receiver receiver;
     private Scheduler.Timer stallTimer;
-    private double lastPartMs;
+    private double lastPartAtMs;
     private boolean ended;
     private boolean complete;
 
@@ -39,16 +41,17 @@
         this.length = length;
         this.connection = connection;
         this.scheduler = scheduler;
-        lastPartMs = scheduler.now();
-        // Until somebody takes the body, no more of it is read.
+        lastPartAtMs = scheduler.now();
+        // Reading stops until a receiver is set.
         connection.setReading(false);
         startStallTimer();
     }
 
+    /** Starts a timer that closes the connection if no part has arrived for {@link #STALL_MS}. */
     private void startStallTimer() {
-        double delayMs = lastPartMs + STALL_MS - scheduler.now();
+        double delayMs = lastPartAtMs + STALL_MS - scheduler.now();
         stallTimer = scheduler.after(delayMs, () -> {
-            if (scheduler.now() - lastPartMs >= STALL_MS) {
+            if (scheduler.now() - lastPartAtMs >= STALL_MS) {
                 connection.close();
             } else if (!ended) {
                 startStallTimer();
@@ -61,23 +64,23 @@
         return length;
     }
 
-    /** The next part has been received. */
+    /** Called when the next part has been received. */
     void onPart(byte[] bytes) {
-        lastPartMs = scheduler.now();
+        lastPartAtMs = scheduler.now();
         if (receiver == null) {
-            earlyParts.add(bytes);
+            bufferedParts.add(bytes);
         } else {
             receiver.onPart(bytes);
         }
     }
 
-    /** The body has ended, complete or cut short. */
-    void onEnd(boolean completely) {
+    /** Called when the body has ended, either complete or truncated. Further calls have no effect. */
+    void onEnd(boolean bodyComplete) {
         if (ended) {
             return;
         }
         ended = true;
-        complete = completely;
+        complete = bodyComplete;
         stallTimer.cancel();
         if (receiver != null) {
             receiver.onEnd(complete);
@@ -85,13 +88,13 @@
     }
 
     @Override
-    public void transferTo(Receiver next) {
-        receiver = next;
-        for (byte[] bytes = earlyParts.poll(); bytes != null; bytes = earlyParts.poll()) {
-            next.onPart(bytes);
+    public void transferTo(Receiver newReceiver) {
+        receiver = newReceiver;
+        for (byte[] bytes = bufferedParts.poll(); bytes != null; bytes = bufferedParts.poll()) {
+            newReceiver.onPart(bytes);
         }
         if (ended) {
-            next.onEnd(complete);
+            newReceiver.onEnd(complete);
         } else {
             connection.setReading(true);
         }
@@ -107,7 +110,7 @@
     @Override
     public void abandon() {
         receiver = null;
-        earlyParts.clear();
+        bufferedParts.clear();
         if (!ended) {
             ended = true;
             stallTimer.cancel();
--- a/sidecar/src/main/java/martenlatch/upstream/StrictHttpResponseDecoder.java
+++ b/sidecar/src/main/java/martenlatch/upstream/StrictHttpResponseDecoder.java
@@ -3,13 +3,17 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpResponseDecoder;
 
-/** Netty's response decoder, which is lenient with malformed header lines, made as strict as that for requests. */
+/**
+ * A response decoder that rejects malformed header lines as strictly as Netty's request decoder does. Netty's own
+ * response decoder accepts some of them.
+ */
 final class StrictHttpResponseDecoder extends HttpResponseDecoder {
 
+    /** Whether the decoder is between the status line and the end of the header section. */
     private boolean inHead;
 
-    /** Whether bytes have arrived that are not decoded yet. */
-    boolean holdsBytes() {
+    /** Returns whether bytes have arrived that are not decoded yet. */
+    boolean hasUndecodedBytes() {
         return actualReadableBytes() > 0;
     }
 
@@ -19,13 +23,16 @@
         return super.createMessage(initialLine);
     }
 
-    /** Header lines that are accepted in responses only, such as one without a colon, are rejected by this. */
+    /**
+     * Returns true for the head, so that header lines that Netty accepts in responses only, such as one without a
+     * colon, are rejected.
+     */
     @Override
     protected boolean isDecodingRequest() {
         return inHead;
     }
 
-    /** Called when the head is complete. */
+    /** Called by the decoder when the head is complete. */
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
         inHead = false;
--- a/sidecar/src/test/java/martenlatch/upstream/StreamedRequestBodyTest.java
+++ b/sidecar/src/test/java/martenlatch/upstream/StreamedRequestBodyTest.java
@@ -61,7 +61,7 @@
         assertFalse(paused);
         offer(1);
         assertTrue(paused, "32 KiB wait");
-        assertTrue(body.isFresh(), "and can still go to any endpoint");
+        assertTrue(body.isAvailableFromStart(), "and can still go to any endpoint");
         body.attach(sink);
         assertEquals(1, attachments);
         assertFalse(paused);
@@ -75,7 +75,7 @@
         body.complete();
         assertEquals(made, taken, "all of it, in order");
         assertEquals(1, ends);
-        assertFalse(body.isFresh());
+        assertFalse(body.isAvailableFromStart());
     }
 
     @Test
@@ -100,7 +100,7 @@
         assertFalse(paused, "the rest is read, to be dropped");
         offer(5);
         assertEquals(0, held());
-        assertFalse(body.isFresh());
+        assertFalse(body.isAvailableFromStart());
     }
 
     @Test
@@ -109,7 +109,7 @@
         body.abort();
         offer(1);
         assertEquals(0, held());
-        assertFalse(body.isFresh(), "no endpoint gets half of it");
+        assertFalse(body.isAvailableFromStart(), "no endpoint gets half of it");
         assertEquals(0, ends);
     }
 
