--- a/sidecar/src/test/java/martenlatch/upstream/EndpointAddressesTest.java
+++ b/sidecar/src/test/java/martenlatch/upstream/EndpointAddressesTest.java
@@ -20,44 +20,46 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Who has an address, over lists that move endpoints about, beside a model that looks at all of them. */
+/** Compares the owners of addresses with a linear-search model over random lists that move endpoints. */
 class EndpointAddressesTest {
 
     private static final int SEQUENCES = 1000;
-    private static final int LISTS = 40;
+    private static final int LISTS_PER_SEQUENCE = 40;
     private static final List<EndpointStatus> STATUSES = List.of(EndpointStatus.values());
 
-    /** What the pool must agree with: an endpoint's start and address, none where another has taken it. */
+    /** The expected start time and address of each endpoint. The address is null once another endpoint owns it. */
     private static final class Model {
-        private record Place(double startedMs, InetSocketAddress address) {}
+        private record Registration(double startedMs, InetSocketAddress address) {}
 
-        private final Map<String, Place> places = new LinkedHashMap<>();
+        private final Map<String, Registration> registrations = new LinkedHashMap<>();
 
         void update(EndpointList list) {
             if (list.full()) {
-                places.keySet()
+                registrations
+                        .keySet()
                         .removeIf(id -> list.entries().stream()
                                 .noneMatch(entry -> entry.endpoint().id().equals(id)));
             }
             for (EndpointList.Entry entry : list.entries()) {
                 String id = entry.endpoint().id();
                 if (entry.endpoint().status() == EndpointStatus.GONE) {
-                    places.remove(id);
+                    registrations.remove(id);
                 } else {
-                    places.put(id, new Place(entry.endpoint().startedMs(), entry.address()));
-                    settle(id);
+                    registrations.put(id, new Registration(entry.endpoint().startedMs(), entry.address()));
+                    resolveAddressConflict(id);
                 }
             }
         }
 
-        private void settle(String id) {
-            Place told = places.get(id);
-            for (Map.Entry<String, Place> other : places.entrySet()) {
+        private void resolveAddressConflict(String id) {
+            Registration updated = registrations.get(id);
+            for (Map.Entry<String, Registration> other : registrations.entrySet()) {
                 if (!other.getKey().equals(id)
-                        && told.address().equals(other.getValue().address())) {
-                    boolean older = told.startedMs() < other.getValue().startedMs();
-                    places.computeIfPresent(
-                            older ? id : other.getKey(), (k, place) -> new Place(place.startedMs(), null));
+                        && updated.address().equals(other.getValue().address())) {
+                    boolean isOlder = updated.startedMs() < other.getValue().startedMs();
+                    registrations.computeIfPresent(
+                            isOlder ? id : other.getKey(),
+                            (k, registration) -> new Registration(registration.startedMs(), null));
                     return;
                 }
             }
@@ -71,8 +73,8 @@
         loop.shutdownGracefully();
     }
 
-    private EndpointPool pool() {
-        Scheduler still = new Scheduler() {
+    private EndpointPool createPool() {
+        Scheduler fixedTimeScheduler = new Scheduler() {
             @Override
             public double now() {
                 return 0;
@@ -85,28 +87,28 @@
         };
         return new EndpointPool(
                 loop,
-                still,
-                new RateLimitedLogger(still, new PrintStream(OutputStream.nullOutputStream())),
+                fixedTimeScheduler,
+                new RateLimitedLogger(fixedTimeScheduler, new PrintStream(OutputStream.nullOutputStream())),
                 100,
                 1000,
                 10);
     }
 
-    private static EndpointList.Entry entry(int id, int port, double startedMs, EndpointStatus state) {
+    private static EndpointList.Entry entry(int id, int port, double startedMs, EndpointStatus status) {
         return new EndpointList.Entry(
-                new Endpoint("s" + id, 0, 0, 0, startedMs, state, 1),
-                state == EndpointStatus.GONE ? null : InetSocketAddress.createUnresolved("e", port));
+                new Endpoint("s" + id, 0, 0, 0, startedMs, status, 1),
+                status == EndpointStatus.GONE ? null : InetSocketAddress.createUnresolved("e", port));
     }
 
     @Test
-    void oneEndpointHasAnAddress() {
+    void addressBelongsToAtMostOneEndpoint() {
         for (int seed = 0; seed < SEQUENCES; seed++) {
             Random random = new Random(seed);
-            EndpointPool pool = pool();
+            EndpointPool pool = createPool();
             Model model = new Model();
-            for (int i = 0; i < LISTS; i++) {
+            for (int i = 0; i < LISTS_PER_SEQUENCE; i++) {
                 List<EndpointList.Entry> entries = new ArrayList<>();
-                for (int left = random.nextInt(4); left >= 0; left--) {
+                for (int remaining = random.nextInt(4); remaining >= 0; remaining--) {
                     entries.add(entry(
                             random.nextInt(6),
                             1 + random.nextInt(4),
@@ -117,21 +119,21 @@
                 pool.update(list);
                 model.update(list);
                 for (int id = 0; id < 6; id++) {
-                    Model.Place place = model.places.get("s" + id);
+                    Model.Registration registration = model.registrations.get("s" + id);
                     assertEquals(
-                            place != null && place.address() != null,
+                            registration != null && registration.address() != null,
                             pool.hasAddress("s" + id),
                             "s" + id + " after list " + i + " of seed " + seed);
                 }
-                assertEquals(model.places.size(), pool.size());
+                assertEquals(model.registrations.size(), pool.size());
                 assertEquals(
-                        model.places.values().stream()
-                                .filter(place -> place.address() != null)
+                        model.registrations.values().stream()
+                                .filter(registration -> registration.address() != null)
                                 .count(),
                         pool.addressCount(),
                         "after list " + i + " of seed " + seed);
             }
-            pool.update(new EndpointList(LISTS, true, List.of()));
+            pool.update(new EndpointList(LISTS_PER_SEQUENCE, true, List.of()));
             assertEquals(0, pool.size() + pool.addressCount());
         }
     }
--- a/sidecar/src/test/java/martenlatch/upstream/IdleConnectionsTest.java
+++ b/sidecar/src/test/java/martenlatch/upstream/IdleConnectionsTest.java
@@ -34,20 +34,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Real connections to an endpoint that the test plays, on a clock that it moves: when one is used again. */
+/** Tests when connections are reused: real sockets to an endpoint that the test plays, on a manual clock. */
 @Timeout(60)
 class IdleConnectionsTest {
 
     private static final double IDLE_CLOSE_MS = 1000;
-    private static final long PATIENCE_S = 20;
-    /** More than the system takes at once from who writes to somebody who does not read. */
-    private static final int LARGE = 8 * 1024 * 1024;
+    private static final long TIMEOUT_S = 20;
+    /** The size of a body that exceeds the socket buffers, so that it is not written completely if nobody reads it. */
+    private static final int LARGE_BODY_BYTES = 8 * 1024 * 1024;
 
-    /** What the pool asks about an attempt before it writes it. */
-    private final class FixedConditions implements Transport.WriteConditions {
+    /** The conditions that the pool checks before it writes an attempt, controlled by the test. */
+    private final class TestConditions implements Transport.WriteConditions {
         @Override
         public double remainingMs() {
-            return waitUntil - clock.sum();
+            return responseDeadlineMs - clockMs.sum();
         }
 
         @Override
@@ -56,30 +56,30 @@
         }
     }
 
-    private record End(AttemptOutcome outcome, EndpointResponse answer) {}
+    private record AttemptEnd(AttemptOutcome outcome, EndpointResponse response) {}
 
     private final EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private static final double START_MS = 1_000_000;
 
-    /** The time, which the tests advance from their own thread. */
-    private final DoubleAdder clock = new DoubleAdder();
+    /** The current time in milliseconds, which the tests advance from their own thread. */
+    private final DoubleAdder clockMs = new DoubleAdder();
 
-    private volatile double waitUntil = START_MS + 5000;
+    private volatile double responseDeadlineMs = START_MS + 5000;
     private volatile boolean clientConnected = true;
-    private final Transport.WriteConditions conditions = new FixedConditions();
-    private final ServerSocket endpoint;
-    private final LinkedBlockingQueue<End> ends = new LinkedBlockingQueue<>();
+    private final Transport.WriteConditions conditions = new TestConditions();
+    private final ServerSocket endpointListener;
+    private final LinkedBlockingQueue<AttemptEnd> ends = new LinkedBlockingQueue<>();
     private EndpointPool pool;
 
     IdleConnectionsTest() throws Exception {
-        clock.add(START_MS);
-        endpoint = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        endpoint.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
-        // Timers never fire: what a loop that is held up would have done is not done.
-        Scheduler time = new Scheduler() {
+        clockMs.add(START_MS);
+        endpointListener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+        endpointListener.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
+        // Timers never fire, as on an event loop that is blocked.
+        Scheduler scheduler = new Scheduler() {
             @Override
             public double now() {
-                return clock.sum();
+                return clockMs.sum();
             }
 
             @Override
@@ -90,8 +90,8 @@
         loop.submit(() -> {
                     pool = new EndpointPool(
                             loop,
-                            time,
-                            new RateLimitedLogger(time, new PrintStream(OutputStream.nullOutputStream())),
+                            scheduler,
+                            new RateLimitedLogger(scheduler, new PrintStream(OutputStream.nullOutputStream())),
                             5000,
                             IDLE_CLOSE_MS,
                             100);
@@ -101,157 +101,162 @@
                             true,
                             List.of(new EndpointList.Entry(
                                     server,
-                                    new InetSocketAddress(endpoint.getInetAddress(), endpoint.getLocalPort())))));
+                                    new InetSocketAddress(
+                                            endpointListener.getInetAddress(), endpointListener.getLocalPort())))));
                 })
                 .get();
     }
 
     @AfterEach
     void close() throws Exception {
-        endpoint.close();
+        endpointListener.close();
         loop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
     private void send() {
-        attempt(0, Double.POSITIVE_INFINITY);
+        sendAttempt(0, Double.POSITIVE_INFINITY);
     }
 
-    private Transport.Attempt attempt(int bodySize, double notAfter) {
+    private Transport.Attempt sendAttempt(int bodyBytes, double notAfterMs) {
         return pool.transportFor(new OutgoingRequest(
-                        bodySize == 0 ? HttpMethod.GET : HttpMethod.POST,
+                        bodyBytes == 0 ? HttpMethod.GET : HttpMethod.POST,
                         "/api",
                         new DefaultHttpHeaders(),
-                        new byte[bodySize],
+                        new byte[bodyBytes],
                         null))
-                .send("s0", conditions, notAfter, (outcome, answer) -> ends.add(new End(outcome, answer)));
+                .send("s0", conditions, notAfterMs, (outcome, response) -> ends.add(new AttemptEnd(outcome, response)));
     }
 
-    private static void read(Socket socket) throws IOException {
+    private static void readRequest(Socket socket) throws IOException {
         int newlines = 0;
         while (newlines < 2) {
             int next = socket.getInputStream().read();
-            assertTrue(next >= 0, "a request was to come");
+            assertTrue(next >= 0, "the connection ended before a request arrived");
             newlines = next == '\n' ? newlines + 1 : next == '\r' ? newlines : 0;
         }
     }
 
-    private static void answer(Socket socket, String body) throws IOException {
+    private static void sendResponse(Socket socket, String body) throws IOException {
         socket.getOutputStream()
                 .write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                         .getBytes(StandardCharsets.US_ASCII));
     }
 
     private void assertServed(String body) throws InterruptedException {
-        End end = ends.poll(PATIENCE_S, TimeUnit.SECONDS);
+        AttemptEnd end = ends.poll(TIMEOUT_S, TimeUnit.SECONDS);
         assertEquals(AttemptOutcome.OK, end.outcome());
-        assertEquals(body, new String(end.answer().body(), StandardCharsets.US_ASCII));
+        assertEquals(body, new String(end.response().body(), StandardCharsets.US_ASCII));
     }
 
-    /** One request is served, and its connection stands idle. */
-    private Socket idle() throws Exception {
+    /** Serves one request and returns the endpoint's side of its connection, which is idle afterwards. */
+    private Socket openIdleConnection() throws Exception {
         loop.submit(this::send).get();
-        Socket first = endpoint.accept();
-        first.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
-        read(first);
-        answer(first, "one");
+        Socket first = endpointListener.accept();
+        first.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
+        readRequest(first);
+        sendResponse(first, "one");
         assertServed("one");
         return first;
     }
 
     @Test
-    void aConnectionIsUsedAgain() throws Exception {
-        try (Socket first = idle()) {
-            clock.add(11);
+    void idleConnectionIsReused() throws Exception {
+        try (Socket first = openIdleConnection()) {
+            clockMs.add(11);
             loop.submit(this::send).get();
-            read(first);
-            answer(first, "two");
+            readRequest(first);
+            sendResponse(first, "two");
             assertServed("two");
         }
     }
 
-    /** Guards against a second answer, 9 ms after the first, that the next request is served with. */
+    /** Guards against a second response, 9 ms after the first, that is taken for the response to the next request. */
     @Test
-    void aSecondAnswerSomeMillisecondsLaterIsNobodys() throws Exception {
-        try (Socket first = idle()) {
-            clock.add(9);
+    void duplicateResponseIsNotTakenForNextResponse() throws Exception {
+        try (Socket first = openIdleConnection()) {
+            clockMs.add(9);
             loop.submit(this::send).get();
-            answer(first, "one again");
-            try (Socket second = endpoint.accept()) {
-                read(second);
-                answer(second, "two");
+            sendResponse(first, "one again");
+            try (Socket second = endpointListener.accept()) {
+                readRequest(second);
+                sendResponse(second, "two");
                 assertServed("two");
-                assertEquals(-1, first.getInputStream().read(), "and its connection is closed");
+                assertEquals(-1, first.getInputStream().read(), "the connection is closed");
             }
         }
     }
 
-    /** Guards against the same just before the next request, where the loop has not read it yet. */
+    /** Guards against the same fault if the bytes arrive just before the next request and are not read yet. */
     @Test
-    void bytesThatCameJustBeforeTheNextRequestAreSeen() throws Exception {
-        try (Socket first = idle()) {
-            clock.add(500);
+    void unreadBytesPreventReuse() throws Exception {
+        try (Socket first = openIdleConnection()) {
+            clockMs.add(500);
             loop.submit(() -> {
-                        answer(first, "one again");
+                        sendResponse(first, "one again");
                         send();
                         return null;
                     })
                     .get();
-            try (Socket second = endpoint.accept()) {
-                read(second);
-                answer(second, "two");
+            try (Socket second = endpointListener.accept()) {
+                readRequest(second);
+                sendResponse(second, "two");
                 assertServed("two");
             }
         }
     }
 
-    /** Guards against a request on a connection that the endpoint closes between the choice and the write. */
+    /** Guards against sending a request on a connection that the endpoint closed before the event loop noticed. */
     @Test
-    void anEndThatTheLoopHasNotReadYetIsSeen() throws Exception {
-        Socket first = idle();
-        clock.add(500);
+    void unreadEndOfStreamPreventsReuse() throws Exception {
+        Socket first = openIdleConnection();
+        clockMs.add(500);
         loop.submit(() -> {
                     first.close();
                     send();
                     return null;
                 })
                 .get();
-        try (Socket second = endpoint.accept()) {
-            read(second);
-            answer(second, "two");
+        try (Socket second = endpointListener.accept()) {
+            readRequest(second);
+            sendResponse(second, "two");
             assertServed("two");
         }
     }
 
-    /** Guards against a loop that was held up past the time from which the endpoint may close. */
+    /** Guards against reusing a connection that the endpoint may close, after a blocked event loop missed the sweep. */
     @Test
-    void aLoopThatWasHeldUpDoesNotUseWhatMayBeClosed() throws Exception {
-        try (Socket first = idle()) {
-            clock.add(IDLE_CLOSE_MS - 300);
+    void blockedEventLoopDoesNotReuseExpiredConnection() throws Exception {
+        try (Socket first = openIdleConnection()) {
+            clockMs.add(IDLE_CLOSE_MS - 300);
             loop.submit(this::send).get();
-            try (Socket second = endpoint.accept()) {
-                read(second);
-                answer(second, "two");
+            try (Socket second = endpointListener.accept()) {
+                readRequest(second);
+                sendResponse(second, "two");
                 assertServed("two");
-                assertEquals(-1, first.getInputStream().read(), "it was closed with nothing on it");
+                assertEquals(-1, first.getInputStream().read(), "the expired connection was closed unused");
             }
         }
     }
 
-    /** What the kernel took whole may have run, whatever the peer did; what it did not take has not. */
+    /**
+     * A request that the kernel accepted completely may have been executed, whatever the endpoint did. A request that
+     * it did not accept completely was not executed.
+     */
     @Test
-    void onlyWhatWasNotWrittenWholeIsKnownNotToHaveRun() throws Exception {
+    void resetOutcomeDependsOnWhetherRequestWasWritten() throws Exception {
         loop.submit(this::send).get();
-        try (Socket first = endpoint.accept()) {
-            // Nothing of it is read: the reset comes from unread bytes.
+        try (Socket first = endpointListener.accept()) {
+            // The endpoint does not read the request; closing a socket with unread bytes resets it.
             while (first.getInputStream().available() == 0) {
                 Thread.onSpinWait();
             }
             first.setSoLinger(true, 0);
         }
         assertEquals(
-                AttemptOutcome.RESET, ends.poll(PATIENCE_S, TimeUnit.SECONDS).outcome());
-        loop.submit(() -> attempt(LARGE, Double.POSITIVE_INFINITY)).get();
-        try (Socket second = endpoint.accept()) {
+                AttemptOutcome.RESET, ends.poll(TIMEOUT_S, TimeUnit.SECONDS).outcome());
+        loop.submit(() -> sendAttempt(LARGE_BODY_BYTES, Double.POSITIVE_INFINITY))
+                .get();
+        try (Socket second = endpointListener.accept()) {
             while (second.getInputStream().available() == 0) {
                 Thread.onSpinWait();
             }
@@ -259,64 +264,64 @@
         }
         assertEquals(
                 AttemptOutcome.CONNECT_ERROR,
-                ends.poll(PATIENCE_S, TimeUnit.SECONDS).outcome());
+                ends.poll(TIMEOUT_S, TimeUnit.SECONDS).outcome());
     }
 
     /**
-     * Guards against a connection that comes up after the time until which its attempt might be sent, where
-     * the loop hears of that before its timer.
+     * Guards against sending an attempt whose connection is established after its not-after time, if the event loop
+     * processes the connect before the timer.
      */
     @Test
-    void whatHadItsTimeWhileItsConnectionCameUpIsNotSent() throws Exception {
+    void attemptIsNotSentAfterItsNotAfterTime() throws Exception {
         loop.submit(() -> {
-                    attempt(0, clock.sum() + 100);
-                    clock.add(101);
+                    sendAttempt(0, clockMs.sum() + 100);
+                    clockMs.add(101);
                 })
                 .get();
         assertEquals(
                 AttemptOutcome.NOT_EXECUTED,
-                ends.poll(PATIENCE_S, TimeUnit.SECONDS).outcome());
-        try (Socket first = endpoint.accept()) {
-            assertEquals(-1, first.getInputStream().read(), "nothing was sent on it");
+                ends.poll(TIMEOUT_S, TimeUnit.SECONDS).outcome());
+        try (Socket first = endpointListener.accept()) {
+            assertEquals(-1, first.getInputStream().read(), "nothing was sent on the connection");
         }
         loop.submit(() -> {
-                    attempt(0, clock.sum() + 100);
-                    clock.add(100);
+                    sendAttempt(0, clockMs.sum() + 100);
+                    clockMs.add(100);
                 })
                 .get();
-        try (Socket second = endpoint.accept()) {
-            read(second);
-            answer(second, "in time");
+        try (Socket second = endpointListener.accept()) {
+            readRequest(second);
+            sendResponse(second, "in time");
             assertServed("in time");
         }
-        assertTrue(ends.isEmpty(), "each has one end");
+        assertTrue(ends.isEmpty(), "each attempt ends once");
     }
 
-    /** Guards against a time told to the endpoint that was right only before its connection was established. */
+    /** Guards against a deadline header that includes the time that it took to establish the connection. */
     @Test
-    void theDeadlineToldIsWhatIsLeftOnceTheConnectionIsEstablished() throws Exception {
+    void deadlineHeaderExcludesConnectTime() throws Exception {
         loop.submit(() -> {
                     send();
-                    clock.add(400);
+                    clockMs.add(400);
                 })
                 .get();
-        try (Socket first = endpoint.accept()) {
-            assertEquals("4600", deadlineTold(first));
-            answer(first, "one");
+        try (Socket first = endpointListener.accept()) {
+            assertEquals("4600", readDeadlineHeader(first));
+            sendResponse(first, "one");
             assertServed("one");
-            clock.add(100);
+            clockMs.add(100);
             loop.submit(this::send).get();
-            assertEquals("4500", deadlineTold(first));
-            answer(first, "two");
+            assertEquals("4500", readDeadlineHeader(first));
+            sendResponse(first, "two");
             assertServed("two");
         }
     }
 
-    private static String deadlineTold(Socket socket) throws IOException {
+    private static String readDeadlineHeader(Socket socket) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int next = socket.getInputStream().read();
-            assertTrue(next >= 0, "a request was to come");
+            assertTrue(next >= 0, "the connection ended before a request arrived");
             head.append((char) next);
         }
         return head.toString()
@@ -327,57 +332,57 @@
                 .orElseThrow();
     }
 
-    /** Guards against a request written to a connection that is established when its client has just left. */
+    /** Guards against writing a request whose client disconnected just before the connection was established. */
     @Test
-    void nothingIsWrittenForAClientThatLeftWhileTheConnectionWasEstablished() throws Exception {
+    void requestIsNotWrittenIfClientDisconnectsDuringConnect() throws Exception {
         loop.submit(() -> {
                     send();
                     clientConnected = false;
                 })
                 .get();
-        try (Socket first = endpoint.accept()) {
-            assertEquals(-1, first.getInputStream().read(), "nothing was sent on it");
+        try (Socket first = endpointListener.accept()) {
+            assertEquals(-1, first.getInputStream().read(), "nothing was sent on the connection");
         }
     }
 
-    /** What an endpoint has half of has not run, and never will where the rest is withdrawn in time. */
+    /** An incomplete request is not executed, and never will be if it is withdrawn before its last byte is written. */
     @Test
-    void whatIsHalfWrittenCanBeWithdrawn() throws Exception {
-        Transport.Attempt half =
-                loop.submit(() -> attempt(LARGE, Double.POSITIVE_INFINITY)).get();
-        try (Socket first = endpoint.accept()) {
+    void partlyWrittenAttemptCanBeWithdrawn() throws Exception {
+        Transport.Attempt partlyWritten = loop.submit(() -> sendAttempt(LARGE_BODY_BYTES, Double.POSITIVE_INFINITY))
+                .get();
+        try (Socket first = endpointListener.accept()) {
             while (first.getInputStream().available() == 0) {
                 Thread.onSpinWait();
             }
-            assertTrue(loop.submit(half::withdraw).get());
-            assertTrue(first.getInputStream().readAllBytes().length < LARGE);
+            assertTrue(loop.submit(partlyWritten::withdraw).get());
+            assertTrue(first.getInputStream().readAllBytes().length < LARGE_BODY_BYTES);
         }
-        Transport.Attempt whole =
-                loop.submit(() -> attempt(0, Double.POSITIVE_INFINITY)).get();
-        try (Socket second = endpoint.accept()) {
-            read(second);
-            assertFalse(loop.submit(whole::withdraw).get(), "this one may have run");
-            answer(second, "two");
+        Transport.Attempt fullyWritten =
+                loop.submit(() -> sendAttempt(0, Double.POSITIVE_INFINITY)).get();
+        try (Socket second = endpointListener.accept()) {
+            readRequest(second);
+            assertFalse(loop.submit(fullyWritten::withdraw).get(), "a complete request may have been executed");
+            sendResponse(second, "two");
             assertServed("two");
         }
     }
 
-    /** An attempt that was given up while its connection came up leaves nothing behind. */
+    /** An attempt that is given up while its connection is being established leaves no connection open. */
     @Test
-    void aConnectionThatComesUpForNobodyIsClosed() throws Exception {
-        loop.submit(() -> attempt(0, Double.POSITIVE_INFINITY).giveUp()).get();
+    void connectionOfGivenUpAttemptIsClosed() throws Exception {
+        loop.submit(() -> sendAttempt(0, Double.POSITIVE_INFINITY).giveUp()).get();
         loop.submit(this::send).get();
-        // The first that comes through asks: on the one that was given up nothing is ever sent.
+        // The connection of the attempt that was given up may be accepted first, but nothing is sent on it.
         for (int i = 0; i < 2; i++) {
-            try (Socket socket = endpoint.accept()) {
+            try (Socket socket = endpointListener.accept()) {
                 if (socket.getInputStream().read() >= 0) {
-                    read(socket);
-                    answer(socket, "two");
+                    readRequest(socket);
+                    sendResponse(socket, "two");
                     break;
                 }
             }
         }
         assertServed("two");
-        assertTrue(ends.isEmpty(), "it is told nothing");
+        assertTrue(ends.isEmpty(), "the attempt that was given up is not notified");
     }
 }
--- a/sidecar/src/test/java/martenlatch/upstream/StreamedRequestBodyTest.java
+++ b/sidecar/src/test/java/martenlatch/upstream/StreamedRequestBodyTest.java
@@ -10,20 +10,20 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A body between a client and an endpoint: what is held, who waits, and what is let go. */
+/** Tests the flow control of a streamed request body, and that its parts are released. */
 class StreamedRequestBodyTest {
 
-    private static final int PART = 8 * 1024;
+    private static final int PART_BYTES = 8 * 1024;
 
     private boolean paused;
     private int attachments;
     private int ends;
-    private final List<ByteBuf> made = new ArrayList<>();
-    private final List<ByteBuf> taken = new ArrayList<>();
+    private final List<ByteBuf> offeredParts = new ArrayList<>();
+    private final List<ByteBuf> receivedParts = new ArrayList<>();
     private final StreamedRequestBody body = new StreamedRequestBody(-1, new StreamedRequestBody.Source() {
         @Override
-        public void setPaused(boolean now) {
-            paused = now;
+        public void setPaused(boolean pauseRequested) {
+            paused = pauseRequested;
         }
 
         @Override
@@ -34,7 +34,7 @@
     private final StreamedRequestBody.Sink sink = new StreamedRequestBody.Sink() {
         @Override
         public void onPart(ByteBuf bytes) {
-            taken.add(bytes);
+            receivedParts.add(bytes);
         }
 
         @Override
@@ -45,41 +45,41 @@
 
     private void offer(int parts) {
         for (int i = 0; i < parts; i++) {
-            ByteBuf part = Unpooled.wrappedBuffer(new byte[PART]);
-            made.add(part);
+            ByteBuf part = Unpooled.wrappedBuffer(new byte[PART_BYTES]);
+            offeredParts.add(part);
             body.offer(part);
         }
     }
 
-    private long held() {
-        return made.stream().filter(part -> part.refCnt() > 0).count();
+    private long countUnreleasedParts() {
+        return offeredParts.stream().filter(part -> part.refCnt() > 0).count();
     }
 
     @Test
-    void theClientWaitsWhileTheEndpointDoes() {
+    void clientIsPausedWhileTooManyBytesArePending() {
         offer(3);
         assertFalse(paused);
         offer(1);
-        assertTrue(paused, "32 KiB wait");
-        assertTrue(body.isAvailableFromStart(), "and can still go to any endpoint");
+        assertTrue(paused, "32 KiB are pending");
+        assertTrue(body.isAvailableFromStart(), "the body can still be sent to any endpoint");
         body.attach(sink);
         assertEquals(1, attachments);
         assertFalse(paused);
-        assertEquals(4, taken.size());
+        assertEquals(4, receivedParts.size());
         body.setSinkFull(true);
         offer(4);
         assertTrue(paused);
-        assertEquals(4, taken.size());
+        assertEquals(4, receivedParts.size());
         body.setSinkFull(false);
         assertFalse(paused);
         body.complete();
-        assertEquals(made, taken, "all of it, in order");
+        assertEquals(offeredParts, receivedParts, "all parts arrive in order");
         assertEquals(1, ends);
         assertFalse(body.isAvailableFromStart());
     }
 
     @Test
-    void theEndWaitsForWhatIsBeforeIt() {
+    void endIsForwardedAfterPendingParts() {
         body.attach(sink);
         body.setSinkFull(true);
         offer(1);
@@ -89,38 +89,38 @@
         assertEquals(1, ends);
     }
 
-    /** Guards against a client held up, and memory held, for an endpoint that is gone. */
+    /** Guards against a client that stays paused, and parts that stay in memory, after the endpoint is gone. */
     @Test
-    void whatNobodyTakesIsLetGo() {
+    void partsAreReleasedAfterDetach() {
         body.attach(sink);
         body.setSinkFull(true);
         offer(5);
         assertTrue(paused);
         body.detach();
-        assertFalse(paused, "the rest is read, to be dropped");
+        assertFalse(paused, "the rest of the body is read and dropped");
         offer(5);
-        assertEquals(0, held());
+        assertEquals(0, countUnreleasedParts());
         assertFalse(body.isAvailableFromStart());
     }
 
     @Test
-    void whatIsCutIsLetGo() {
+    void partsAreReleasedAfterAbort() {
         offer(4);
         body.abort();
         offer(1);
-        assertEquals(0, held());
-        assertFalse(body.isAvailableFromStart(), "no endpoint gets half of it");
+        assertEquals(0, countUnreleasedParts());
+        assertFalse(body.isAvailableFromStart(), "no endpoint receives a partial body");
         assertEquals(0, ends);
     }
 
-    /** Behind a body that is whole comes the client's end, which nobody sees while the client waits. */
+    /** Guards against missing the disconnect of a client that stays paused after its body is complete. */
     @Test
-    void aClientWhoseBodyIsWholeIsHeard() {
+    void clientIsResumedWhenBodyIsComplete() {
         offer(5);
         assertTrue(paused);
         body.complete();
         assertFalse(paused);
         body.abort();
-        assertEquals(0, held());
+        assertEquals(0, countUnreleasedParts());
     }
 }
--- a/sidecar/src/test/java/martenlatch/upstream/StreamedResponseTest.java
+++ b/sidecar/src/test/java/martenlatch/upstream/StreamedResponseTest.java
@@ -11,54 +11,58 @@
 import martenlatch.request.Scheduler;
 import org.junit.jupiter.api.Test;
 
-/** An answer that is passed on: its parts, its pauses, its stall, on a clock that the test moves. */
+/** Tests forwarding, pausing and stall detection of a streamed response on a manual clock. */
 class StreamedResponseTest {
 
+    /** A clock that runs the tasks that become due when the test advances it. */
     private static final class Clock implements Scheduler {
-        private record Task(double at, Runnable run) {}
+        private record Task(double dueMs, Runnable action) {}
 
-        private double now;
+        private double nowMs;
         private final List<Task> tasks = new ArrayList<>();
 
         @Override
         public double now() {
-            return now;
+            return nowMs;
         }
 
         @Override
         public Timer after(double ms, Runnable task) {
-            Task made = new Task(now + Math.max(0, ms), task);
-            tasks.add(made);
-            return () -> tasks.remove(made);
+            Task scheduled = new Task(nowMs + Math.max(0, ms), task);
+            tasks.add(scheduled);
+            return () -> tasks.remove(scheduled);
         }
 
-        void pass(double ms) {
-            double until = now + ms;
-            int ran = 0;
-            for (Task next = due(until); next != null; next = due(until)) {
-                assertTrue(ran++ < 1000, "timers without end");
+        void advance(double ms) {
+            double untilMs = nowMs + ms;
+            int taskCount = 0;
+            for (Task next = nextDue(untilMs); next != null; next = nextDue(untilMs)) {
+                assertTrue(taskCount++ < 1000, "timers are scheduled endlessly");
                 tasks.remove(next);
-                now = Math.max(now, next.at());
-                next.run().run();
+                nowMs = Math.max(nowMs, next.dueMs());
+                next.action().run();
             }
-            now = until;
+            nowMs = untilMs;
         }
 
-        private Task due(double until) {
-            return tasks.stream().filter(task -> task.at() <= until).findFirst().orElse(null);
+        private Task nextDue(double untilMs) {
+            return tasks.stream()
+                    .filter(task -> task.dueMs() <= untilMs)
+                    .findFirst()
+                    .orElse(null);
         }
     }
 
     private final Clock clock = new Clock();
     private boolean reading = true;
     private boolean closed;
-    private final StringBuilder got = new StringBuilder();
+    private final StringBuilder received = new StringBuilder();
     private final StreamedResponse response = new StreamedResponse(
             -1,
             new StreamedResponse.Connection() {
                 @Override
-                public void setReading(boolean on) {
-                    reading = on;
+                public void setReading(boolean enabled) {
+                    reading = enabled;
                 }
 
                 @Override
@@ -70,59 +74,59 @@
     private final RemainingBody.Receiver receiver = new RemainingBody.Receiver() {
         @Override
         public void onPart(byte[] bytes) {
-            got.append(new String(bytes, StandardCharsets.UTF_8));
+            received.append(new String(bytes, StandardCharsets.UTF_8));
         }
 
         @Override
-        public void onEnd(boolean whole) {
-            got.append(whole ? "." : "!");
+        public void onEnd(boolean complete) {
+            received.append(complete ? "." : "!");
         }
     };
 
-    private void part(String text) {
+    private void receivePart(String text) {
         response.onPart(text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void nothingIsReadUntilSomebodyTakesIt() {
-        part("a");
+    void readingStartsWhenReceiverIsSet() {
+        receivePart("a");
         assertFalse(reading);
         response.transferTo(receiver);
         assertTrue(reading);
-        part("b");
+        receivePart("b");
         response.pause(true);
         assertFalse(reading);
         response.onEnd(true);
         response.onEnd(false);
-        assertEquals("ab.", got.toString(), "one end");
-        clock.pass(60_000);
+        assertEquals("ab.", received.toString(), "the end is reported once");
+        clock.advance(60_000);
         assertFalse(closed);
-        assertEquals(0, clock.tasks.size(), "no timer is left");
+        assertEquals(0, clock.tasks.size(), "no timer is pending");
     }
 
-    /** Guards against a stream whose one side is gone without a word: nobody would ever end it. */
+    /** Guards against a stream that never ends because the endpoint or the client is gone without notice. */
     @Test
-    void whatStallsIsCutAndWhatMovesIsNot() {
+    void stalledStreamIsClosedAndSlowStreamIsNot() {
         response.transferTo(receiver);
         for (int i = 0; i < 10; i++) {
-            clock.pass(StreamedResponse.STALL_MS - 1);
-            part("x");
+            clock.advance(StreamedResponse.STALL_MS - 1);
+            receivePart("x");
         }
-        assertFalse(closed, "slow is not stalled");
-        clock.pass(StreamedResponse.STALL_MS - 1);
+        assertFalse(closed, "a slow stream is not stalled");
+        clock.advance(StreamedResponse.STALL_MS - 1);
         assertFalse(closed);
-        clock.pass(2);
+        clock.advance(2);
         assertTrue(closed);
     }
 
     @Test
-    void whoGivesItUpHearsNoEnd() {
+    void abandonedStreamReportsNoEnd() {
         response.transferTo(receiver);
-        part("a");
+        receivePart("a");
         response.abandon();
         assertTrue(closed);
         response.onEnd(false);
-        assertEquals("a", got.toString());
+        assertEquals("a", received.toString());
         assertEquals(0, clock.tasks.size());
     }
 }
