--- a/sidecar/src/test/java/martenlatch/sidecar/BodyReadingEndpoint.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/BodyReadingEndpoint.java
@@ -9,26 +9,31 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An endpoint that reads bodies of any form, at a pace, and can break off. */
+/** An endpoint that reads request bodies of any framing at a limited pace, and can reset, stall or respond early. */
 final class BodyReadingEndpoint implements AutoCloseable {
     final AtomicInteger connections = new AtomicInteger();
-    final AtomicInteger open = new AtomicInteger();
-    volatile int breakAfter = Integer.MAX_VALUE;
-    volatile int stopAfter = Integer.MAX_VALUE;
-    volatile String early;
+    /** The number of open connections. */
+    final AtomicInteger openConnections = new AtomicInteger();
+    /** Resets the connection when more than this number of body bytes is read. */
+    volatile int resetAfterBytes = Integer.MAX_VALUE;
+    /** Stops reading when more than this number of body bytes is read. */
+    volatile int stopAfterBytes = Integer.MAX_VALUE;
+    /** The response to send before the body is read, or null. */
+    volatile String earlyResponse;
+
     private final LinkedBlockingQueue<byte[]> received;
     private final int pauseMs;
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-    private final FakeEndpoint place;
+    private final FakeEndpoint fakeEndpoint;
     private final ServerSocket listener;
     private final List<Thread> threads = new CopyOnWriteArrayList<>();
 
     BodyReadingEndpoint(LinkedBlockingQueue<byte[]> received, int pauseMs) throws IOException {
         this.received = received;
         this.pauseMs = pauseMs;
-        // Closed and opened again, its port might be another's by then.
-        place = FakeEndpoint.place();
-        listener = place.listener;
+        // Keeps the listening socket open: after a close another process might take its port.
+        fakeEndpoint = FakeEndpoint.place();
+        listener = fakeEndpoint.listener;
         start(this::accept);
     }
 
@@ -40,7 +45,7 @@
     }
 
     FakeEndpoint fakeEndpoint() {
-        return place;
+        return fakeEndpoint;
     }
 
     private void accept() {
@@ -48,7 +53,7 @@
             while (true) {
                 Socket socket = listener.accept();
                 connections.incrementAndGet();
-                open.incrementAndGet();
+                openConnections.incrementAndGet();
                 sockets.add(socket);
                 start(() -> serve(socket));
             }
@@ -59,34 +64,34 @@
     }
 
     private void serve(Socket socket) {
-        try (RawHttpClient wire = new RawHttpClient(socket)) {
+        try (RawHttpClient connection = new RawHttpClient(socket)) {
             while (true) {
-                RawHttpClient.Message head = wire.readHead();
-                if (early != null) {
-                    wire.send(early).awaitEnd();
+                RawHttpClient.Message head = connection.readHead();
+                if (earlyResponse != null) {
+                    connection.send(earlyResponse).awaitEnd();
                     return;
                 }
-                byte[] body = wire.readBody(head, so -> {
-                    if (so > breakAfter) {
-                        wire.reset();
+                byte[] body = connection.readBody(head, bytesRead -> {
+                    if (bytesRead > resetAfterBytes) {
+                        connection.reset();
                     }
-                    if (so > stopAfter) {
+                    if (bytesRead > stopAfterBytes) {
                         new CountDownLatch(1).await();
                     }
                     Thread.sleep(pauseMs);
                 });
                 received.add(body);
-                wire.send(LongBodies.OK + "Content-Length: 5\r\n\r\neaten");
+                connection.send(LongBodies.OK + "Content-Length: 5\r\n\r\neaten");
             }
         } catch (Exception e) {
-            // The connection is over, which the counter below tells.
+            // The connection has ended; the counter below is decremented.
             return;
         } finally {
-            open.decrementAndGet();
+            openConnections.decrementAndGet();
         }
     }
 
-    /** A socket that a thread still waits on is open until that thread is off it: so all are joined. */
+    /** Closes all sockets and joins all threads, because a socket stays open while a thread is blocked on it. */
     @Override
     public void close() throws IOException, InterruptedException {
         listener.close();
--- a/sidecar/src/test/java/martenlatch/sidecar/ConnectionReuseRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ConnectionReuseRaceTest.java
@@ -10,15 +10,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A response and the end of its time, or of its connection, in one turn of the event loop. */
+/** Tests responses that arrive in the same turn of the event loop as their time-out or a connection reset. */
 @Timeout(60)
 class ConnectionReuseRaceTest {
 
     private static final int DEADLINE_MS = 8000;
-    /** A disconnect has to be noticed long before this, at which the request would be over anyway. */
+    /** The limit for noticing a disconnect, well before the deadline at which the request would end anyway. */
     private static final double NOTICED_MS = DEADLINE_MS / 2.0;
 
-    private static final int SHORT_MS = 3000;
+    private static final int SHORT_DEADLINE_MS = 3000;
 
     private SidecarFixture fixture;
 
@@ -27,56 +27,56 @@
         fixture.close();
     }
 
-    /** Starts a sidecar before one place, whose connections the test accepts itself. */
-    private ServerSocket startBefore(ServerSocket place, boolean cancel) throws IOException {
-        fixture = SidecarFixture.startedBefore(place, cancel);
-        return place;
+    /** Starts a sidecar with one endpoint. The test accepts its connections itself. */
+    private ServerSocket startWithEndpoint(ServerSocket listener, boolean cancel) throws IOException {
+        fixture = SidecarFixture.startedBefore(listener, cancel);
+        return listener;
     }
 
-    /** An answer that is there when its time is over, but was not read yet, has come in time. */
+    /** A response that has arrived at the deadline but is not read yet counts as in time. */
     @Test
-    void anAnswerAndItsTimeOutAreOneAnswer() throws Exception {
-        try (ServerSocket place = startBefore(DelayedAcceptEndpoint.listenWithShortBacklog(), true);
+    void responseAtDeadlineIsForwardedOnce() throws Exception {
+        try (ServerSocket listener = startWithEndpoint(DelayedAcceptEndpoint.listenWithShortBacklog(), true);
                 RawHttpClient client = fixture.client()) {
-            client.send(fixture.request("order", SHORT_MS));
-            RawHttpClient endpoint = new RawHttpClient(place.accept());
-            endpoint.read();
-            long until = System.nanoTime() + SHORT_MS * 1_000_000L;
-            fixture.whileHeld(() -> FakeEndpoint.answer(endpoint, 200, "", "first"), () -> {
-                while (System.nanoTime() < until) {
+            client.send(fixture.request("order", SHORT_DEADLINE_MS));
+            RawHttpClient endpointConnection = new RawHttpClient(listener.accept());
+            endpointConnection.read();
+            long deadlineNanos = System.nanoTime() + SHORT_DEADLINE_MS * 1_000_000L;
+            fixture.whileHeld(() -> FakeEndpoint.answer(endpointConnection, 200, "", "first"), () -> {
+                while (System.nanoTime() < deadlineNanos) {
                     Thread.onSpinWait();
                 }
             });
             assertEquals("first", client.read().body());
             fixture.awaitPending(0, NOTICED_MS);
             SidecarFixture.settle();
-            // Nothing of the time-out is left, neither on this connection nor on the endpoint's.
+            // The time-out leaves no effect on the client's connection or on the endpoint's connection.
             client.send(fixture.request("order", DEADLINE_MS));
-            endpoint.read();
-            FakeEndpoint.answer(endpoint, 200, "", "second");
+            endpointConnection.read();
+            FakeEndpoint.answer(endpointConnection, 200, "", "second");
             assertEquals("second", client.read().body());
         }
     }
 
-    /** A whole answer is one, whatever becomes of its connection; half of one is none. */
+    /** A complete response is forwarded even if its connection is reset; an incomplete one is not. */
     @ParameterizedTest
     @ValueSource(strings = {"whole", "half"})
-    void anAnswerAndTheResetBehindIt(String what) throws Exception {
-        try (ServerSocket place = startBefore(DelayedAcceptEndpoint.listenWithShortBacklog(), true);
+    void onlyCompleteResponseSurvivesReset(String responsePart) throws Exception {
+        try (ServerSocket listener = startWithEndpoint(DelayedAcceptEndpoint.listenWithShortBacklog(), true);
                 RawHttpClient client = fixture.client()) {
             client.send(fixture.request("order", DEADLINE_MS));
-            RawHttpClient endpoint = new RawHttpClient(place.accept());
-            endpoint.read();
+            RawHttpClient endpointConnection = new RawHttpClient(listener.accept());
+            endpointConnection.read();
             fixture.whileHeld(
-                    () -> endpoint.send(
-                            "HTTP/1.1 200 x\r\nContent-Length: 5\r\n\r\n" + (what.equals("whole") ? "first" : "fir")),
-                    endpoint::reset);
-            RawHttpClient.Message answer = client.read();
-            assertEquals(what.equals("whole") ? 200 : 502, answer.status());
+                    () -> endpointConnection.send("HTTP/1.1 200 x\r\nContent-Length: 5\r\n\r\n"
+                            + (responsePart.equals("whole") ? "first" : "fir")),
+                    endpointConnection::reset);
+            RawHttpClient.Message response = client.read();
+            assertEquals(responsePart.equals("whole") ? 200 : 502, response.status());
             client.send(fixture.request("order", DEADLINE_MS));
-            try (RawHttpClient next = new RawHttpClient(place.accept())) {
-                next.read();
-                FakeEndpoint.answer(next, 200, "", "second");
+            try (RawHttpClient nextConnection = new RawHttpClient(listener.accept())) {
+                nextConnection.read();
+                FakeEndpoint.answer(nextConnection, 200, "", "second");
                 assertEquals("second", client.read().body());
             }
         }
--- a/sidecar/src/test/java/martenlatch/sidecar/DeduplicationWindowRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DeduplicationWindowRaceTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Retries whose connection is established when the deduplication window has passed. */
+/** Tests retries whose connection is established after the deduplication window has passed. */
 @Timeout(60)
 class DeduplicationWindowRaceTest {
 
     private static final int DEADLINE_MS = 8000;
-    /** A disconnect has to be noticed long before this, at which the request would be over anyway. */
+    /** The limit for noticing a disconnect, well before the deadline at which the request would end anyway. */
     private static final double NOTICED_MS = DEADLINE_MS / 2.0;
 
     private SidecarFixture fixture;
@@ -26,31 +26,33 @@
     }
 
     /**
-     * Guards against a repeat that is decided on in time and sent when the endpoints have forgotten the first
-     * attempt: its connection comes up late.
+     * Guards against a retry that is decided within the deduplication window but sent after it because its connection
+     * is established late. The endpoints have then forgotten the first attempt and would execute the request again.
      */
     @Test
-    void aKeyedRepeatIsNotSentAfterItsWindow() throws Exception {
-        try (ServerSocket place = DelayedAcceptEndpoint.listenWithShortBacklog()) {
-            fixture = SidecarFixture.withEndpointAt("127.0.0.1:" + place.getLocalPort());
+    void retryWithIdempotencyKeyIsNotSentAfterWindow() throws Exception {
+        try (ServerSocket listener = DelayedAcceptEndpoint.listenWithShortBacklog()) {
+            fixture = SidecarFixture.withEndpointAt("127.0.0.1:" + listener.getLocalPort());
             fixture.dialMs = 30_000;
             fixture.windowMs = 3000;
             fixture.start();
-            long began = System.nanoTime();
+            long startedNanos = System.nanoTime();
             RawHttpClient client = fixture.client().send(fixture.request("move", DEADLINE_MS));
-            RawHttpClient first = new RawHttpClient(place.accept());
-            first.read();
-            try (DelayedAcceptEndpoint late = new DelayedAcceptEndpoint(place)) {
-                first.reset();
-                RawHttpClient.Message answer = client.read();
-                assertEquals(503, answer.status(), "every endpoint drops it when it is sent again in time");
-                assertTrue(SidecarFixture.elapsedMs(began) >= 2500, "it was to be repeated within the window");
-                assertTrue(SidecarFixture.elapsedMs(began) < NOTICED_MS, "given up is answered at once");
-                late.startAccepting();
+            RawHttpClient firstConnection = new RawHttpClient(listener.accept());
+            firstConnection.read();
+            try (DelayedAcceptEndpoint delayedEndpoint = new DelayedAcceptEndpoint(listener)) {
+                firstConnection.reset();
+                RawHttpClient.Message response = client.read();
+                assertEquals(503, response.status(), "no endpoint executes a retry within the window");
+                assertTrue(SidecarFixture.elapsedMs(startedNanos) >= 2500, "the request is retried within the window");
+                assertTrue(
+                        SidecarFixture.elapsedMs(startedNanos) < NOTICED_MS,
+                        "a request that is given up is answered without delay");
+                delayedEndpoint.startAccepting();
                 assertEquals("late", fixture.ask("order", DEADLINE_MS).body());
                 assertEquals(
                         List.of("r1"),
-                        late.requests.stream()
+                        delayedEndpoint.requests.stream()
                                 .map(request -> request.headers().get("x-request-id"))
                                 .toList());
             }
--- a/sidecar/src/test/java/martenlatch/sidecar/DelayedAcceptEndpoint.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DelayedAcceptEndpoint.java
@@ -12,40 +12,42 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * An endpoint to which connections don't come up until it is let: its queue is full before, so that the
- * system drops what knocks, and whoever knocks does so again a second later.
+ * An endpoint that establishes no connections until {@link #startAccepting}. Its accept queue is full until then, so
+ * the operating system drops connection attempts and the client's system repeats them a second later.
  */
 final class DelayedAcceptEndpoint implements Closeable {
 
-    private static final int KNOCK_MS = 300;
+    private static final int CONNECT_TIMEOUT_MS = 300;
 
     final List<RawHttpClient.Message> requests = new CopyOnWriteArrayList<>();
     private final ServerSocket listener;
-    private final List<Socket> inQueue = new ArrayList<>();
+    private final List<Socket> queuedSockets = new ArrayList<>();
 
     DelayedAcceptEndpoint() throws IOException {
         this(listenWithShortBacklog());
     }
 
-    /** One at a place that has taken connections before. */
-    DelayedAcceptEndpoint(ServerSocket place) throws IOException {
-        listener = place;
+    /** Creates an endpoint on a socket that may have accepted connections before. */
+    DelayedAcceptEndpoint(ServerSocket listeningSocket) throws IOException {
+        listener = listeningSocket;
         boolean connected = true;
         while (connected) {
-            connected = knock();
+            connected = fillQueueSlot();
         }
     }
 
-    /** A place whose queue is short. */
+    /** Opens a listening socket with a backlog of one connection. */
     static ServerSocket listenWithShortBacklog() throws IOException {
         return new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
     }
 
-    private boolean knock() throws IOException {
+    /** Adds a connection to the accept queue. Returns false if the queue is full. */
+    private boolean fillQueueSlot() throws IOException {
         Socket socket = new Socket();
         try {
-            socket.connect(new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort()), KNOCK_MS);
-            inQueue.add(socket);
+            socket.connect(
+                    new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort()), CONNECT_TIMEOUT_MS);
+            queuedSockets.add(socket);
             return true;
         } catch (SocketTimeoutException e) {
             socket.close();
@@ -57,9 +59,9 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** From now on it takes connections, and serves. */
+    /** Empties the accept queue, and accepts and serves connections from now on. */
     void startAccepting() throws IOException {
-        for (Socket socket : inQueue) {
+        for (Socket socket : queuedSockets) {
             socket.close();
         }
         start(() -> {
@@ -71,26 +73,26 @@
     }
 
     private void serve(Socket socket) throws IOException {
-        try (RawHttpClient wire = new RawHttpClient(socket)) {
+        try (RawHttpClient connection = new RawHttpClient(socket)) {
             while (true) {
-                RawHttpClient.Message request = wire.read();
+                RawHttpClient.Message request = connection.read();
                 requests.add(request);
-                FakeEndpoint.answer(wire, 200, "", "late");
+                FakeEndpoint.answer(connection, 200, "", "late");
             }
         }
     }
 
-    private interface Work {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void start(Work work) {
+    private static void start(IoTask task) {
         Thread thread = new Thread(
                 () -> {
                     try {
-                        work.run();
+                        task.run();
                     } catch (IOException e) {
-                        // The other side has left, or the test is over.
+                        // The peer has disconnected, or the test is over.
                         return;
                     }
                 },
@@ -102,7 +104,7 @@
     @Override
     public void close() throws IOException {
         listener.close();
-        for (Socket socket : inQueue) {
+        for (Socket socket : queuedSockets) {
             socket.close();
         }
     }
--- a/sidecar/src/test/java/martenlatch/sidecar/SpoiltAnswerTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/InvalidResponseTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Endpoints that answer badly: no client is served with anything but the answer made for its request. */
+/** Tests invalid and surplus endpoint responses: a client receives only the response to its own request. */
 @Timeout(60)
-class SpoiltAnswerTest {
+class InvalidResponseTest {
 
     private static final int DEADLINE_MS = 8000;
     private static final String OK = "HTTP/1.1 200 OK\r\n";
@@ -29,7 +29,7 @@
         fixture.start();
     }
 
-    /** The request has run, so one that may not run twice fails, at once, and the connection goes. */
+    /** The request may have been executed, so a non-repeatable one fails without delay and the connection is closed. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -51,34 +51,34 @@
                 OK + "lonely\r\nContent-Length: 5\r\n\r\nhello",
                 "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"
             })
-    void aSpoiltAnswerIsAFailedAttemptAtOnce(String answer) throws Exception {
-        start((wire, request) -> wire.send(answer).awaitEnd());
-        long began = System.nanoTime();
+    void invalidResponseFailsWithoutDelay(String response) throws Exception {
+        start((connection, request) -> connection.send(response).awaitEnd());
+        long startedNanos = System.nanoTime();
         assertEquals(502, fixture.ask("order", DEADLINE_MS).status());
-        assertTrue((System.nanoTime() - began) / 1e6 < DEADLINE_MS / 2.0, "at once");
+        assertTrue((System.nanoTime() - startedNanos) / 1e6 < DEADLINE_MS / 2.0, "the request fails without delay");
         SidecarFixture.await(
                 "the connection is closed", () -> fixture.endpoints.get(0).open.get() == 0);
         assertEquals(1, fixture.attempts());
     }
 
-    /** Guards against an endpoint's 429 that becomes our word that an unsafe request has not run. */
+    /** Guards against an endpoint's 429 that tells the client that an unsafe request was not executed. */
     @Test
-    void anEndpointsTooManyIsNoRefusalOfOurs() throws Exception {
-        start((wire, request) -> FakeEndpoint.answer(wire, 429, "Retry-After: 1\r\n", "busy"));
+    void endpoint429IsNotForwardedAsRejection() throws Exception {
+        start((connection, request) -> FakeEndpoint.answer(connection, 429, "Retry-After: 1\r\n", "busy"));
         assertEquals(502, fixture.ask("order", DEADLINE_MS).status());
         assertEquals(1, fixture.attempts());
-        // One that is safe to repeat is refused, as after every failure.
+        // A repeatable request is rejected with a 503, as after every failure.
         assertEquals(503, fixture.ask("read", DEADLINE_MS).status());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {OK + "%sX-Pad: pppppppppppppppppppp\r\n", "%sHTTP/1.1 103 Early Hints\r\n\r\n"})
-    void anAnswerWithoutEndIsCutShort(String pattern) throws Exception {
+    void endlessResponseHeadIsRejected(String pattern) throws Exception {
         String[] parts = pattern.split("%s", 0);
-        start((wire, request) -> {
-            wire.send(parts[0]);
+        start((connection, request) -> {
+            connection.send(parts[0]);
             while (true) {
-                wire.send(parts[1]);
+                connection.send(parts[1]);
             }
         });
         assertEquals(502, fixture.ask("order", DEADLINE_MS).status());
@@ -94,8 +94,8 @@
                 OK + "X-Load: {\"\r\n",
                 "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + OK
             })
-    void aGoodAnswerWithMoreInItsHeadServes(String head) throws Exception {
-        start((wire, request) -> wire.send(head + "Content-Length: 5\r\n\r\nhello"));
+    void unusualButValidResponseHeadIsAccepted(String head) throws Exception {
+        start((connection, request) -> connection.send(head + "Content-Length: 5\r\n\r\nhello"));
         try (RawHttpClient client = fixture.client()) {
             for (int i = 0; i < 3; i++) {
                 assertEquals(
@@ -106,10 +106,10 @@
                 SidecarFixture.settle();
             }
         }
-        assertEquals(1, fixture.endpoints.get(0).connections.get(), "and its connection is kept");
+        assertEquals(1, fixture.endpoints.get(0).connections.get(), "the connection is kept");
     }
 
-    /** Guards against a second copy, noise or half a line that becomes the next request's answer. */
+    /** Guards against surplus bytes after a response that are taken for the response to the next request. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -119,51 +119,52 @@
                 "HTTP/1.1 100 Continue\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: 9\r\nX-"
             })
-    void whatComesBehindAnAnswerIsNeverTheNextOne(String behind) throws Exception {
-        start((wire, request) -> {
+    void surplusBytesAreNotTakenForNextResponse(String surplus) throws Exception {
+        start((connection, request) -> {
             String id = request.headers().get("x-request-id");
-            String answer = OK + "Content-Length: " + id.length() + "\r\n\r\n" + id;
-            wire.send(answer + (behind.equals("copy") ? answer : behind));
+            String response = OK + "Content-Length: " + id.length() + "\r\n\r\n" + id;
+            connection.send(response + (surplus.equals("copy") ? response : surplus));
         });
         try (RawHttpClient client = fixture.client()) {
             for (int i = 0; i < 10; i++) {
-                RawHttpClient.Message answer =
+                RawHttpClient.Message response =
                         client.send(fixture.request("order", DEADLINE_MS)).read();
-                assertEquals(200, answer.status());
-                assertEquals("r" + i, answer.body());
+                assertEquals(200, response.status());
+                assertEquals("r" + i, response.body());
                 SidecarFixture.settle();
             }
         }
-        assertEquals(10, fixture.endpoints.get(0).connections.get(), "none is used again");
+        assertEquals(10, fixture.endpoints.get(0).connections.get(), "no connection is reused");
     }
 
-    /** Guards against the same a moment later, when the connection has been put aside. */
+    /** Guards against the same fault if the surplus bytes arrive when the connection is already idle. */
     @Test
-    void anIdleConnectionOnWhichHalfALineComesIsClosed() throws Exception {
-        start((wire, request) -> {
-            FakeEndpoint.answer(wire, 200, "", request.headers().get("x-request-id"));
+    void idleConnectionIsClosedOnUnexpectedBytes() throws Exception {
+        start((connection, request) -> {
+            FakeEndpoint.answer(connection, 200, "", request.headers().get("x-request-id"));
             Thread.sleep(30);
-            wire.send("x");
+            connection.send("x");
         });
         for (int i = 0; i < 3; i++) {
             assertEquals("r" + i, fixture.ask("order", DEADLINE_MS).body());
             SidecarFixture.await(
-                    "it is closed", () -> fixture.endpoints.get(0).open.get() == 0);
+                    "the connection is closed",
+                    () -> fixture.endpoints.get(0).open.get() == 0);
         }
     }
 
-    /** Guards against endpoints put out of use by what clients sent: the request alone is at fault. */
+    /** Guards against ejecting an endpoint for rejecting invalid requests, which are the clients' fault. */
     @Test
-    void aRequestThatAnEndpointTurnsAwaySaysNothingOfIt() throws Exception {
-        start((wire, request) ->
-                FakeEndpoint.answer(wire, "bad".equals(request.headers().get("x-note")) ? 400 : 200, "", "x"));
+    void rejectedRequestsDoNotEjectEndpoint() throws Exception {
+        start((connection, request) ->
+                FakeEndpoint.answer(connection, "bad".equals(request.headers().get("x-note")) ? 400 : 200, "", "x"));
         for (int i = 0; i < 20; i++) {
             try (RawHttpClient client = fixture.client()) {
-                String bad = fixture.request("order", DEADLINE_MS).replace("Host:", "X-Note: bad\r\nHost:");
-                assertEquals(400, client.send(bad).read().status());
+                String badRequest = fixture.request("order", DEADLINE_MS).replace("Host:", "X-Note: bad\r\nHost:");
+                assertEquals(400, client.send(badRequest).read().status());
             }
         }
         assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
-        assertEquals(21, fixture.attempts(), "each was sent once");
+        assertEquals(21, fixture.attempts(), "each request is sent once");
     }
 }
--- a/sidecar/src/test/java/martenlatch/sidecar/LongBodies.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LongBodies.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Random;
 
-/** Makes, writes and reads bodies that are long, or come in pieces. */
+/** Creates, writes and reads long and chunked bodies. */
 final class LongBodies {
 
     static final int MB = 1024 * 1024;
@@ -16,36 +16,38 @@
 
     private LongBodies() {}
 
+    /** Returns pseudo-random bytes. */
     static byte[] bytes(int seed, int size) {
-        byte[] made = new byte[size];
-        new Random(seed).nextBytes(made);
-        return made;
+        byte[] bytes = new byte[size];
+        new Random(seed).nextBytes(bytes);
+        return bytes;
     }
 
-    /** A body in chunks of odd sizes. */
+    /** Returns the body encoded in chunks of varying sizes, with chunk extensions and a trailer. */
     static byte[] chunked(byte[] body) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        for (int at = 0; at < body.length; ) {
-            int size = Math.min(body.length - at, 1 + at % 30_011);
+        for (int offset = 0; offset < body.length; ) {
+            int size = Math.min(body.length - offset, 1 + offset % 30_011);
             out.write((Integer.toHexString(size) + ";x=y\r\n").getBytes(StandardCharsets.ISO_8859_1));
-            out.write(body, at, size);
+            out.write(body, offset, size);
             out.write("\r\n".getBytes(StandardCharsets.ISO_8859_1));
-            at += size;
+            offset += size;
         }
         out.write("0\r\nX-Trailer: t\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
         return out.toByteArray();
     }
 
-    static void write(RawHttpClient wire, String head, byte[] body) throws IOException {
-        OutputStream out = wire.socket.getOutputStream();
+    /** Writes a head, which lacks the final empty line, and a body. */
+    static void write(RawHttpClient connection, String head, byte[] body) throws IOException {
+        OutputStream out = connection.socket.getOutputStream();
         out.write((head + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
         out.write(body);
     }
 
-    /** Reads one answer whole: by its length, its chunks, or its connection's end. */
-    static byte[] body(RawHttpClient wire) throws IOException {
-        RawHttpClient.Message head = wire.readHead();
+    /** Reads the body of one response, which ends by its length, its last chunk or the end of the connection. */
+    static byte[] body(RawHttpClient connection) throws IOException {
+        RawHttpClient.Message head = connection.readHead();
         assertEquals(200, head.status());
-        return wire.readBody(head);
+        return connection.readBody(head);
     }
 }
--- a/sidecar/src/test/java/martenlatch/sidecar/LongRequestBodiesTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LongRequestBodiesTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Request bodies that are long or slow, before endpoints that are slow, stall, break off or answer early. */
+/** Tests long and slow request bodies, with endpoints that are slow, stall, reset the connection or respond early. */
 @Timeout(120)
 class LongRequestBodiesTest {
 
@@ -35,6 +35,7 @@
         fixture.close();
     }
 
+    /** Returns the start of a POST request's head, followed by {@code framing}. */
     private String post(String framing) {
         return "POST /api?q=1 HTTP/1.1\r\nX-Request-Id: p" + System.nanoTime() + "\r\nX-Class: order\r\n"
                 + "X-Deadline-Ms: " + DEADLINE_MS + "\r\nHost: app.svc\r\n" + framing;
@@ -50,7 +51,7 @@
         "chunked,8000000",
         "length,33554432"
     })
-    void aBodyOfAnySizeReachesTheEndpointAsItWas(String form, int size) throws Exception {
+    void bodyOfAnySizeReachesEndpointUnchanged(String framing, int size) throws Exception {
         byte[] sent = LongBodies.bytes(size, size);
         LinkedBlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
         try (BodyReadingEndpoint endpoint = new BodyReadingEndpoint(received, 0)) {
@@ -61,10 +62,10 @@
                     LongBodies.write(
                             client,
                             post(
-                                    form.equals("length")
+                                    framing.equals("length")
                                             ? "Content-Length: " + size + "\r\n"
                                             : "Transfer-Encoding: chunked\r\n"),
-                            form.equals("length") ? sent : LongBodies.chunked(sent));
+                            framing.equals("length") ? sent : LongBodies.chunked(sent));
                     assertEquals("eaten", client.read().body());
                     assertArrayEquals(sent, received.take());
                     SidecarFixture.settle();
@@ -75,11 +76,11 @@
     }
 
     /**
-     * Guards against a client that waits for a word to go on, and against one that sends 8 LongBodies.MB for a
-     * refusal.
+     * Guards against a client that waits for {@code 100 Continue} forever, and against one that sends a body of 8 MB
+     * only to be rejected.
      */
     @Test
-    void whoAsksFirstIsToldToGoOnOnceThereIsAnEndpoint() throws Exception {
+    void continueIsSentOnlyWhenEndpointIsReady() throws Exception {
         byte[] sent = LongBodies.bytes(5, 3 * LongBodies.MB);
         LinkedBlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
         try (BodyReadingEndpoint endpoint = new BodyReadingEndpoint(received, 0)) {
@@ -95,13 +96,13 @@
         }
         try (RawHttpClient client = fixture.client()) {
             client.send(post("Expect: 100-continue\r\nContent-Length: " + sent.length + "\r\n\r\n"));
-            assertEquals(503, client.read().status(), "the endpoint is gone: nobody need send the body");
+            assertEquals(503, client.read().status(), "the endpoint is gone, so the body is not requested");
         }
     }
 
-    /** Guards against a head that loses what it says of its own connection while its body is passed on. */
+    /** Guards against losing the Connection header of the client when the request is forwarded with a streamed body. */
     @Test
-    void aLongBodyOnAConnectionThatEndsIsTheLastRequest() throws Exception {
+    void connectionCloseIsHonouredAfterStreamedBody() throws Exception {
         byte[] sent = LongBodies.bytes(9, 3 * LongBodies.MB);
         LinkedBlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
         try (BodyReadingEndpoint endpoint = new BodyReadingEndpoint(received, 0)) {
@@ -110,19 +111,19 @@
             try (RawHttpClient client = fixture.client()) {
                 LongBodies.write(client, post("Connection: close\r\nContent-Length: " + sent.length + "\r\n"), sent);
                 client.send(fixture.request("read", DEADLINE_MS));
-                RawHttpClient.Message answer = client.read();
-                assertEquals("eaten", answer.body());
-                assertEquals("close", answer.headers().get("connection"));
+                RawHttpClient.Message response = client.read();
+                assertEquals("eaten", response.body());
+                assertEquals("close", response.headers().get("connection"));
                 client.awaitEnd();
             }
             assertArrayEquals(sent, received.take());
-            assertEquals(0, received.size(), "what comes behind the last request is none");
+            assertEquals(0, received.size(), "bytes after the last request are not a request");
         }
     }
 
-    /** A fast client before a slow endpoint: it is held back, and what it sends is not held here. */
+    /** A client that is faster than the endpoint is paused, so that its body is not buffered in the sidecar. */
     @Test
-    void aFastClientWaitsForASlowEndpoint() throws Exception {
+    void fastClientIsPausedForSlowEndpoint() throws Exception {
         byte[] sent = LongBodies.bytes(6, 6 * LongBodies.MB);
         LinkedBlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
         try (BodyReadingEndpoint endpoint = new BodyReadingEndpoint(received, 5)) {
@@ -137,11 +138,11 @@
     }
 
     /**
-     * Its time counts from its last byte: a body that takes longer than its deadline is served all the
-     * same.
+     * The deadline counts from the last byte of the request, so a body that takes longer than the deadline to arrive is
+     * still served.
      */
     @Test
-    void theTimeOfARequestBeginsWithItsLastByte() throws Exception {
+    void deadlineStartsWithLastByteOfRequest() throws Exception {
         byte[] sent = LongBodies.bytes(7, 1_300_000);
         LinkedBlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
         try (BodyReadingEndpoint endpoint = new BodyReadingEndpoint(received, 0)) {
@@ -150,8 +151,8 @@
             try (RawHttpClient client = fixture.client()) {
                 client.send(post("Content-Length: " + sent.length + "\r\n\r\n")
                         .replace("X-Deadline-Ms: " + DEADLINE_MS, "X-Deadline-Ms: 700"));
-                for (int at = 0; at < sent.length; at += 100_000) {
-                    client.socket.getOutputStream().write(sent, at, 100_000);
+                for (int offset = 0; offset < sent.length; offset += 100_000) {
+                    client.socket.getOutputStream().write(sent, offset, 100_000);
                     Thread.sleep(100);
                 }
                 assertEquals("eaten", client.read().body());
@@ -159,10 +160,10 @@
         }
     }
 
-    /** Guards against a body that never ends: one answer, nothing run, nothing left behind. */
+    /** Guards against a body that never ends: the client gets one response, nothing is executed, no state remains. */
     @ParameterizedTest
     @ValueSource(ints = {40_000, 3_000_000})
-    void aBodyThatStallsGetsOneAnswer(int length) throws Exception {
+    void stalledBodyGetsOneResponse(int length) throws Exception {
         LinkedBlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
         try (BodyReadingEndpoint endpoint = new BodyReadingEndpoint(received, 0)) {
             fixture = new SidecarFixture(endpoint.fakeEndpoint());
@@ -172,7 +173,7 @@
                 assertEquals(408, client.read().status());
                 assertThrows(EOFException.class, client::read);
             }
-            SidecarFixture.await("the endpoint is let go", () -> endpoint.open.get() == 0);
+            SidecarFixture.await("the connection to the endpoint is closed", () -> endpoint.openConnections.get() == 0);
             assertEquals(0, received.size());
             assertEquals(
                     List.of(0, 1),
@@ -183,9 +184,9 @@
         }
     }
 
-    /** A slow head, and a body at 64 kB a second, are a slow client's and no attack. */
+    /** A client with a slow head and a body at 64 KB/s is not treated as an attack. */
     @Test
-    void aSlowClientIsServed() throws Exception {
+    void slowClientIsServed() throws Exception {
         byte[] sent = LongBodies.bytes(8, 192 * 1024);
         LinkedBlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
         try (BodyReadingEndpoint endpoint = new BodyReadingEndpoint(received, 0)) {
@@ -193,12 +194,12 @@
             fixture.start();
             try (RawHttpClient client = fixture.client()) {
                 String head = post("Content-Length: " + sent.length + "\r\n\r\n");
-                for (int at = 0; at < head.length(); at += 10) {
-                    client.send(head.substring(at, Math.min(head.length(), at + 10)));
+                for (int offset = 0; offset < head.length(); offset += 10) {
+                    client.send(head.substring(offset, Math.min(head.length(), offset + 10)));
                     Thread.sleep(1800 * 10 / head.length());
                 }
-                for (int at = 0; at < sent.length; at += 8192) {
-                    client.socket.getOutputStream().write(sent, at, 8192);
+                for (int offset = 0; offset < sent.length; offset += 8192) {
+                    client.socket.getOutputStream().write(sent, offset, 8192);
                     Thread.sleep(125);
                 }
                 assertEquals("eaten", client.read().body());
@@ -208,28 +209,31 @@
     }
 
     /**
-     * Guards against an effect twice: half of a body is surely not run, and the client hears that it was
-     * not.
+     * Guards against executing a request twice: a request with an incomplete body was not executed, and the response
+     * says so to the client.
      */
     @Test
-    void anEndpointThatBreaksOffInTheMiddleHasNotRunIt() throws Exception {
+    void resetDuringBodyMeansNotExecuted() throws Exception {
         try (BodyReadingEndpoint endpoint = new BodyReadingEndpoint(new LinkedBlockingQueue<>(), 0)) {
-            endpoint.breakAfter = 200_000;
+            endpoint.resetAfterBytes = 200_000;
             fixture = new SidecarFixture(endpoint.fakeEndpoint());
             fixture.start();
             try (RawHttpClient client = fixture.client()) {
                 client.send(post("Content-Length: 3000000\r\n\r\n") + "x".repeat(1_000_000));
                 assertEquals(503, client.read().status());
             }
-            assertEquals(1, endpoint.connections.get(), "a part of the body is gone: no second attempt");
+            assertEquals(
+                    1,
+                    endpoint.connections.get(),
+                    "part of the body was already forwarded, so there is no second attempt");
         }
     }
 
-    /** Guards against an endpoint that takes no more of a body: nobody would ever end it. */
+    /** Guards against an upload that never ends because the endpoint stops reading the body. */
     @Test
-    void anEndpointThatReadsNothingIsGivenUp() throws Exception {
+    void attemptFailsIfEndpointStopsReading() throws Exception {
         try (BodyReadingEndpoint endpoint = new BodyReadingEndpoint(new LinkedBlockingQueue<>(), 0)) {
-            endpoint.stopAfter = 100_000;
+            endpoint.stopAfterBytes = 100_000;
             fixture = new SidecarFixture(endpoint.fakeEndpoint());
             fixture.start();
             try (RawHttpClient client = fixture.client()) {
@@ -237,7 +241,7 @@
                     try {
                         LongBodies.write(client, post("Content-Length: 33554432\r\n"), new byte[32 * LongBodies.MB]);
                     } catch (IOException e) {
-                        // The answer comes before all is sent.
+                        // The response arrives before the whole body is sent.
                         return;
                     }
                 });
@@ -248,26 +252,26 @@
         }
     }
 
-    /** An endpoint that turns a request away before the whole body has come. */
+    /** Tests endpoints that respond before the whole body has arrived. */
     @ParameterizedTest
     @CsvSource({"503,X-Not-Run: 1,503", "413,Y: z,413", "500,Y: z,502", "200,Y: z,502"})
-    void anEarlyAnswerIsTakenForWhatItIs(int status, String header, int expected) throws Exception {
+    void earlyResponseIsInterpretedByItsStatus(int status, String header, int expectedStatus) throws Exception {
         try (BodyReadingEndpoint endpoint = new BodyReadingEndpoint(new LinkedBlockingQueue<>(), 0)) {
-            endpoint.early = "HTTP/1.1 " + status + " x\r\n" + header + "\r\nContent-Length: 0\r\n\r\n";
+            endpoint.earlyResponse = "HTTP/1.1 " + status + " x\r\n" + header + "\r\nContent-Length: 0\r\n\r\n";
             fixture = new SidecarFixture(endpoint.fakeEndpoint());
             fixture.start();
             try (RawHttpClient client = fixture.client()) {
                 client.send(post("Content-Length: 3000000\r\n\r\n") + "x".repeat(100_000));
-                assertEquals(expected, client.read().status());
+                assertEquals(expectedStatus, client.read().status());
             }
             assertEquals(1, endpoint.connections.get());
-            SidecarFixture.await("its connection is of no more use", () -> endpoint.open.get() == 0);
+            SidecarFixture.await("the connection is not kept", () -> endpoint.openConnections.get() == 0);
         }
     }
 
-    /** Over the bound it is refused, in chunks too, and no endpoint has had the whole of it. */
+    /** A body over the size limit is rejected even if it is chunked, and no endpoint receives all of it. */
     @Test
-    void aBodyOverTheBoundIsRefused() throws Exception {
+    void bodyOverSizeLimitIsRejected() throws Exception {
         LinkedBlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
         try (BodyReadingEndpoint endpoint = new BodyReadingEndpoint(received, 0)) {
             fixture = new SidecarFixture(endpoint.fakeEndpoint());
@@ -291,31 +295,31 @@
                 writer.join();
             }
             assertEquals(0, received.size());
-            SidecarFixture.await("the endpoint is let go", () -> endpoint.open.get() == 0);
+            SidecarFixture.await("the connection to the endpoint is closed", () -> endpoint.openConnections.get() == 0);
         }
     }
 
-    /** Guards against room that bodies keep after their answers: it would be gone for good. */
+    /** Guards against a leak in the body memory budget: a body must release its share when its request ends. */
     @Test
-    void answersGiveTheRoomOfBodiesBack() throws Exception {
-        CountDownLatch release = new CountDownLatch(1);
-        fixture = SidecarFixture.startedWith((wire, request) -> {
-            release.await();
-            FakeEndpoint.answer(wire, 200, "", "served");
+    void bodyMemoryIsReleasedAfterResponse() throws Exception {
+        CountDownLatch responsesAllowed = new CountDownLatch(1);
+        fixture = SidecarFixture.startedWith((connection, request) -> {
+            responsesAllowed.await();
+            FakeEndpoint.answer(connection, 200, "", "served");
         });
         byte[] body = LongBodies.bytes(10, 100_000);
         try (RawHttpClient client = fixture.client()) {
             for (int i = 0; i < 9; i++) {
                 LongBodies.write(client, post("Content-Length: " + body.length + "\r\n"), body);
             }
-            SidecarFixture.await("some are in hand", () -> fixture.attempts() > 0);
-            release.countDown();
+            SidecarFixture.await("some requests are in progress", () -> fixture.attempts() > 0);
+            responsesAllowed.countDown();
             for (int i = 0; i < 9; i++) {
                 client.read();
             }
         }
         SidecarFixture.await(
-                "all room is free",
+                "all body memory is released",
                 () -> fixture.sidecar
                                 .loop()
                                 .submit(() -> fixture.sidecar.bodyBytesHeld())
@@ -325,10 +329,10 @@
     }
 
     /**
-     * Guards against bodies that together take all memory: those for which there is no room are passed on.
+     * Guards against bodies that exhaust the memory together: those that exceed the memory budget are streamed.
      */
     @Test
-    void manyBodiesAtOnceAreServed() throws Exception {
+    void manyConcurrentBodiesAreServed() throws Exception {
         byte[] sent = LongBodies.bytes(9, 900_000);
         LinkedBlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
         try (BodyReadingEndpoint endpoint = new BodyReadingEndpoint(received, 0)) {
@@ -343,9 +347,9 @@
             int served = 0;
             for (RawHttpClient client : clients) {
                 client.socket.getOutputStream().write(sent, 700_000, 200_000);
-                RawHttpClient.Message answer = client.read();
-                assertTrue(answer.status() == 200 || answer.status() == 503, answer.line());
-                served += answer.status() == 200 ? 1 : 0;
+                RawHttpClient.Message response = client.read();
+                assertTrue(response.status() == 200 || response.status() == 503, response.line());
+                served += response.status() == 200 ? 1 : 0;
                 client.close();
             }
             assertTrue(served > 0);
--- a/sidecar/src/test/java/martenlatch/sidecar/LongResponsesTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LongResponsesTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Responses that are long or end with their connection, from endpoints that break off, to clients that are slow. */
+/** Tests long and close-delimited responses, endpoints that close or reset the connection early, and slow clients. */
 @Timeout(120)
 class LongResponsesTest {
 
@@ -33,7 +33,8 @@
         fixture.close();
     }
 
-    private int open() {
+    /** Returns the number of open connections to all endpoints. */
+    private int countOpenConnections() {
         return fixture.endpoints.stream()
                 .mapToInt(endpoint -> endpoint.open.get())
                 .sum();
@@ -52,137 +53,138 @@
         "chunked,65536",
         "length,33554432"
     })
-    void anAnswerOfAnyFormAndSizeComesAsItWasMade(String form, int size) throws Exception {
-        byte[] made = LongBodies.bytes(size, size);
-        fixture = SidecarFixture.startedWith((wire, request) -> {
-            switch (form) {
-                case "length" -> LongBodies.write(wire, LongBodies.OK + "Content-Length: " + size + "\r\n", made);
+    void responseOfAnyFramingAndSizeIsForwardedUnchanged(String framing, int size) throws Exception {
+        byte[] body = LongBodies.bytes(size, size);
+        fixture = SidecarFixture.startedWith((connection, request) -> {
+            switch (framing) {
+                case "length" -> LongBodies.write(connection, LongBodies.OK + "Content-Length: " + size + "\r\n", body);
                 case "chunked" ->
-                    LongBodies.write(wire, LongBodies.OK + "Transfer-Encoding: chunked\r\n", LongBodies.chunked(made));
+                    LongBodies.write(
+                            connection, LongBodies.OK + "Transfer-Encoding: chunked\r\n", LongBodies.chunked(body));
                 default -> {
-                    LongBodies.write(wire, LongBodies.OK + "Connection: close\r\n", made);
-                    wire.close();
+                    LongBodies.write(connection, LongBodies.OK + "Connection: close\r\n", body);
+                    connection.close();
                 }
             }
         });
         try (RawHttpClient client = fixture.client()) {
             for (int i = 0; i < 3; i++) {
                 client.send(fixture.request(i == 1 ? "read" : "order", DEADLINE_MS));
-                assertArrayEquals(made, LongBodies.body(client));
+                assertArrayEquals(body, LongBodies.body(client));
                 SidecarFixture.settle();
             }
         }
         assertEquals(
-                form.equals("close") ? 3 : 1,
+                framing.equals("close") ? 3 : 1,
                 fixture.endpoints.get(0).connections.get());
     }
 
-    /** Guards against an answer held back until all of it has come. */
+    /** Guards against holding a response back until all of it has arrived. */
     @Test
-    void itsFirstBytesComeBeforeItsLast() throws Exception {
-        CountDownLatch release = new CountDownLatch(1);
-        byte[] made = LongBodies.bytes(1, 300_000);
-        fixture = SidecarFixture.startedWith((wire, request) -> {
-            LongBodies.write(wire, LongBodies.OK + "Content-Length: 300000\r\n", Arrays.copyOf(made, 100_000));
-            release.await();
-            wire.socket.getOutputStream().write(made, 100_000, 200_000);
+    void firstBytesAreForwardedBeforeResponseIsComplete() throws Exception {
+        CountDownLatch remainderAllowed = new CountDownLatch(1);
+        byte[] body = LongBodies.bytes(1, 300_000);
+        fixture = SidecarFixture.startedWith((connection, request) -> {
+            LongBodies.write(connection, LongBodies.OK + "Content-Length: 300000\r\n", Arrays.copyOf(body, 100_000));
+            remainderAllowed.await();
+            connection.socket.getOutputStream().write(body, 100_000, 200_000);
         });
         try (RawHttpClient client = fixture.client()) {
             client.send(fixture.request("order", DEADLINE_MS));
             RawHttpClient.Message head = client.readHead();
             assertEquals("300000", head.headers().get("content-length"));
-            assertArrayEquals(Arrays.copyOf(made, 100_000), client.read(100_000));
-            release.countDown();
-            assertArrayEquals(Arrays.copyOfRange(made, 100_000, 300_000), client.read(200_000));
+            assertArrayEquals(Arrays.copyOf(body, 100_000), client.read(100_000));
+            remainderAllowed.countDown();
+            assertArrayEquals(Arrays.copyOfRange(body, 100_000, 300_000), client.read(200_000));
         }
     }
 
-    /** Guards against half an answer that a client takes for the whole. */
+    /** Guards against a truncated response that looks complete to the client. */
     @ParameterizedTest
     @CsvSource({"length,false", "chunked,false", "length,true", "chunked,true", "close,true"})
-    void anAnswerCutShortIsSeenToBe(String form, boolean reset) throws Exception {
-        byte[] made = LongBodies.bytes(2, 400_000);
-        fixture = SidecarFixture.startedWith((wire, request) -> {
-            byte[] all = form.equals("chunked") ? LongBodies.chunked(made) : made;
+    void truncatedResponseIsDetectedByClient(String framing, boolean reset) throws Exception {
+        byte[] body = LongBodies.bytes(2, 400_000);
+        fixture = SidecarFixture.startedWith((connection, request) -> {
+            byte[] all = framing.equals("chunked") ? LongBodies.chunked(body) : body;
             LongBodies.write(
-                    wire,
+                    connection,
                     LongBodies.OK
-                            + (form.equals("length")
+                            + (framing.equals("length")
                                     ? "Content-Length: 400000\r\n"
-                                    : form.equals("chunked")
+                                    : framing.equals("chunked")
                                             ? "Transfer-Encoding: chunked\r\n"
                                             : "Connection: close\r\n"),
                     Arrays.copyOf(all, 200_000));
             Thread.sleep(100);
             if (reset) {
-                wire.reset();
+                connection.reset();
             } else {
-                wire.close();
+                connection.close();
             }
         });
         try (RawHttpClient client = fixture.client()) {
             client.send(fixture.request("order", DEADLINE_MS));
             assertThrows(IOException.class, () -> LongBodies.body(client));
         }
-        assertEquals(1, fixture.attempts(), "it may have run");
+        assertEquals(1, fixture.attempts(), "the request may have been executed, so it is not retried");
     }
 
-    /** A short answer that a reset cuts is none, though its head says that the connection's end ends it. */
+    /** A reset does not complete a close-delimited response, even a short one. */
     @Test
-    void aResetIsNoEndOfAnAnswer() throws Exception {
-        fixture = SidecarFixture.startedWith((wire, request) -> {
-            wire.send(LongBodies.OK + "Connection: close\r\n\r\nhalf");
+    void resetDoesNotCompleteResponse() throws Exception {
+        fixture = SidecarFixture.startedWith((connection, request) -> {
+            connection.send(LongBodies.OK + "Connection: close\r\n\r\nhalf");
             Thread.sleep(100);
-            wire.reset();
+            connection.reset();
         });
         assertEquals(502, fixture.ask("order", DEADLINE_MS).status());
     }
 
     /**
-     * Guards against memory by the size of answers: many at once, to clients that read nothing for a while.
+     * Guards against memory use that grows with the size of responses, when many clients read nothing for a while.
      */
     @Test
-    void manyLongAnswersToSlowClientsTakeLittleMemory() throws Exception {
+    void longResponsesToSlowClientsUseBoundedMemory() throws Exception {
         int clients = 30;
-        byte[] made = LongBodies.bytes(3, 8 * LongBodies.MB);
-        AtomicInteger sent = new AtomicInteger();
-        fixture = SidecarFixture.startedWith((wire, request) -> {
-            OutputStream out = wire.socket.getOutputStream();
-            wire.send(LongBodies.OK + "Content-Length: " + made.length + "\r\n\r\n");
-            for (int at = 0; at < made.length; at += 64 * 1024) {
-                out.write(made, at, 64 * 1024);
-                sent.addAndGet(64 * 1024);
+        byte[] body = LongBodies.bytes(3, 8 * LongBodies.MB);
+        AtomicInteger sentBytes = new AtomicInteger();
+        fixture = SidecarFixture.startedWith((connection, request) -> {
+            OutputStream out = connection.socket.getOutputStream();
+            connection.send(LongBodies.OK + "Content-Length: " + body.length + "\r\n\r\n");
+            for (int offset = 0; offset < body.length; offset += 64 * 1024) {
+                out.write(body, offset, 64 * 1024);
+                sentBytes.addAndGet(64 * 1024);
             }
         });
-        List<RawHttpClient> waiting = new ArrayList<>();
+        List<RawHttpClient> pausedClients = new ArrayList<>();
         for (int i = 0; i < clients; i++) {
-            // One after the other has begun: the decisions' first limit is small, and a begun answer frees
-            // its place.
+            // Each request waits for the previous response to start: the initial concurrency limit is small, and a
+            // response that has started frees its slot.
             RawHttpClient client = RawHttpClient.to(fixture.sidecar.address(), 32 * 1024);
             RawHttpClient.Message head =
                     client.send(fixture.request("order", DEADLINE_MS)).readHead();
             assertEquals(200, head.status());
-            waiting.add(client);
+            pausedClients.add(client);
         }
-        long before = -1;
-        while (before != sent.get()) {
-            before = sent.get();
+        long previouslySentBytes = -1;
+        while (previouslySentBytes != sentBytes.get()) {
+            previouslySentBytes = sentBytes.get();
             Thread.sleep(200);
         }
-        assertTrue(sent.get() < clients * made.length * 0.75, sent + " bytes have left the endpoint");
-        long held = PlatformDependent.usedDirectMemory();
-        assertTrue(held < 24L * LongBodies.MB, held + " bytes of direct memory");
-        for (RawHttpClient client : waiting) {
-            assertArrayEquals(made, client.read(made.length));
+        assertTrue(sentBytes.get() < clients * body.length * 0.75, sentBytes + " bytes were sent by the endpoint");
+        long directMemoryBytes = PlatformDependent.usedDirectMemory();
+        assertTrue(directMemoryBytes < 24L * LongBodies.MB, directMemoryBytes + " bytes of direct memory are in use");
+        for (RawHttpClient client : pausedClients) {
+            assertArrayEquals(body, client.read(body.length));
             client.close();
         }
     }
 
-    /** A client that goes away in the middle lets the endpoint go, and the slot was free long before. */
+    /** A client disconnect during a response closes the endpoint's connection. The slot was already free before. */
     @Test
-    void aClientThatGoesAwayEndsTheAnswer() throws Exception {
-        fixture = SidecarFixture.startedWith((wire, request) -> {
-            OutputStream out = wire.socket.getOutputStream();
+    void clientDisconnectClosesEndpointConnection() throws Exception {
+        fixture = SidecarFixture.startedWith((connection, request) -> {
+            OutputStream out = connection.socket.getOutputStream();
             out.write((LongBodies.OK + "Content-Length: 33554432\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
             while (true) {
                 out.write(new byte[64 * 1024]);
@@ -193,7 +195,7 @@
                 200,
                 client.send(fixture.request("order", DEADLINE_MS)).readHead().status());
         client.reset();
-        SidecarFixture.await("the endpoint is let go", () -> open() == 0);
+        SidecarFixture.await("the connection to the endpoint is closed", () -> countOpenConnections() == 0);
         assertEquals(
                 List.of(0, 1),
                 fixture.sidecar
@@ -202,15 +204,16 @@
                         .get());
     }
 
-    /** Requests behind one whose answer is long get theirs behind it, in order. */
+    /** Responses to pipelined requests follow a long response in the order of the requests. */
     @Test
-    void answersStayInOrderBehindALongOne() throws Exception {
-        byte[] made = LongBodies.bytes(4, 2 * LongBodies.MB);
-        fixture = SidecarFixture.startedWith((wire, request) -> {
+    void responsesStayInOrderAfterLongOne() throws Exception {
+        byte[] body = LongBodies.bytes(4, 2 * LongBodies.MB);
+        fixture = SidecarFixture.startedWith((connection, request) -> {
             if (request.headers().get("x-request-id").equals("r1")) {
-                LongBodies.write(wire, LongBodies.OK + "Transfer-Encoding: chunked\r\n", LongBodies.chunked(made));
+                LongBodies.write(
+                        connection, LongBodies.OK + "Transfer-Encoding: chunked\r\n", LongBodies.chunked(body));
             } else {
-                FakeEndpoint.answer(wire, 200, "", request.headers().get("x-request-id"));
+                FakeEndpoint.answer(connection, 200, "", request.headers().get("x-request-id"));
             }
         });
         try (RawHttpClient client = fixture.client()) {
@@ -218,7 +221,7 @@
                     + fixture.request("read", DEADLINE_MS)
                     + fixture.request("read", DEADLINE_MS));
             assertEquals("r0", client.read().body());
-            assertArrayEquals(made, LongBodies.body(client));
+            assertArrayEquals(body, LongBodies.body(client));
             assertEquals("r2", client.read().body());
         }
     }
