--- a/sidecar/src/test/java/martenlatch/sidecar/BodyReadingEndpoint.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/BodyReadingEndpoint.java
@@ -11,6 +11,7 @@
 
 /** An endpoint that reads request bodies of any framing at a limited pace, and can reset, stall or respond early. */
 final class BodyReadingEndpoint implements AutoCloseable {
+    /** The number of accepted connections. */
     final AtomicInteger connections = new AtomicInteger();
     /** The number of open connections. */
     final AtomicInteger openConnections = new AtomicInteger();
