--- a/sidecar/src/test/java/martenlatch/sidecar/BodyReadingEndpoint.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/BodyReadingEndpoint.java
@@ -33,7 +33,7 @@
         this.received = received;
         this.pauseMs = pauseMs;
         // Keeps the listening socket open: after a close another process might take its port.
-        fakeEndpoint = FakeEndpoint.place();
+        fakeEndpoint = FakeEndpoint.listeningOnly();
         listener = fakeEndpoint.listener;
         start(this::accept);
     }
@@ -69,7 +69,7 @@
             while (true) {
                 RawHttpClient.Message head = connection.readHead();
                 if (earlyResponse != null) {
-                    connection.send(earlyResponse).awaitEnd();
+                    connection.send(earlyResponse).awaitClose();
                     return;
                 }
                 byte[] body = connection.readBody(head, bytesRead -> {
@@ -101,7 +101,7 @@
         }
         for (Thread thread : threads) {
             thread.interrupt();
-            thread.join(SidecarFixture.PATIENCE_MS);
+            thread.join(SidecarFixture.AWAIT_TIMEOUT_MS);
         }
     }
 }
--- a/sidecar/src/test/java/martenlatch/sidecar/ConnectionReuseRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ConnectionReuseRaceTest.java
@@ -42,14 +42,14 @@
             RawHttpClient endpointConnection = new RawHttpClient(listener.accept());
             endpointConnection.read();
             long deadlineNanos = System.nanoTime() + SHORT_DEADLINE_MS * 1_000_000L;
-            fixture.whileHeld(() -> FakeEndpoint.answer(endpointConnection, 200, "", "first"), () -> {
+            fixture.whileEventLoopBlocked(() -> FakeEndpoint.answer(endpointConnection, 200, "", "first"), () -> {
                 while (System.nanoTime() < deadlineNanos) {
                     Thread.onSpinWait();
                 }
             });
             assertEquals("first", client.read().body());
             fixture.awaitPending(0, NOTICED_MS);
-            SidecarFixture.settle();
+            SidecarFixture.awaitReuseDelay();
             // The time-out leaves no effect on the client's connection or on the endpoint's connection.
             client.send(fixture.request("order", DEADLINE_MS));
             endpointConnection.read();
@@ -67,7 +67,7 @@
             client.send(fixture.request("order", DEADLINE_MS));
             RawHttpClient endpointConnection = new RawHttpClient(listener.accept());
             endpointConnection.read();
-            fixture.whileHeld(
+            fixture.whileEventLoopBlocked(
                     () -> endpointConnection.send("HTTP/1.1 200 x\r\nContent-Length: 5\r\n\r\n"
                             + (responsePart.equals("whole") ? "first" : "fir")),
                     endpointConnection::reset);
--- a/sidecar/src/test/java/martenlatch/sidecar/DeduplicationWindowRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DeduplicationWindowRaceTest.java
@@ -33,8 +33,8 @@
     void retryWithIdempotencyKeyIsNotSentAfterWindow() throws Exception {
         try (ServerSocket listener = DelayedAcceptEndpoint.listenWithShortBacklog()) {
             fixture = SidecarFixture.withEndpointAt("127.0.0.1:" + listener.getLocalPort());
-            fixture.dialMs = 30_000;
-            fixture.windowMs = 3000;
+            fixture.connectTimeoutMs = 30_000;
+            fixture.deduplicationWindowMs = 3000;
             fixture.start();
             long startedNanos = System.nanoTime();
             RawHttpClient client = fixture.client().send(fixture.request("move", DEADLINE_MS));
@@ -49,7 +49,7 @@
                         SidecarFixture.elapsedMs(startedNanos) < NOTICED_MS,
                         "a request that is given up is answered without delay");
                 delayedEndpoint.startAccepting();
-                assertEquals("late", fixture.ask("order", DEADLINE_MS).body());
+                assertEquals("late", fixture.sendRequest("order", DEADLINE_MS).body());
                 assertEquals(
                         List.of("r1"),
                         delayedEndpoint.requests.stream()
--- a/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
@@ -44,7 +44,7 @@
         try (FakeEndpoint other = FakeEndpoint.serving()) {
             fixture = new SidecarFixture(FakeEndpoint.serving());
             fixture.membership = membership;
-            fixture.askWithinMs = 4000;
+            fixture.pollIntervalMs = 4000;
             // Where lists are pushed the first call is for the whole list.
             int silent = membership.equals("pushed") ? 2 : 1;
             fixture.discovery.script = (wire, request) -> {
@@ -63,12 +63,12 @@
                                     SidecarFixture.line(0, good, "terminating", 0),
                                     SidecarFixture.line(1, other.address(), "in_service", 0)));
                 } else {
-                    wire.awaitEnd();
+                    wire.awaitClose();
                 }
             };
             fixture.start();
             SidecarFixture.await("it asks anew", () -> fixture.discovery.requests.size() >= silent + 2);
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size(), "what it missed is known now");
             assertTrue(fixture.discovery.connections.get() >= 2, "the silent connection is not used again");
             assertTrue(fixture.logged().contains("discovery watch timed out"), fixture.logged());
@@ -87,7 +87,7 @@
         fixture.discovery.script = (wire, request) -> {
             int version = fixture.discovery.requests.size();
             if (version > 5) {
-                wire.awaitEnd();
+                wire.awaitClose();
             }
             FakeEndpoint.answer(
                     wire,
@@ -106,7 +106,7 @@
                 wire.close();
             }
         };
-        fixture.askWithinMs = 2000;
+        fixture.pollIntervalMs = 2000;
         fixture.start();
         SidecarFixture.await("it goes on asking", () -> fixture.discovery.requests.size() > 5);
         assertFalse(fixture.logged().contains("discovery failed"), fixture.logged());
@@ -121,7 +121,7 @@
         int rejected = 4;
         List<Long> pollNanos = Collections.synchronizedList(new ArrayList<>());
         try (FakeEndpoint other = FakeEndpoint.serving();
-                FakeEndpoint moved = new FakeEndpoint((wire, request) -> wire.awaitEnd())) {
+                FakeEndpoint moved = new FakeEndpoint((wire, request) -> wire.awaitClose())) {
             fixture = new SidecarFixture(FakeEndpoint.serving()).start();
             moved.script = (wire, request) -> {
                 pollNanos.add(System.nanoTime());
@@ -133,7 +133,7 @@
                     String ready = SidecarFixture.line(1, other.address(), "in_service", 0);
                     FakeEndpoint.answer(wire, 200, "", SidecarFixture.list(2, true, drained, ready));
                 } else {
-                    wire.awaitEnd();
+                    wire.awaitClose();
                 }
             };
             Files.writeString(
@@ -141,7 +141,7 @@
             // The poll interval of the fixture is ten minutes: pauses that go by it alone would take minutes.
             fixture.sidecar.reload();
             SidecarFixture.await("it polls again and again", () -> pollNanos.size() > rejected + 1);
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size(), "and has learned of the drain");
         }
     }
@@ -157,7 +157,7 @@
             })
     void anAnswerThatBreaksOffIsNotWaitedFor(String half) throws Exception {
         try (FakeEndpoint other = FakeEndpoint.serving();
-                FakeEndpoint moved = new FakeEndpoint((wire, request) -> wire.awaitEnd())) {
+                FakeEndpoint moved = new FakeEndpoint((wire, request) -> wire.awaitClose())) {
             fixture = new SidecarFixture(FakeEndpoint.serving()).start();
             moved.script = (wire, request) -> {
                 switch (moved.requests.size()) {
@@ -178,7 +178,7 @@
                                 200,
                                 "",
                                 SidecarFixture.list(2, true, SidecarFixture.line(1, other.address(), "in_service", 0)));
-                    default -> wire.awaitEnd();
+                    default -> wire.awaitClose();
                 }
             };
             Files.writeString(
@@ -186,9 +186,9 @@
             long began = System.nanoTime();
             fixture.sidecar.reload();
             SidecarFixture.await("it asks anew, and goes on", () -> moved.requests.size() == 4);
-            assertTrue(moved.requests.get(1).line().contains("wait=20000"), "the usual wait is much longer");
+            assertTrue(moved.requests.get(1).startLine().contains("wait=20000"), "the usual wait is much longer");
             assertTrue(SidecarFixture.elapsedMs(began) < 10_000, "and is not waited for");
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size());
             assertTrue(fixture.logged().contains("in the middle of a response"), fixture.logged());
         }
@@ -200,7 +200,7 @@
         LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
         try (FakeEndpoint other = FakeEndpoint.answering(200, "", "other")) {
             fixture = new SidecarFixture(FakeEndpoint.serving());
-            fixture.askWithinMs = 20;
+            fixture.pollIntervalMs = 20;
             fixture.discovery.script = (wire, request) -> FakeEndpoint.answer(wire, 200, "", answers.take());
             fixture.start();
             String first = fixture.endpoints.get(0).address();
@@ -213,14 +213,14 @@
             answers.add(indented);
             answers.add(SidecarFixture.list(7, false));
             SidecarFixture.await("both are taken", () -> fixture.discovery.requests.size() == 3);
-            assertEquals("other", fixture.ask("order", DEADLINE_MS).body());
+            assertEquals("other", fixture.sendRequest("order", DEADLINE_MS).body());
             answers.add(SidecarFixture.list(3, true, SidecarFixture.line(0, first, "in_service", 0)));
             SidecarFixture.await("so is this", () -> fixture.discovery.requests.size() == 4);
-            assertEquals("served", fixture.ask("order", DEADLINE_MS).body());
+            assertEquals("served", fixture.sendRequest("order", DEADLINE_MS).body());
             assertEquals(
                     List.of("index=1&", "index=7&", "index=7&", "index=3&"),
                     fixture.discovery.requests.stream()
-                            .map(request -> request.line().replaceAll(".*(index=\\d+&).*", "$1"))
+                            .map(request -> request.startLine().replaceAll(".*(index=\\d+&).*", "$1"))
                             .toList());
         }
     }
@@ -237,8 +237,8 @@
                 FakeEndpoint other = FakeEndpoint.serving();
                 FakeEndpoint again = FakeEndpoint.serving()) {
             fixture = SidecarFixture.withEndpointAt(late.address());
-            fixture.dialMs = 30_000;
-            fixture.askWithinMs = 20;
+            fixture.connectTimeoutMs = 30_000;
+            fixture.pollIntervalMs = 20;
             fixture.discovery.script = (wire, request) -> FakeEndpoint.answer(wire, 200, "", answers.take());
             fixture.start();
             RawHttpClient unsafe = fixture.client().send(fixture.request("order", DEADLINE_MS));
@@ -259,7 +259,7 @@
             assertEquals("served", unsafe.read().body(), "it never ran, so another one may have it");
             unsafe.close();
             late.startAccepting();
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(List.of(), late.requests);
         }
     }
@@ -295,7 +295,7 @@
             };
             fixture.start();
             assertEquals("waits", seen.get(0));
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size());
         }
     }
@@ -309,7 +309,7 @@
     void whereListsArePolledDiscoveryIsHeardBeforeTheFirstClient(int rejections) throws Exception {
         try (FakeEndpoint other = FakeEndpoint.serving()) {
             fixture = new SidecarFixture(FakeEndpoint.serving());
-            fixture.maxListWaitMs = SidecarFixture.PATIENCE_MS;
+            fixture.maxListWaitMs = SidecarFixture.AWAIT_TIMEOUT_MS;
             AtomicInteger polls = new AtomicInteger();
             fixture.discovery.script = (wire, request) -> {
                 int poll = polls.incrementAndGet();
@@ -321,11 +321,11 @@
                     String ready = SidecarFixture.line(1, other.address(), "in_service", 0);
                     FakeEndpoint.answer(wire, 200, "", SidecarFixture.list(2, false, drained, ready));
                 } else {
-                    wire.awaitEnd();
+                    wire.awaitClose();
                 }
             };
             fixture.start();
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size(), "the endpoint of the old list has left");
             assertEquals(0, fixture.endpoints.get(0).requests.size());
         }
@@ -341,7 +341,7 @@
         int rejectedAfterMs = 2600;
         try (FakeEndpoint other = FakeEndpoint.serving()) {
             fixture = new SidecarFixture(FakeEndpoint.serving());
-            fixture.maxListWaitMs = SidecarFixture.PATIENCE_MS;
+            fixture.maxListWaitMs = SidecarFixture.AWAIT_TIMEOUT_MS;
             AtomicInteger polls = new AtomicInteger();
             fixture.discovery.script = (wire, request) -> {
                 int poll = polls.incrementAndGet();
@@ -354,11 +354,11 @@
                     String ready = SidecarFixture.line(1, other.address(), "in_service", 0);
                     FakeEndpoint.answer(wire, 200, "", SidecarFixture.list(2, false, drained, ready));
                 } else {
-                    wire.awaitEnd();
+                    wire.awaitClose();
                 }
             };
             fixture.start();
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size(), "the endpoint of the old list has left");
             assertEquals(0, fixture.endpoints.get(0).requests.size());
         }
@@ -371,18 +371,18 @@
     @Test
     void aDiscoveryWithNothingNewerConfirmsTheListAtOnce() throws Exception {
         fixture = new SidecarFixture(FakeEndpoint.serving());
-        fixture.maxListWaitMs = SidecarFixture.PATIENCE_MS;
+        fixture.maxListWaitMs = SidecarFixture.AWAIT_TIMEOUT_MS;
         fixture.discovery.script = (wire, request) -> {
-            if (request.line().endsWith("wait=1 HTTP/1.1")) {
+            if (request.startLine().endsWith("wait=1 HTTP/1.1")) {
                 FakeEndpoint.answer(wire, 200, "", SidecarFixture.list(1, false));
             } else {
-                wire.awaitEnd();
+                wire.awaitClose();
             }
         };
         fixture.start();
         SidecarFixture.await("a watch is started", () -> fixture.discovery.requests.size() == 2);
-        assertTrue(fixture.discovery.requests.get(1).line().contains("index=1&wait=20000"));
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertTrue(fixture.discovery.requests.get(1).startLine().contains("index=1&wait=20000"));
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertFalse(fixture.logged().contains("from the configuration's endpoint list"), fixture.logged());
     }
 
@@ -393,7 +393,7 @@
         fixture.maxListWaitMs = 1500;
         fixture.discovery.script = (wire, request) -> FakeEndpoint.answer(wire, 503, "", "");
         fixture.start();
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertTrue(fixture.logged().contains("endpoint list: TIMED_OUT"), fixture.logged());
     }
 
@@ -403,7 +403,7 @@
         fixture = new SidecarFixture(FakeEndpoint.serving());
         fixture.membership = "pushed";
         fixture.start();
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertTrue(fixture.discovery.requests.size() > 1, "it is asked again and again");
     }
 
@@ -431,7 +431,7 @@
                     () -> agentAt(agentAddress, SidecarFixture.list(2, true, drained, ready)),
                     CompletableFuture.delayedExecutor(listensAfterMs, TimeUnit.MILLISECONDS));
             fixture.start();
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size(), "the agent knows that the other one has left");
             assertEquals(0, fixture.endpoints.get(0).requests.size());
             agent.join().close();
@@ -448,7 +448,7 @@
 
     private static void breakOff(RawHttpClient wire, String half) throws Exception {
         if (!half.equals("trickle")) {
-            wire.send(half).awaitEnd();
+            wire.send(half).awaitClose();
         }
         wire.send("HTTP/1.1 200 OK\r\nContent-Length: 3000\r\n\r\n{");
         while (true) {
--- a/sidecar/src/test/java/martenlatch/sidecar/InvalidResponseTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/InvalidResponseTest.java
@@ -52,9 +52,9 @@
                 "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"
             })
     void invalidResponseFailsWithoutDelay(String response) throws Exception {
-        start((connection, request) -> connection.send(response).awaitEnd());
+        start((connection, request) -> connection.send(response).awaitClose());
         long startedNanos = System.nanoTime();
-        assertEquals(502, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(502, fixture.sendRequest("order", DEADLINE_MS).status());
         assertTrue((System.nanoTime() - startedNanos) / 1e6 < DEADLINE_MS / 2.0, "the request fails without delay");
         SidecarFixture.await(
                 "the connection is closed", () -> fixture.endpoints.get(0).open.get() == 0);
@@ -65,10 +65,10 @@
     @Test
     void endpoint429IsNotForwardedAsRejection() throws Exception {
         start((connection, request) -> FakeEndpoint.answer(connection, 429, "Retry-After: 1\r\n", "busy"));
-        assertEquals(502, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(502, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(1, fixture.attempts());
         // A repeatable request is rejected with a 503, as after every failure.
-        assertEquals(503, fixture.ask("read", DEADLINE_MS).status());
+        assertEquals(503, fixture.sendRequest("read", DEADLINE_MS).status());
     }
 
     @ParameterizedTest
@@ -81,7 +81,7 @@
                 connection.send(parts[1]);
             }
         });
-        assertEquals(502, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(502, fixture.sendRequest("order", DEADLINE_MS).status());
         SidecarFixture.await(
                 "the connection is closed", () -> fixture.endpoints.get(0).open.get() == 0);
     }
@@ -103,7 +103,7 @@
                         client.send(fixture.request("order", DEADLINE_MS))
                                 .read()
                                 .body());
-                SidecarFixture.settle();
+                SidecarFixture.awaitReuseDelay();
             }
         }
         assertEquals(1, fixture.endpoints.get(0).connections.get(), "the connection is kept");
@@ -131,7 +131,7 @@
                         client.send(fixture.request("order", DEADLINE_MS)).read();
                 assertEquals(200, response.status());
                 assertEquals("r" + i, response.body());
-                SidecarFixture.settle();
+                SidecarFixture.awaitReuseDelay();
             }
         }
         assertEquals(10, fixture.endpoints.get(0).connections.get(), "no connection is reused");
@@ -146,7 +146,7 @@
             connection.send("x");
         });
         for (int i = 0; i < 3; i++) {
-            assertEquals("r" + i, fixture.ask("order", DEADLINE_MS).body());
+            assertEquals("r" + i, fixture.sendRequest("order", DEADLINE_MS).body());
             SidecarFixture.await(
                     "the connection is closed",
                     () -> fixture.endpoints.get(0).open.get() == 0);
@@ -164,7 +164,7 @@
                 assertEquals(400, client.send(badRequest).read().status());
             }
         }
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(21, fixture.attempts(), "each request is sent once");
     }
 }
--- a/sidecar/src/test/java/martenlatch/sidecar/LongRequestBodiesTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LongRequestBodiesTest.java
@@ -68,7 +68,7 @@
                             framing.equals("length") ? sent : LongBodies.chunked(sent));
                     assertEquals("eaten", client.read().body());
                     assertArrayEquals(sent, received.take());
-                    SidecarFixture.settle();
+                    SidecarFixture.awaitReuseDelay();
                 }
             }
             assertEquals(1, endpoint.connections.get());
@@ -114,7 +114,7 @@
                 RawHttpClient.Message response = client.read();
                 assertEquals("eaten", response.body());
                 assertEquals("close", response.headers().get("connection"));
-                client.awaitEnd();
+                client.awaitClose();
             }
             assertArrayEquals(sent, received.take());
             assertEquals(0, received.size(), "bytes after the last request are not a request");
@@ -348,7 +348,7 @@
             for (RawHttpClient client : clients) {
                 client.socket.getOutputStream().write(sent, 700_000, 200_000);
                 RawHttpClient.Message response = client.read();
-                assertTrue(response.status() == 200 || response.status() == 503, response.line());
+                assertTrue(response.status() == 200 || response.status() == 503, response.startLine());
                 served += response.status() == 200 ? 1 : 0;
                 client.close();
             }
--- a/sidecar/src/test/java/martenlatch/sidecar/LongResponsesTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LongResponsesTest.java
@@ -71,7 +71,7 @@
             for (int i = 0; i < 3; i++) {
                 client.send(fixture.request(i == 1 ? "read" : "order", DEADLINE_MS));
                 assertArrayEquals(body, LongBodies.body(client));
-                SidecarFixture.settle();
+                SidecarFixture.awaitReuseDelay();
             }
         }
         assertEquals(
@@ -137,7 +137,7 @@
             Thread.sleep(100);
             connection.reset();
         });
-        assertEquals(502, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(502, fixture.sendRequest("order", DEADLINE_MS).status());
     }
 
     /**
@@ -160,7 +160,7 @@
         for (int i = 0; i < clients; i++) {
             // Each request waits for the previous response to start: the initial concurrency limit is small, and a
             // response that has started frees its slot.
-            RawHttpClient client = RawHttpClient.to(fixture.sidecar.address(), 32 * 1024);
+            RawHttpClient client = RawHttpClient.connect(fixture.sidecar.address(), 32 * 1024);
             RawHttpClient.Message head =
                     client.send(fixture.request("order", DEADLINE_MS)).readHead();
             assertEquals(200, head.status());
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
@@ -48,12 +48,12 @@
     @Test
     void aRequestAndItsAnswerGoThroughUnchanged() throws Exception {
         start(good());
-        RawHttpClient.Message answer = fixture.ask("order", DEADLINE_MS);
+        RawHttpClient.Message answer = fixture.sendRequest("order", DEADLINE_MS);
         assertEquals(200, answer.status());
         assertEquals("served", answer.body());
         assertEquals("text/x", answer.headers().get("content-type"));
         RawHttpClient.Message seen = fixture.endpoints.get(0).requests.get(0);
-        assertEquals("POST /api?q=1 HTTP/1.1", seen.line());
+        assertEquals("POST /api?q=1 HTTP/1.1", seen.startLine());
         assertEquals("hello", seen.body());
         assertEquals("r0", seen.headers().get("x-request-id"));
         assertEquals("k1", seen.headers().get("idempotency-key"));
@@ -69,7 +69,7 @@
                 assertEquals(
                         200,
                         client.send(fixture.request("read", DEADLINE_MS)).read().status());
-                SidecarFixture.settle();
+                SidecarFixture.awaitReuseDelay();
             }
         }
         assertEquals(1, fixture.endpoints.get(0).connections.get());
@@ -149,7 +149,7 @@
             }
         };
         start(new FakeEndpoint(script), new FakeEndpoint(script));
-        RawHttpClient.Message answer = fixture.ask("order", DEADLINE_MS);
+        RawHttpClient.Message answer = fixture.sendRequest("order", DEADLINE_MS);
         assertEquals(502, answer.status());
         assertFalse(answer.body().contains("mine"), "an endpoint's refusal or error is not passed on");
         assertEquals(1, fixture.attempts());
@@ -184,16 +184,16 @@
             other.script = once;
         }
         for (int i = 0; i < 3; i++) {
-            assertEquals(200, fixture.ask(kind, DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest(kind, DEADLINE_MS).status());
         }
     }
 
     /** Guards against a hang that holds everything: the attempt is given up and its connection closed. */
     @Test
     void anAttemptThatIsGivenUpClosesItsConnection() throws Exception {
-        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitEnd());
+        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitClose());
         start(hung);
-        RawHttpClient.Message answer = fixture.ask("order", 300);
+        RawHttpClient.Message answer = fixture.sendRequest("order", 300);
         assertEquals(502, answer.status(), "it may have run");
         SidecarFixture.await("the connection is closed", () -> hung.open.get() == 0);
         assertEquals(1, fixture.attempts());
@@ -201,7 +201,7 @@
 
     @Test
     void aClientThatGoesAwayTakesItsAttemptsAlong() throws Exception {
-        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitEnd());
+        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitClose());
         start(hung);
         try (RawHttpClient client = fixture.client()) {
             client.send(fixture.request("order", DEADLINE_MS));
@@ -215,7 +215,7 @@
     void aRefusalComesAtOnceAndTellsWhenToComeBack() throws Exception {
         start();
         long began = System.nanoTime();
-        RawHttpClient.Message answer = fixture.ask("order", DEADLINE_MS);
+        RawHttpClient.Message answer = fixture.sendRequest("order", DEADLINE_MS);
         assertEquals(503, answer.status());
         assertEquals(0.5, Double.parseDouble(answer.headers().get("retry-after")));
         assertTrue((System.nanoTime() - began) / 1e6 < DEADLINE_MS / 2.0, "long before the deadline");
@@ -229,7 +229,7 @@
     void attemptsBeyondTheLastConnectionEndInOrder() throws Exception {
         FakeEndpoint[] hung = new FakeEndpoint[4];
         for (int i = 0; i < hung.length; i++) {
-            hung[i] = new FakeEndpoint((wire, request) -> wire.awaitEnd());
+            hung[i] = new FakeEndpoint((wire, request) -> wire.awaitClose());
         }
         fixture = new SidecarFixture(hung);
         fixture.sockets = 1;
@@ -239,7 +239,7 @@
                 ahead.send(fixture.request("order", DEADLINE_MS));
             }
             SidecarFixture.await("all connections are busy", () -> fixture.attempts() == 8);
-            assertEquals(503, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(503, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(8, fixture.attempts());
             assertTrue(fixture.logged().contains("all 8 connections to endpoints are busy"), fixture.logged());
             assertFalse(fixture.logged().contains("module failed"), fixture.logged());
@@ -249,7 +249,7 @@
     /** Guards against running out of descriptors: beyond the bound clients are refused in good order. */
     @Test
     void clientsBeyondTheBoundAreRefused() throws Exception {
-        fixture = new SidecarFixture(new FakeEndpoint((wire, request) -> wire.awaitEnd()));
+        fixture = new SidecarFixture(new FakeEndpoint((wire, request) -> wire.awaitClose()));
         fixture.sockets = 1;
         fixture.start();
         List<RawHttpClient> clients = new ArrayList<>();
@@ -261,7 +261,7 @@
         for (int i = 0; i < 12; i++) {
             clients.add(fixture.client());
         }
-        clients.get(4).awaitEnd();
+        clients.get(4).awaitClose();
         for (int i = 12; i < 16; i++) {
             clients.get(i).send("POST /api HTTP/1.1\r\n");
         }
@@ -272,7 +272,7 @@
         SidecarFixture.await(
                 "the endpoint is let go", () -> fixture.endpoints.get(0).open.get() == 0);
         fixture.endpoints.get(0).script = (wire, request) -> FakeEndpoint.answer(wire, 200, "", "served");
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
     }
 
     // ---- what is no request ----
@@ -337,7 +337,7 @@
         fixture = new SidecarFixture(good());
         fixture.idleCloseMs = 400;
         fixture.start();
-        assertEquals(200, fixture.ask("read", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("read", DEADLINE_MS).status());
         SidecarFixture.await(
                 "the idle connection is closed",
                 () -> fixture.endpoints.get(0).open.get() == 0);
@@ -364,7 +364,7 @@
         FakeEndpoint before = good();
         FakeEndpoint after = good();
         fixture = new SidecarFixture(before);
-        fixture.askWithinMs = 20;
+        fixture.pollIntervalMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
         fixture.start();
         answers.add(SidecarFixture.list(
@@ -378,9 +378,9 @@
                         "GET /registry/instances?index=1&wait=1 HTTP/1.1",
                         "GET /registry/instances?index=7&wait=4000 HTTP/1.1"),
                 fixture.discovery.requests.stream()
-                        .map(RawHttpClient.Message::line)
+                        .map(RawHttpClient.Message::startLine)
                         .toList());
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(0, before.requests.size(), "it drains");
         assertEquals(1, after.requests.size());
         after.close();
@@ -390,13 +390,13 @@
     @ValueSource(strings = {"", "reset", "{\"version\":", "{\"version\":1}"})
     void aCallThatFailedIsMadeAgain(String failure) throws Exception {
         fixture = new SidecarFixture(good());
-        fixture.askWithinMs = 20;
+        fixture.pollIntervalMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
         fixture.start();
         answers.add(failure);
         answers.add(failure);
         SidecarFixture.await("it asks again", () -> fixture.discovery.requests.size() >= 3);
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertTrue(fixture.logged().contains("discovery failed"), fixture.logged());
     }
 
@@ -406,14 +406,14 @@
     void anEndpointThatMovesOrRestartsGetsNewConnections(boolean moves, long started) throws Exception {
         FakeEndpoint old = good();
         fixture = new SidecarFixture(old);
-        fixture.askWithinMs = 20;
+        fixture.pollIntervalMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
         fixture.start();
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         FakeEndpoint now = moves ? good() : old;
         answers.add(SidecarFixture.list(2, false, SidecarFixture.line(0, now.address(), "in_service", started)));
         SidecarFixture.await("the old connection is closed", () -> old.open.get() == 0);
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(moves ? 1 : 2, old.connections.get());
         now.close();
     }
@@ -468,7 +468,7 @@
         } catch (IOException e) {
             assertTrue(served > 1, "a connection that stands goes on for a while");
         }
-        idle.awaitEnd();
+        idle.awaitClose();
         assertTrue(drain.isAlive(), "it waits for what is in hand");
         release.countDown();
         RawHttpClient.Message answer = inHand.read();
@@ -484,7 +484,7 @@
      */
     @Test
     void aDrainAnswersInTimeWhatNoEndpointAnswers() throws Exception {
-        start(new FakeEndpoint((wire, request) -> wire.awaitEnd()));
+        start(new FakeEndpoint((wire, request) -> wire.awaitClose()));
         RawHttpClient unsafe = fixture.client().send(fixture.request("order", DEADLINE_MS));
         RawHttpClient safe = fixture.client().send(fixture.request("read", DEADLINE_MS));
         SidecarFixture.await("both are at the endpoint", () -> fixture.attempts() == 2);
@@ -506,7 +506,7 @@
         SidecarFixture.await("the watch is on", () -> !fixture.discovery.requests.isEmpty());
         assertEquals(0, fixture.endpoints.get(0).connections.get());
         assertEquals(1, fixture.discovery.requests.size());
-        assertTrue(fixture.discovery.requests.get(0).line().contains("?index=1&"), "the version of its own list");
+        assertTrue(fixture.discovery.requests.get(0).startLine().contains("?index=1&"), "the version of its own list");
     }
 
     /** Guards against one bad peer that harms the rest. */
@@ -517,7 +517,7 @@
             fixture.client().send("GET /api HT").reset();
             fixture.client().send("\0\0\0\r\n\r\n").reset();
         }
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         try (RawHttpClient client = fixture.client()) {
             client.send("GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n");
             assertEquals(400, client.read().status());
