--- a/sidecar/src/main/java/martenlatch/frontend/InvalidRequestException.java
+++ b/sidecar/src/main/java/martenlatch/frontend/InvalidRequestException.java
@@ -1,6 +1,6 @@
 package martenlatch.frontend;
 
-/** The head of a request that cannot be accepted. */
+/** Thrown if the head of a request is invalid and the request cannot be accepted. */
 public final class InvalidRequestException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -8,17 +8,17 @@
     private final int status;
 
     /**
-     * Creates the exception, without a stack trace: it describes what a client sent.
+     * Creates the exception, without a stack trace, as the cause lies in the input of a client.
      *
-     * @param status the HTTP status to answer with, a 4xx
-     * @param message what is wrong with the request, told to the client
+     * @param status the HTTP status of the response, a 4xx
+     * @param message the error description for the client
      */
     public InvalidRequestException(int status, String message) {
         super(message, null, false, false);
         this.status = status;
     }
 
-    /** The HTTP status to answer with. */
+    /** Returns the HTTP status of the response. */
     public int status() {
         return status;
     }
--- a/sidecar/src/main/java/martenlatch/frontend/RequestHead.java
+++ b/sidecar/src/main/java/martenlatch/frontend/RequestHead.java
@@ -1,14 +1,14 @@
 package martenlatch.frontend;
 
-/** The head of a request, in whatever protocol it came; header names are matched without regard to case. */
+/** The head of a request, independent of the protocol; header names are case-insensitive. */
 public interface RequestHead {
 
-    /** The name of the method. */
+    /** Returns the HTTP method. */
     String method();
 
-    /** The first value of a header, or null. */
+    /** Returns the first value of a header, or null if it is missing. */
     String first(String name);
 
-    /** Whether a header occurs more than once. */
+    /** Returns whether a header occurs more than once. */
     boolean isRepeated(String name);
 }
--- a/sidecar/src/main/java/martenlatch/frontend/RequestParser.java
+++ b/sidecar/src/main/java/martenlatch/frontend/RequestParser.java
@@ -7,34 +7,34 @@
 import martenlatch.policy.api.Request;
 import martenlatch.policy.api.RequestClass;
 
-/** Parses the head of a request, the same for every frontend. */
+/** Parses the head of a request; used by all frontends. */
 public final class RequestParser {
 
-    /** How long the client waits, in whole milliseconds. */
+    /** The header with the time that the client waits for a response, in whole milliseconds. */
     public static final String DEADLINE_HEADER = "X-Deadline-Ms";
-    /** The id of the request. */
+    /** The header with the id of the request. */
     public static final String REQUEST_ID_HEADER = "X-Request-Id";
 
-    private static final String CLASS = "X-Class";
-    private static final String TENANT = "X-Tenant";
-    private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
-    private static final String RETRY = "X-Retry";
-    /** What identifies and classifies a request must not be open to two readings. */
-    private static final List<String> AT_MOST_ONCE =
-            List.of(REQUEST_ID_HEADER, DEADLINE_HEADER, CLASS, TENANT, IDEMPOTENCY_KEY);
+    private static final String CLASS_HEADER = "X-Class";
+    private static final String TENANT_HEADER = "X-Tenant";
+    private static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
+    private static final String RETRY_HEADER = "X-Retry";
+    /** The headers that identify and classify a request; repeated values would be ambiguous and are rejected. */
+    private static final List<String> SINGLE_VALUE_HEADERS =
+            List.of(REQUEST_ID_HEADER, DEADLINE_HEADER, CLASS_HEADER, TENANT_HEADER, IDEMPOTENCY_KEY_HEADER);
 
-    private static final String REPEATED = "one of " + AT_MOST_ONCE + " is repeated";
+    private static final String REPEATED_HEADER = "one of " + SINGLE_VALUE_HEADERS + " is repeated";
 
     private static final int BAD_REQUEST = 400;
     private static final int METHOD_NOT_ALLOWED = 405;
     private static final int MAX_DEADLINE_DIGITS = 9;
     /**
-     * The share of the client's time that is reserved for the way there and back and for a delayed event loop: a final
-     * response that is written when the time is up always arrives late.
+     * The share of the client's waiting time that is reserved for network latency and a delayed event loop. A final
+     * response that is written only when the time is up always arrives too late.
      */
-    private static final double ANSWER_MARGIN_SHARE = 0.04;
+    private static final double RESPONSE_MARGIN_SHARE = 0.04;
 
-    private static final double MAX_ANSWER_MARGIN_MS = 40;
+    private static final double MAX_RESPONSE_MARGIN_MS = 40;
 
     private final Map<String, Integer> classIndexes = new HashMap<>();
     private final Map<String, Integer> tenantIndexes = new HashMap<>();
@@ -43,15 +43,15 @@
     /** Creates a parser for the classes and tenants of these settings. */
     public RequestParser(BalancerSettings settings) {
         classes = settings.classes();
-        classes.forEach(each -> classIndexes.put(each.name(), classIndexes.size()));
+        classes.forEach(requestClass -> classIndexes.put(requestClass.name(), classIndexes.size()));
         settings.tenants().forEach(tenant -> tenantIndexes.put(tenant.name(), tenantIndexes.size()));
     }
 
     /**
      * Parses the head of a request.
      *
-     * @param nowMs the time at which it arrived, in milliseconds
-     * @param maxDeadlineMs no deadline is later than this time
+     * @param nowMs the arrival time of the request
+     * @param maxDeadlineMs the latest deadline that the request may have
      * @throws InvalidRequestException if the request cannot be accepted
      */
     public Request parse(RequestHead head, double nowMs, double maxDeadlineMs) throws InvalidRequestException {
@@ -61,21 +61,23 @@
         }
         String id = head.first(REQUEST_ID_HEADER);
         require(id != null && !id.isEmpty(), REQUEST_ID_HEADER + " is missing");
-        for (String name : AT_MOST_ONCE) {
-            require(!head.isRepeated(name), REPEATED);
+        for (String name : SINGLE_VALUE_HEADERS) {
+            require(!head.isRepeated(name), REPEATED_HEADER);
         }
-        Integer classIndex = classIndexes.get(emptyIfNull(head.first(CLASS)));
+        Integer classIndex = classIndexes.get(emptyIfNull(head.first(CLASS_HEADER)));
         require(classIndex != null, "X-Class is missing or unknown");
-        Integer tenantIndex =
-                tenantIndexes.isEmpty() ? Integer.valueOf(0) : tenantIndexes.get(emptyIfNull(head.first(TENANT)));
+        Integer tenantIndex = tenantIndexes.isEmpty()
+                ? Integer.valueOf(0)
+                : tenantIndexes.get(emptyIfNull(head.first(TENANT_HEADER)));
         require(tenantIndex != null, "X-Tenant is missing or unknown");
-        long waitsMs = wholeNumber(emptyIfNull(head.first(DEADLINE_HEADER)));
-        require(waitsMs >= 0, DEADLINE_HEADER + " is no whole number");
-        // No client waits longer than its class allows, whatever it says.
-        double allowedMs = Math.min((double) waitsMs, classes.get(classIndex).deadlineMs());
-        double marginMs = Math.min(MAX_ANSWER_MARGIN_MS, allowedMs * ANSWER_MARGIN_SHARE);
+        long requestedMs = parseWholeNumber(emptyIfNull(head.first(DEADLINE_HEADER)));
+        require(requestedMs >= 0, DEADLINE_HEADER + " is no whole number");
+        // The deadline of the request class limits the time that the client requests.
+        double allowedMs =
+                Math.min((double) requestedMs, classes.get(classIndex).deadlineMs());
+        double marginMs = Math.min(MAX_RESPONSE_MARGIN_MS, allowedMs * RESPONSE_MARGIN_SHARE);
         double deadlineMs = Math.min(nowMs + allowedMs - marginMs, maxDeadlineMs);
-        return new Request(id, classIndex, tenantIndex, deadlineMs, "1".equals(head.first(RETRY)));
+        return new Request(id, classIndex, tenantIndex, deadlineMs, "1".equals(head.first(RETRY_HEADER)));
     }
 
     private static void require(boolean condition, String message) throws InvalidRequestException {
@@ -88,8 +90,8 @@
         return value == null ? "" : value;
     }
 
-    /** The number, or -1 for what is no whole number of a sensible size. */
-    private static long wholeNumber(String text) {
+    /** Returns the value of a decimal number, or -1 if the text is not one or exceeds {@link #MAX_DEADLINE_DIGITS}. */
+    private static long parseWholeNumber(String text) {
         if (text.isEmpty() || text.length() > MAX_DEADLINE_DIGITS) {
             return -1;
         }
--- a/sidecar/src/main/java/martenlatch/frontend/http/BodyMemoryBudget.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/BodyMemoryBudget.java
@@ -1,42 +1,44 @@
 package martenlatch.frontend.http;
 
-/** The memory that request bodies may hold, all together, while they are collected and until they are answered. */
+/** The memory budget shared by all collected request bodies, which hold memory until their response is ready. */
 final class BodyMemoryBudget {
 
-    /** So many bytes of each body are not counted: most bodies are smaller, and connections are bounded. */
-    static final int FREE_BYTES = 64 * 1024;
+    /** The bytes of each body that are not counted: most bodies are smaller, and connections are limited. */
+    static final int UNCOUNTED_BYTES = 64 * 1024;
     /** The largest body that is collected, in bytes. */
     static final int MAX_COLLECTED_BYTES = 1024 * 1024;
-    /** The heap is divided by this: a body is held twice for a moment, and the heap has other uses. */
+    /** The budget is the heap divided by this: a body is briefly held twice, and the heap has other uses. */
     private static final int HEAP_DIVISOR = 8;
 
     private final long maxBytes;
-    private long heldBytes;
+    private long reservedBytes;
 
+    /** Creates a budget for a heap of this size. */
     BodyMemoryBudget(long heapBytes) {
         maxBytes = heapBytes / HEAP_DIVISOR;
     }
 
-    /** Reserves memory for a body to grow from one size to another; false if there is none, and nothing is reserved. */
+    /** Reserves memory for a body to grow; returns false and reserves nothing if it is too large or memory is short. */
     boolean tryGrow(int fromBytes, int toBytes) {
-        long more = (long) counted(toBytes) - counted(fromBytes);
-        if (toBytes > MAX_COLLECTED_BYTES || heldBytes + more > maxBytes) {
+        long additionalBytes = (long) countedBytes(toBytes) - countedBytes(fromBytes);
+        if (toBytes > MAX_COLLECTED_BYTES || reservedBytes + additionalBytes > maxBytes) {
             return false;
         }
-        heldBytes += more;
+        reservedBytes += additionalBytes;
         return true;
     }
 
-    /** Gives back the memory of a body of this size. */
+    /** Releases the memory of a body of this size. */
     void release(int bytes) {
-        heldBytes -= counted(bytes);
+        reservedBytes -= countedBytes(bytes);
     }
 
-    long heldBytes() {
-        return heldBytes;
+    /** Returns the number of reserved bytes, without the uncounted part of each body. */
+    long reservedBytes() {
+        return reservedBytes;
     }
 
-    private static int counted(int bytes) {
-        return Math.max(0, bytes - FREE_BYTES);
+    private static int countedBytes(int bytes) {
+        return Math.max(0, bytes - UNCOUNTED_BYTES);
     }
 }
--- a/sidecar/src/main/java/martenlatch/frontend/http/ClientConnection.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/ClientConnection.java
@@ -30,17 +30,17 @@
 import martenlatch.upstream.OutgoingRequest;
 import martenlatch.upstream.StreamedRequestBody;
 
-/** One connection of a client: accepts its requests, and has their responses written in order. */
+/** A client connection: reads requests, passes them to the request tracker and has responses written in order. */
 final class ClientConnection extends SimpleChannelInboundHandler<RequestEvent>
         implements StreamedRequestBody.Source, ResponseQueue.Listener {
 
-    /** Requests that a client may send before it has read their responses. */
+    /** The maximum number of pipelined requests whose responses are not written yet. */
     private static final int MAX_PIPELINED = 8;
 
     private static final double OVERFLOW_RETRY_AFTER_MS = 1000;
     private static final byte[] NO_BODY = new byte[0];
-    /** Headers that concern one connection only. */
-    private static final List<CharSequence> HOP_BY_HOP = List.of(
+    /** Headers that apply to a single connection and are not forwarded. */
+    private static final List<CharSequence> HOP_BY_HOP_HEADERS = List.of(
             HttpHeaderNames.CONNECTION,
             "proxy-connection",
             "keep-alive",
@@ -50,25 +50,26 @@
             HttpHeaderNames.UPGRADE,
             HttpHeaderNames.EXPECT);
 
-    /** A request that was read and is not handed to the request tracker yet. */
-    private record Arrival(PendingResponse response, Request request, OutgoingRequest message) {}
+    /** A request that has been read but not yet submitted to the request tracker. */
+    private record QueuedRequest(PendingResponse response, Request request, OutgoingRequest message) {}
 
     private final SocketChannel channel;
     private final FrontendContext context;
     private final ConnectionGuard guard;
     private final RequestBodyCollector collector;
     private final ResponseQueue responses;
-    private final Deque<Arrival> arrivals = new ArrayDeque<>();
-    /** There is no room for this connection: its requests are rejected. */
-    private boolean surplus;
+    private final Deque<QueuedRequest> queuedRequests = new ArrayDeque<>();
+    /** Whether this connection exceeds the connection limit; its requests are rejected. */
+    private boolean overLimit;
 
-    private boolean hasSentRequest;
-    /** The response to the request whose body is still being received, or null. */
-    private PendingResponse receiving;
+    private boolean clientSentRequest;
+    /** The pending response to the request whose body is still being received, or null. */
+    private PendingResponse responseToIncompleteRequest;
 
+    /** Whether the channel is not read because the streamed body arrives faster than it is forwarded. */
     private boolean bodyPaused;
-    /** A request got its response before its body was complete. */
-    private boolean bodyCutShort;
+    /** Whether a request received its response before its body was complete. */
+    private boolean respondedBeforeBodyEnd;
 
     ClientConnection(SocketChannel channel, FrontendContext context) {
         this.channel = channel;
@@ -90,34 +91,39 @@
         return !responses.isEmpty();
     }
 
-    /** Reads what has arrived and was not read yet. */
-    void readNow() {
-        guard.readNow();
+    /** Reads the input that has arrived but has not been read yet. */
+    void readAvailable() {
+        guard.readAvailable();
     }
 
     void close() {
         channel.close();
     }
 
-    /** Closes the connection if nobody waits for anything on it, after a last look at what has arrived. */
-    void closeIfIdle(boolean letRequestFinish) {
-        if (isIdle(letRequestFinish)) {
-            guard.readNow();
+    /**
+     * Closes the connection if no response is pending on it. Input that has arrived is read first, so that a request in
+     * it is served.
+     *
+     * @param waitForPartialRequest whether a connection in the middle of a request stays open
+     */
+    void closeIfIdle(boolean waitForPartialRequest) {
+        if (isIdle(waitForPartialRequest)) {
+            guard.readAvailable();
         }
-        if (isIdle(letRequestFinish)) {
+        if (isIdle(waitForPartialRequest)) {
             channel.close();
         }
     }
 
-    private boolean isIdle(boolean letRequestFinish) {
-        boolean sendsRequest = letRequestFinish && guard.isInRequest();
-        return responses.isEmpty() && !responses.isClosing() && !sendsRequest;
+    private boolean isIdle(boolean waitForPartialRequest) {
+        boolean receivingRequest = waitForPartialRequest && guard.isInRequest();
+        return responses.isEmpty() && !responses.isClosing() && !receivingRequest;
     }
 
-    /** Whether the client is still connected, by a look at the connection now. */
+    /** Returns whether the client is still connected; reads available input first, unless a streamed body is paused. */
     boolean isClientConnected() {
         if (!bodyPaused) {
-            guard.readNow();
+            guard.readAvailable();
         }
         return channel.isActive();
     }
@@ -130,26 +136,26 @@
         channel.writeAndFlush(content);
     }
 
-    /** Reads no more requests: what the client sent is not HTTP, or not valid. */
+    /** Stops reading requests, after the client has sent an invalid one. */
     void stopReadingRequests() {
         collector.stop();
-        guard.ignoreInput();
+        guard.discardInput();
     }
 
-    /** If the body of this response's request is still being received: the rest of it is of no use any more. */
+    /** Discards the rest of the request body if it is still being received; returns whether it was. */
     boolean stopReceivingBodyOf(PendingResponse response) {
-        if (receiving != response) {
+        if (responseToIncompleteRequest != response) {
             return false;
         }
-        receiving = null;
-        bodyCutShort = true;
+        responseToIncompleteRequest = null;
+        respondedBeforeBodyEnd = true;
         collector.stop();
         return true;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        surplus = !context.connections().add(this);
+        overLimit = !context.connections().add(this);
     }
 
     @Override
@@ -162,7 +168,7 @@
     protected void channelRead0(ChannelHandlerContext ctx, RequestEvent event) {
         if (event instanceof BodyComplete) {
             onBodyComplete();
-        } else if (event instanceof InvalidInput invalid && receiving != null) {
+        } else if (event instanceof InvalidInput invalid && responseToIncompleteRequest != null) {
             onInvalidBody(invalid);
         } else {
             onRequest(event);
@@ -170,16 +176,16 @@
     }
 
     private void onBodyComplete() {
-        PendingResponse complete = receiving;
-        receiving = null;
+        PendingResponse complete = responseToIncompleteRequest;
+        responseToIncompleteRequest = null;
         guard.onRequestComplete();
         context.requestTracker()
                 .onRequestComplete(complete.requestId(), context.state().maxDeadlineMs());
     }
 
-    /** The body will not become complete: no endpoint has received all of it. */
+    /** Cancels the request whose body cannot be completed; no endpoint has received the whole body. */
     private void onInvalidBody(InvalidInput invalid) {
-        PendingResponse incomplete = receiving;
+        PendingResponse incomplete = responseToIncompleteRequest;
         context.requestTracker().onClientDisconnected(incomplete.requestId());
         incomplete.rejectInvalid(invalid.status(), invalid.reason());
     }
@@ -200,7 +206,7 @@
         } else if (responses.size() > MAX_PIPELINED) {
             response.rejectInvalid(HttpResponseStatus.TOO_MANY_REQUESTS, "too many requests ahead of answers");
         } else if (event instanceof StreamedRequest streamed) {
-            receiving = response;
+            responseToIncompleteRequest = response;
             route(response, streamed.head(), NO_BODY, streamed.body());
         } else if (event instanceof CompleteRequest complete) {
             route(response, complete.head(), complete.body(), null);
@@ -210,8 +216,8 @@
     private void route(PendingResponse response, HttpRequest request, byte[] body, StreamedRequestBody streamedBody) {
         boolean supportsChunks = request.protocolVersion().compareTo(HttpVersion.HTTP_1_1) >= 0;
         response.setConnectionOptions(HttpUtil.isKeepAlive(request), supportsChunks);
-        int query = request.uri().indexOf('?');
-        String path = query < 0 ? request.uri() : request.uri().substring(0, query);
+        int queryStart = request.uri().indexOf('?');
+        String path = queryStart < 0 ? request.uri() : request.uri().substring(0, queryStart);
         switch (path) {
             case "/api" -> accept(response, request, body, streamedBody);
             case "/health/ready" -> respondToHealthCheck(response);
@@ -237,18 +243,18 @@
             response.rejectInvalid(HttpResponseStatus.valueOf(e.status()), e.getMessage());
             return;
         }
-        if (surplus) {
+        if (overLimit) {
             response.closeConnectionAfterwards();
             response.onRejected(OVERFLOW_RETRY_AFTER_MS);
             return;
         }
-        hasSentRequest = true;
-        arrivals.add(new Arrival(response, accepted, outgoing(request, body, streamedBody)));
+        clientSentRequest = true;
+        queuedRequests.add(new QueuedRequest(response, accepted, toOutgoingRequest(request, body, streamedBody)));
         if (streamedBody != null) {
-            handOverArrivals();
-        } else if (arrivals.size() == 1) {
-            // Not while the connection is being read: a disconnect of the client shows only behind the request.
-            channel.eventLoop().execute(this::handOverArrivals);
+            submitQueuedRequests();
+        } else if (queuedRequests.size() == 1) {
+            // Deferred until the read is complete: a disconnect of the client is only visible after the request.
+            channel.eventLoop().execute(this::submitQueuedRequests);
         }
     }
 
@@ -258,38 +264,35 @@
                 .parse(new HttpRequestHead(request), context.scheduler().now(), state.maxDeadlineMs());
     }
 
-    private void handOverArrivals() {
-        for (Arrival next = arrivals.poll(); next != null; next = arrivals.poll()) {
-            // If the connection has ended in the meantime, nobody waits for the response.
+    private void submitQueuedRequests() {
+        for (QueuedRequest next = queuedRequests.poll(); next != null; next = queuedRequests.poll()) {
+            // If the connection has closed in the meantime, the response has been abandoned.
             if (responses.contains(next.response())) {
-                handOver(next);
+                submit(next);
             }
         }
     }
 
-    private void handOver(Arrival arrival) {
-        Request request = arrival.request();
+    private void submit(QueuedRequest queued) {
+        Request request = queued.request();
         if (context.requestTracker().isPending(request.id())) {
-            arrival.response()
+            queued.response()
                     .rejectInvalid(
                             HttpResponseStatus.CONFLICT,
                             RequestParser.REQUEST_ID_HEADER + " is that of a request in hand");
             return;
         }
-        arrival.response().setRequestId(request.id());
-        boolean incomplete = arrival.message().streamedBody() != null;
+        queued.response().setRequestId(request.id());
+        boolean incomplete = queued.message().streamedBody() != null;
         context.requestTracker()
-                .accept(
-                        request,
-                        context.endpointPool().transportFor(arrival.message()),
-                        arrival.response(),
-                        incomplete);
+                .accept(request, context.endpointPool().transportFor(queued.message()), queued.response(), incomplete);
     }
 
-    /** The request as it is forwarded; its own headers are reused, as nobody else needs them any more. */
-    private static OutgoingRequest outgoing(HttpRequest request, byte[] body, StreamedRequestBody streamedBody) {
+    /** Returns the request to forward. Modifies and reuses its headers, which are not needed afterwards. */
+    private static OutgoingRequest toOutgoingRequest(
+            HttpRequest request, byte[] body, StreamedRequestBody streamedBody) {
         HttpHeaders headers = request.headers();
-        for (CharSequence name : HOP_BY_HOP) {
+        for (CharSequence name : HOP_BY_HOP_HEADERS) {
             headers.remove(name);
         }
         if (body.length > 0) {
@@ -298,7 +301,7 @@
         return new OutgoingRequest(request.method(), request.uri(), headers, body, streamedBody);
     }
 
-    // ---- the body that is being received ----
+    // ---- streamed request body ----
 
     @Override
     public void setPaused(boolean paused) {
@@ -308,20 +311,21 @@
 
     @Override
     public void onSinkAttached() {
-        // Not among the responses to earlier requests: the client goes on by itself after a while.
-        if (responses.isNext(receiving)) {
+        // 100 Continue is omitted while earlier responses are pending; the client sends the body anyway after a while.
+        if (responses.isNext(responseToIncompleteRequest)) {
             channel.writeAndFlush(new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
     }
 
     /**
-     * Input is read in any case, to see the client's disconnect behind it; only a streamed body has to wait in the
-     * system, and a client that is not read in the middle of a body has sent no request yet.
+     * Updates input buffering and auto-read. Input is read even if it has to be buffered, because a disconnect is only
+     * visible after the bytes before it are read. Reading pauses only for a streamed body, whose bytes then wait in the
+     * socket buffer; its client has not sent a complete request at that point.
      */
     private void updateReading() {
         boolean closing = responses.isClosing();
-        guard.setHolding(!closing && (responses.size() >= MAX_PIPELINED || !channel.isWritable()));
+        guard.setInputBuffering(!closing && (responses.size() >= MAX_PIPELINED || !channel.isWritable()));
         channel.config().setAutoRead(closing || !bodyPaused);
     }
 
@@ -336,12 +340,12 @@
     @Override
     public void onLastResponse(ChannelFuture written) {
         collector.stop();
-        // What was not accepted by the end of the process never will be: until then no client is hurried.
+        // A request that is not accepted before this process exits never will be, so clients get the time until then.
         FrontendState state = context.state();
         double minLingerMs = state.isShuttingDown()
                 ? state.maxDeadlineMs() - context.scheduler().now()
                 : 0;
-        guard.closeAfter(written, bodyCutShort, minLingerMs);
+        guard.closeAfter(written, respondedBeforeBodyEnd, minLingerMs);
     }
 
     @Override
@@ -349,17 +353,17 @@
         if (responses.isClosing()) {
             abandonResponses();
         } else if (responses.isEmpty() && context.connections().contains(this)) {
-            if (hasSentRequest) {
+            if (clientSentRequest) {
                 context.connections().markIdle(this);
             } else {
                 context.connections().markExpendable(this);
             }
-            guard.onAllAnswered();
+            guard.onAllResponsesWritten();
         }
         updateReading();
     }
 
-    /** No more is written to this connection: the other requests on it have nobody to respond to. */
+    /** Abandons all pending responses, as nothing more is written to this connection. */
     private void abandonResponses() {
         List<PendingResponse> abandoned = responses.removeAll();
         if (context.connections().contains(this)) {
@@ -378,9 +382,9 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        // Connections of clients break all the time; only what is not the network's doing is worth a line.
+        // I/O errors on client connections are common, so only other exceptions are logged.
         if (!(cause instanceof IOException)) {
-            context.logger().logException("connection of a client", cause);
+            context.logger().logException("client connection failed", cause);
         }
         ctx.close();
     }
--- a/sidecar/src/main/java/martenlatch/frontend/http/ClientConnections.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/ClientConnections.java
@@ -5,43 +5,43 @@
 import java.util.Set;
 import martenlatch.request.RateLimitedLogger;
 
-/** The open client connections of one frontend: bounds their number, and picks those that make room for new ones. */
+/** The open client connections of a frontend: limits their number and evicts connections in favour of new ones. */
 final class ClientConnections {
 
-    /** Connections above the bound that are still accepted, to reject their requests in an orderly way. */
+    /** Connections accepted above the limit, so that their requests are rejected with a response. */
     static final int OVERFLOW_CONNECTIONS = 16;
 
-    private final int max;
+    private final int maxConnections;
     private final RateLimitedLogger logger;
     private final Set<ClientConnection> all = new LinkedHashSet<>();
-    /** Those that have sent no request yet or have had their last response, the oldest first. */
+    /** Connections that have sent no request yet or have received their last response, oldest first; evicted first. */
     private final Set<ClientConnection> expendable = new LinkedHashSet<>();
-    /** Those with no request in flight, the longest idle first. */
+    /** Connections that have sent requests but have none in flight, the longest idle first; evicted next. */
     private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
     private ClientListener listener;
 
-    ClientConnections(int max, RateLimitedLogger logger) {
-        this.max = max;
+    ClientConnections(int maxConnections, RateLimitedLogger logger) {
+        this.maxConnections = maxConnections;
         this.logger = logger;
     }
 
-    /** The listener that stops accepting while there is no room. */
-    void setListener(ClientListener accepting) {
-        listener = accepting;
+    /** Sets the listener, which stops accepting while the limit and its overflow are used up. */
+    void setListener(ClientListener clientListener) {
+        listener = clientListener;
     }
 
     boolean isListening() {
         return listener != null && listener.isActive();
     }
 
-    /** Adds a new connection; false if it is above the bound and its requests are to be rejected. */
+    /** Adds a new connection; returns false if it exceeds the limit and its requests must be rejected. */
     boolean add(ClientConnection connection) {
         all.add(connection);
-        boolean hasRoom = makeRoom();
+        boolean withinLimit = evictToLimit();
         expendable.add(connection);
         updateAccepting();
-        return hasRoom;
+        return withinLimit;
     }
 
     void remove(ClientConnection connection) {
@@ -63,6 +63,7 @@
         return List.copyOf(all);
     }
 
+    /** Protects a connection with a request in flight from eviction. */
     void markBusy(ClientConnection connection) {
         expendable.remove(connection);
         idle.remove(connection);
@@ -76,16 +77,19 @@
         expendable.add(connection);
     }
 
-    /** Closes connections until the bound holds; first those whose clients have never sent a request. */
-    private boolean makeRoom() {
-        while (all.size() > max) {
+    /**
+     * Closes expendable and then idle connections until the limit is met; returns false if it cannot be met. Available
+     * input is read before a connection is closed, so that a request that has arrived is not lost.
+     */
+    private boolean evictToLimit() {
+        while (all.size() > maxConnections) {
             Set<ClientConnection> candidates = expendable.isEmpty() ? idle : expendable;
             if (candidates.isEmpty()) {
                 return false;
             }
             ClientConnection candidate = candidates.iterator().next();
             candidates.remove(candidate);
-            candidate.readNow();
+            candidate.readAvailable();
             if (!candidate.hasPendingResponses()) {
                 all.remove(candidate);
                 candidate.close();
@@ -94,11 +98,12 @@
         return true;
     }
 
+    /** Accepts connections only while the limit and its overflow are not used up. */
     private void updateAccepting() {
-        boolean hasRoom = all.size() < max + OVERFLOW_CONNECTIONS;
-        if (!hasRoom) {
-            logger.log("no more connections are taken in", all.size() + " are open");
+        boolean withinLimit = all.size() < maxConnections + OVERFLOW_CONNECTIONS;
+        if (!withinLimit) {
+            logger.log("no more connections are accepted", all.size() + " are open");
         }
-        listener.config().setAutoRead(hasRoom);
+        listener.config().setAutoRead(withinLimit);
     }
 }
--- a/sidecar/src/main/java/martenlatch/frontend/http/ClientListener.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/ClientListener.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A listening socket that drops nobody: connections in the accept queue are accepted before it closes. */
+/** A listening socket that accepts the connections in its accept queue before it closes, so that none is reset. */
 final class ClientListener extends NioServerSocketChannel {
 
     private boolean closing;
 
     /**
-     * Accepts what is in the accept queue and closes, with nothing in between; to be called on the event loop. While a
-     * selector holds the socket, closing it leaves it open in the system, which goes on accepting for nobody: it is
-     * deregistered first, and closed when that is done.
+     * Accepts the connections in the accept queue and closes immediately afterwards; called on the event loop. The
+     * socket is deregistered first: while it is registered with a selector, closing it leaves it open in the kernel,
+     * which keeps accepting connections that nobody serves.
      */
     void acceptQueuedAndClose() {
         if (!closing) {
@@ -24,18 +24,18 @@
 
     private void closeOnceDeregistered() {
         if (javaChannel().isRegistered()) {
-            // The selector releases it in its next turn.
+            // The selector releases the socket in its next select operation.
             eventLoop().schedule(this::closeOnceDeregistered, 1, TimeUnit.MICROSECONDS);
             return;
         }
         List<Object> accepted = new ArrayList<>();
         try {
-            boolean mayBeMore = true;
-            while (mayBeMore && isActive()) {
-                mayBeMore = doReadMessages(accepted) > 0;
+            boolean mayHaveMore = true;
+            while (mayHaveMore && isActive()) {
+                mayHaveMore = doReadMessages(accepted) > 0;
             }
         } catch (Exception e) {
-            // No descriptor is left for them: the system ends them with the listener.
+            // Out of file descriptors: the kernel resets the remaining connections when the listener closes.
             pipeline().fireExceptionCaught(e);
         }
         close();
--- a/sidecar/src/main/java/martenlatch/frontend/http/ConnectionGuard.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/ConnectionGuard.java
@@ -10,63 +10,71 @@
 import java.util.Deque;
 
 /**
- * Stands before the decoder on a client's connection: bounds the time that it may be open without a complete request,
- * holds input that comes too early, and ends the connection in a way that lets the last response arrive.
+ * The first handler of a client connection, before the decoder. It enforces time limits on incomplete requests and idle
+ * connections, buffers input that cannot be processed yet, and closes the connection so that the last response arrives.
  */
 final class ConnectionGuard extends ChannelInboundHandlerAdapter {
 
-    /** The event that a request has started and was not completed in time. */
+    /** The user event fired when a request has started but was not completed in time. */
     static final Object REQUEST_TIMEOUT = new Object();
 
-    /** A head must be complete so long after its first byte, the first one so long after the connect. */
+    /** The time limit for a request head, from its first byte; for the first request, from the connect. */
     private static final int HEAD_TIMEOUT_MS = 2500;
-    /** A body must arrive at this rate, and may fall behind it by what would arrive in two seconds. */
+    /** The minimum rate of a request body; it may fall behind by the bytes of two seconds. */
     private static final int MIN_BODY_BYTES_PER_MS = 16;
 
-    private static final int MAX_BEHIND_BYTES = 2000 * MIN_BODY_BYTES_PER_MS;
-    private static final int BODY_CHECK_MS = 250;
-    /** An idle connection is closed after this time. */
+    private static final int MAX_RATE_DEFICIT_BYTES = 2000 * MIN_BODY_BYTES_PER_MS;
+    private static final int BODY_RATE_CHECK_INTERVAL_MS = 250;
+    /** The time after which an idle connection is closed. */
     private static final int IDLE_TIMEOUT_MS = 5000;
-    /** Input after the last response is read for this long, so that no reset destroys the response. */
+    /**
+     * Input is read for this long after the last response, as closing over unread input resets the connection and
+     * destroys a response that the client has not read.
+     */
     private static final int LINGER_MS = 300;
 
     private static final int MAX_LINGER_BYTES = 256 * 1024;
-    /** The same for a client in the middle of a long body, which may look for a response only now and then. */
+    /** The linger time for a client that is sending a body, as it may check for a response only occasionally. */
     private static final int BODY_LINGER_MS = 2000;
 
     private static final long MAX_BODY_LINGER_BYTES = RequestBodyCollector.MAX_BODY_BYTES;
     /**
-     * Input that is not taken yet is held here and not in the system: behind unread bytes nobody sees that the client
-     * has left. A client that sends more than this is far ahead of its responses.
+     * The limit on buffered input, above which it is processed in any case. Input is buffered here rather than left in
+     * the socket buffer, because a disconnect is only visible after all bytes before it are read. Only a client that
+     * pipelines excessively exceeds this limit.
      */
-    private static final int MAX_HELD_BYTES = 16 * 1024;
+    private static final int MAX_BUFFERED_BYTES = 16 * 1024;
 
     private final SocketChannel channel;
     private final LazyDeadline deadline;
-    private final Deque<ByteBuf> held = new ArrayDeque<>();
-    private int heldBytes;
-    private boolean holding;
+    private final Deque<ByteBuf> bufferedInput = new ArrayDeque<>();
+    private int bufferedBytes;
+    /** Whether new input is buffered instead of being passed to the decoder. */
+    private boolean bufferingInput;
+
     private ChannelHandlerContext context;
-    /** A request has started and is not complete yet. */
+    /** Whether a request has started and is not complete yet. */
     private boolean inRequest;
-    /** Its head is complete. */
+    /** Whether the head of that request is complete. */
     private boolean inBody;
-    /** All requests are answered and no other has started. */
+    /** Whether all responses are written and no other request has started. */
     private boolean idle;
-    /** Something was read since this was last reset. */
-    private boolean readSomething;
-    /** Input is being passed on: the channel must not be read again from within. */
+    /** Whether any input was read since this was last reset. */
+    private boolean receivedInput;
+    /** Whether input is being processed, during which the channel must not be read again. */
     private boolean reading;
 
-    private boolean ignoringInput;
-    /** The last response has been handed over. */
+    /** Whether all input is discarded. */
+    private boolean discardingInput;
+    /** Whether the last response has been passed to the channel. */
     private boolean closing;
-    /** A body was still being received when its connection was ended. */
-    private boolean bodyCutShort;
+    /** Whether the connection was closed while a request body was still being received. */
+    private boolean closedDuringBody;
 
-    private long ignoredBytes;
-    /** By how many bytes the body has fallen behind the minimum rate. */
-    private long behindBytes;
+    /** The number of bytes discarded since the last response was passed to the channel. */
+    private long discardedBytes;
+    /** The number of bytes by which the body has fallen behind the minimum rate; negative if it is ahead. */
+    private long rateDeficitBytes;
 
     ConnectionGuard(SocketChannel channel) {
         this.channel = channel;
@@ -85,63 +93,64 @@
     }
 
     private void onDeadline() {
-        boolean receiving = inRequest && !ignoringInput;
-        if (receiving && inBody && keepsRate(deadline.durationMs())) {
-            deadline.start(BODY_CHECK_MS);
+        boolean receiving = inRequest && !discardingInput;
+        if (receiving && inBody && meetsMinBodyRate(deadline.durationMs())) {
+            deadline.start(BODY_RATE_CHECK_INTERVAL_MS);
         } else if (receiving) {
             context.fireUserEventTriggered(REQUEST_TIMEOUT);
-        } else if (ignoringInput || !readNow()) {
+        } else if (discardingInput || !readAvailable()) {
             channel.close();
         } else if (inRequest && !deadline.isRunning()) {
             deadline.start(HEAD_TIMEOUT_MS);
         }
     }
 
-    /** Whether a body has arrived fast enough; time in which it was not read does not count. */
-    private boolean keepsRate(int elapsedMs) {
+    /** Returns whether the body has arrived fast enough; time during which it was not read does not count. */
+    private boolean meetsMinBodyRate(int elapsedMs) {
         if (channel.config().isAutoRead()) {
-            behindBytes = Math.max(0, behindBytes + (long) elapsedMs * MIN_BODY_BYTES_PER_MS);
+            rateDeficitBytes = Math.max(0, rateDeficitBytes + (long) elapsedMs * MIN_BODY_BYTES_PER_MS);
         }
-        return behindBytes <= MAX_BEHIND_BYTES;
+        return rateDeficitBytes <= MAX_RATE_DEFICIT_BYTES;
     }
 
     /**
-     * Reads what has arrived and waits in the system; on the event loop, and not while anything is being read. Closing
-     * a connection over unread bytes would cut off a request that had arrived. True if there was something.
+     * Reads the input available in the socket buffer and returns whether there was any. Called on the event loop, it
+     * has no effect while other input is being processed. Closing a connection over unread input would lose a request
+     * that had arrived.
      */
-    boolean readNow() {
-        readSomething = false;
+    boolean readAvailable() {
+        receivedInput = false;
         if (channel.isActive() && !reading) {
             ((AbstractNioChannel) channel).unsafe().read();
         }
-        return readSomething;
+        return receivedInput;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         ByteBuf bytes = (ByteBuf) message;
-        readSomething = true;
+        receivedInput = true;
         reading = true;
-        if (ignoringInput) {
-            ignore(bytes);
+        if (discardingInput) {
+            discard(bytes);
             return;
         }
         if (!inRequest) {
             onRequestStarted();
         }
-        behindBytes -= bytes.readableBytes();
-        if (holding || !held.isEmpty()) {
-            hold(bytes);
+        rateDeficitBytes -= bytes.readableBytes();
+        if (bufferingInput || !bufferedInput.isEmpty()) {
+            buffer(bytes);
         } else {
             ctx.fireChannelRead(bytes);
         }
     }
 
-    private void ignore(ByteBuf bytes) {
-        // Until the last response is written, any amount is read to see the disconnect behind it; nothing is kept.
-        ignoredBytes += closing ? bytes.readableBytes() : 0;
+    private void discard(ByteBuf bytes) {
+        // Until the last response is passed to the channel, any amount is read to detect a disconnect after it.
+        discardedBytes += closing ? bytes.readableBytes() : 0;
         bytes.release();
-        if (ignoredBytes > (bodyCutShort ? MAX_BODY_LINGER_BYTES : MAX_LINGER_BYTES)) {
+        if (discardedBytes > (closedDuringBody ? MAX_BODY_LINGER_BYTES : MAX_LINGER_BYTES)) {
             channel.close();
         }
     }
@@ -160,34 +169,36 @@
         ctx.fireChannelReadComplete();
     }
 
-    // ---- input that is held ----
+    // ---- buffered input ----
 
-    private void hold(ByteBuf bytes) {
-        held.add(bytes);
-        heldBytes += bytes.readableBytes();
-        holding &= heldBytes <= MAX_HELD_BYTES;
-        if (!holding) {
-            passHeldInput();
+    private void buffer(ByteBuf bytes) {
+        bufferedInput.add(bytes);
+        bufferedBytes += bytes.readableBytes();
+        bufferingInput &= bufferedBytes <= MAX_BUFFERED_BYTES;
+        if (!bufferingInput) {
+            forwardBufferedInput();
         }
     }
 
-    /** Holds all input from now on, or passes on what was held. */
-    void setHolding(boolean hold) {
-        if (holding && !hold && !held.isEmpty()) {
-            // Not at once: this may be called while earlier input is being handled.
+    /** Starts buffering all input, or stops and forwards the buffered input to the decoder. */
+    void setInputBuffering(boolean enabled) {
+        if (bufferingInput && !enabled && !bufferedInput.isEmpty()) {
+            // Deferred, as this may be called while earlier input is being processed.
             channel.eventLoop().execute(() -> {
-                if (!holding && channel.isActive()) {
-                    passHeldInput();
+                if (!bufferingInput && channel.isActive()) {
+                    forwardBufferedInput();
                 }
             });
         }
-        holding = hold;
+        bufferingInput = enabled;
     }
 
-    private void passHeldInput() {
-        for (ByteBuf bytes = held.poll(); bytes != null; bytes = holding ? null : held.poll()) {
-            heldBytes -= bytes.readableBytes();
-            if (ignoringInput) {
+    private void forwardBufferedInput() {
+        for (ByteBuf bytes = bufferedInput.poll();
+                bytes != null;
+                bytes = bufferingInput ? null : bufferedInput.poll()) {
+            bufferedBytes -= bytes.readableBytes();
+            if (discardingInput) {
                 bytes.release();
             } else {
                 context.fireChannelRead(bytes);
@@ -196,26 +207,26 @@
         context.fireChannelReadComplete();
     }
 
-    private void releaseHeldInput() {
-        held.forEach(ByteBuf::release);
-        held.clear();
-        heldBytes = 0;
+    private void releaseBufferedInput() {
+        bufferedInput.forEach(ByteBuf::release);
+        bufferedInput.clear();
+        bufferedBytes = 0;
     }
 
-    // ---- what the other handlers tell ----
+    // ---- called by the other handlers ----
 
-    /** The head of a request is complete: its body has another time limit. */
+    /** Called when the head of a request is complete; from then on the minimum body rate applies. */
     void onHeadComplete() {
         inBody = true;
-        behindBytes = 0;
+        rateDeficitBytes = 0;
     }
 
-    /** Whether a request has started and is not complete yet. */
+    /** Returns whether a request has started and is not complete yet. */
     boolean isInRequest() {
         return inRequest;
     }
 
-    /** A request is complete: until it is answered there is no time limit here. */
+    /** Called when a request is complete; no time limit applies here until its response is written. */
     void onRequestComplete() {
         inRequest = false;
         inBody = false;
@@ -223,36 +234,37 @@
         deadline.stop();
     }
 
-    /** All requests are answered. */
-    void onAllAnswered() {
-        if (!ignoringInput && channel.isActive()) {
+    /** Called when all responses are written; starts the time limit for the next request or for being idle. */
+    void onAllResponsesWritten() {
+        if (!discardingInput && channel.isActive()) {
             idle = !inRequest;
             deadline.start(inRequest ? HEAD_TIMEOUT_MS : IDLE_TIMEOUT_MS);
         }
     }
 
-    /** Input that arrives from now on is dropped. */
-    void ignoreInput() {
-        ignoringInput = true;
-        releaseHeldInput();
+    /** Discards the buffered input and all input that arrives from now on. */
+    void discardInput() {
+        discardingInput = true;
+        releaseBufferedInput();
     }
 
     /**
-     * Closes the connection after its last response is written, in a way that lets that response arrive.
+     * Closes the connection after its last response is written: first the output side, then, after a linger time in
+     * which input is discarded, the whole connection, so that no reset destroys the response.
      *
-     * @param inBody whether the client is in the middle of a body
-     * @param minLingerMs how long the client has at least to read the response and to close its side
+     * @param duringBody whether a request body is still being received
+     * @param minLingerMs the minimum time for the client to read the response and close its side
      */
-    void closeAfter(ChannelFuture lastResponse, boolean inBody, double minLingerMs) {
-        ignoreInput();
+    void closeAfter(ChannelFuture lastResponse, boolean duringBody, double minLingerMs) {
+        discardInput();
         closing = true;
-        bodyCutShort = inBody;
+        closedDuringBody = duringBody;
         channel.config().setAutoRead(true);
         deadline.start(HEAD_TIMEOUT_MS);
         lastResponse.addListener(written -> {
             if (written.isSuccess()) {
                 channel.shutdownOutput();
-                deadline.start(Math.max((int) minLingerMs, inBody ? BODY_LINGER_MS : LINGER_MS));
+                deadline.start(Math.max((int) minLingerMs, duringBody ? BODY_LINGER_MS : LINGER_MS));
             } else {
                 channel.close();
             }
@@ -261,7 +273,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        releaseHeldInput();
+        releaseBufferedInput();
         deadline.close();
         ctx.fireChannelInactive();
     }
--- a/sidecar/src/main/java/martenlatch/frontend/http/Frontend.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/Frontend.java
@@ -18,10 +18,10 @@
 import martenlatch.request.Scheduler;
 import martenlatch.upstream.EndpointPool;
 
-/** The HTTP/1.1 frontend: listens for clients, and takes their connections through its own life cycle. */
+/** The HTTP/1.1 frontend: listens for clients and manages their connections from start-up until shutdown. */
 public final class Frontend {
 
-    /** Connections above the bound that are still accepted, to reject their requests in an orderly way. */
+    /** Connections accepted above the limit, so that their requests are rejected with a response. */
     public static final int OVERFLOW_CONNECTIONS = ClientConnections.OVERFLOW_CONNECTIONS;
 
     private static final int ACCEPT_QUEUE_LENGTH = 1024;
@@ -39,7 +39,7 @@
     /**
      * Creates a frontend that does not listen yet.
      *
-     * @param maxConnections the largest number of client connections, without {@link #OVERFLOW_CONNECTIONS}
+     * @param maxConnections the maximum number of client connections, not counting {@link #OVERFLOW_CONNECTIONS}
      */
     public Frontend(
             EventLoop loop,
@@ -59,14 +59,14 @@
         context = new FrontendContext(scheduler, logger, requestTracker, endpointPool, bodyMemory, connections, state);
     }
 
-    /** Listens for clients; the future tells whether that was possible. */
+    /** Listens for clients; the future fails if the address cannot be bound. */
     public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop)
                 .channelFactory(ClientListener::new)
                 .option(ChannelOption.SO_BACKLOG, ACCEPT_QUEUE_LENGTH)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                // During an upgrade the old process and the new one listen at the same time.
+                // During an upgrade the old and the new process listen at the same time.
                 .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
                 .childOption(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Logs why no connection could be accepted, mostly because no descriptor is left. Logged here, as Netty's own
-     * logger needs a descriptor for its first line, and without one ends the event loop.
+     * Logs failures to accept a connection, usually for lack of file descriptors. Netty's own logger is not used: it
+     * needs a descriptor for its first line, and without one terminates the event loop.
      */
     private final class AcceptFailureLogger extends ChannelInboundHandlerAdapter {
         @Override
@@ -97,22 +97,22 @@
         }
     }
 
-    /** The code has run often enough to be fast: from now on the frontend may be ready. */
+    /** Called when the warm-up is complete; the frontend is not ready before. */
     public void markWarm() {
         state.markWarm();
     }
 
-    /** Requests that arrive from now on are parsed by these settings. */
+    /** Applies settings to requests that arrive from now on. */
     public void applySettings(BalancerSettings settings) {
         state.applySettings(settings);
     }
 
-    /** Whether clients may come. */
+    /** Returns whether the frontend is ready for clients, as reported to health checks. */
     public boolean isReady() {
         return context.isReady();
     }
 
-    /** Goes on serving, but every request has its final answer within this time; the frontend is not ready any more. */
+    /** Begins a shutdown: requests are still served, with a final response within this time, but readiness ends. */
     public void drain(double remainingMs) {
         double endMs = scheduler.now() + remainingMs;
         state.beginShutdown(endMs);
@@ -120,8 +120,9 @@
     }
 
     /**
-     * As {@link #drain}, where another process serves this address: new connections go to that one, and clients with a
-     * connection go there after their next response.
+     * Begins a shutdown as {@link #drain} does, where another process serves the same address. The frontend stays
+     * ready, the listener closes so that new connections reach the other process, and each response is the last on its
+     * connection.
      */
     public void handOver(double remainingMs) {
         drain(remainingMs);
@@ -130,22 +131,22 @@
     }
 
     /**
-     * Sends clients away, or takes them again: the frontend is not ready, and each response is the last on its
-     * connection. The listener stays open, for clients that are still arriving and for health checks.
+     * Starts or ends a drain by operators: while it lasts the frontend is not ready, and each response is the last on
+     * its connection. The listener stays open for clients that still connect and for health checks.
      */
     public void goAway(boolean away) {
-        state.setGoingAway(away);
+        state.setOperatorDrain(away);
     }
 
-    /** Accepts the connections in the accept queue, and no more. */
+    /** Accepts the connections in the accept queue and closes the listener. */
     public void closeListener() {
         listener.acceptQueuedAndClose();
     }
 
     /**
-     * From now on each response is the last on its connection, and connections without a request in flight are closed.
-     * A client that is sending a request is let finish: its last byte may be on its way. A process that shuts down
-     * lets it until every request has to be answered; what is not complete by then was never accepted.
+     * Closes connections without a request in flight, and makes each response the last on its connection. A partially
+     * received request may still be completed, as its last byte may be in transit. In a shutdown without a successor
+     * such a connection is closed when the deadline of all requests is reached, as the request was never accepted.
      */
     public void closeIdleClients() {
         state.closeConnections();
@@ -155,13 +156,13 @@
         }
     }
 
-    private void closeIdleConnections(boolean letRequestsFinish) {
+    private void closeIdleConnections(boolean waitForPartialRequests) {
         for (ClientConnection connection : connections.all()) {
-            connection.closeIfIdle(letRequestsFinish);
+            connection.closeIfIdle(waitForPartialRequests);
         }
     }
 
-    /** Accepts no more, and closes connections without a request in flight. */
+    /** Stops accepting connections and closes those without a request in flight. */
     public void close() {
         if (listener != null) {
             closeListener();
@@ -169,12 +170,12 @@
         closeIdleClients();
     }
 
-    /** The memory that collected bodies hold, in bytes; 0 when all requests are answered. */
+    /** Returns the memory reserved for collected bodies, in bytes; 0 when all requests have a response. */
     public long bodyBytesHeld() {
-        return bodyMemory.heldBytes();
+        return bodyMemory.reservedBytes();
     }
 
-    /** Whether no client is left and none can come: the accept queue has to be emptied first. */
+    /** Returns whether no client is connected and the listener, including its accept queue, is closed. */
     public boolean isDrained() {
         return connections.isEmpty() && !listener.isOpen();
     }
--- a/sidecar/src/main/java/martenlatch/frontend/http/FrontendContext.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/FrontendContext.java
@@ -6,15 +6,15 @@
 import martenlatch.upstream.EndpointPool;
 
 /**
- * What the connections of a frontend share.
+ * The components shared by all connections of a frontend.
  *
  * @param scheduler the clock and timers of the event loop
- * @param logger for what operators should see
- * @param requestTracker takes the requests
- * @param endpointPool sends their attempts
- * @param bodyMemory bounds the memory of bodies
+ * @param logger the log for operators
+ * @param requestTracker accepts the requests
+ * @param endpointPool sends the attempts of the requests
+ * @param bodyMemory limits the memory of collected bodies
  * @param connections all client connections
- * @param state whether and how requests are taken
+ * @param state readiness, shutdown and settings
  */
 record FrontendContext(
         Scheduler scheduler,
@@ -25,7 +25,7 @@
         ClientConnections connections,
         FrontendState state) {
 
-    /** Whether clients may come. */
+    /** Returns whether the frontend is ready for clients. */
     boolean isReady() {
         return state.isReady(connections.isListening(), requestTracker.knowsEndpoints());
     }
--- a/sidecar/src/main/java/martenlatch/frontend/http/HttpResponses.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/HttpResponses.java
@@ -14,41 +14,41 @@
 import java.nio.charset.StandardCharsets;
 import martenlatch.request.EndpointResponse;
 
-/** Creates the responses to clients. */
+/** Factory methods for the responses to clients. */
 final class HttpResponses {
 
     private HttpResponses() {}
 
-    /** A response whose body is one line of text. */
+    /** Returns a response whose body is one line of text. */
     static FullHttpResponse ofText(HttpResponseStatus status, String line) {
         return complete(status, Unpooled.wrappedBuffer((line + "\n").getBytes(StandardCharsets.US_ASCII)));
     }
 
-    /** The complete response of an endpoint, passed on. */
+    /** Returns the response for a complete response of an endpoint. */
     static FullHttpResponse served(EndpointResponse response) {
         FullHttpResponse served = complete(HttpResponseStatus.OK, Unpooled.wrappedBuffer(response.body()));
         setContentType(served, response);
         return served;
     }
 
-    /** The head of an endpoint's response whose body is still being received. */
+    /** Returns the head for an endpoint's response whose body is still being received. */
     static HttpResponse streamedHead(EndpointResponse response) {
         HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         setContentType(head, response);
         return head;
     }
 
-    /** A rejection; a {@code retryAfterMs} above 0 tells the client when to come back. */
+    /** Returns a rejection, with a Retry-After header if {@code retryAfterMs} is above 0. */
     static FullHttpResponse rejected(double retryAfterMs) {
         FullHttpResponse rejection = ofText(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
         if (retryAfterMs > 0) {
-            rejection.headers().set(HttpHeaderNames.RETRY_AFTER, seconds(retryAfterMs));
+            rejection.headers().set(HttpHeaderNames.RETRY_AFTER, formatSeconds(retryAfterMs));
         }
         return rejection;
     }
 
-    /** Seconds with three decimal places; a formatter would cost as much as all the rest of a rejection. */
-    private static String seconds(double ms) {
+    /** Formats a time as seconds with three decimal places; a Formatter would double the cost of a rejection. */
+    private static String formatSeconds(double ms) {
         long whole = Math.round(ms);
         return whole / 1000 + "." + Long.toString(1000 + whole % 1000).substring(1);
     }
--- a/sidecar/src/main/java/martenlatch/frontend/http/LazyDeadline.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/LazyDeadline.java
@@ -5,15 +5,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One deadline that is moved often. A timer that is due no later than the new deadline is kept and checks the deadline
- * when it fires: a connection in use would otherwise start and cancel one with every request.
+ * A deadline that is moved often. A timer that is due no later than the new deadline is kept and rescheduled when it
+ * fires; otherwise a connection in use would start and cancel a timer with every request.
  */
 final class LazyDeadline {
 
     private final EventExecutor executor;
     private final Runnable onDue;
     private Future<?> timer;
-    private long timerNanos;
+    private long timerDueNanos;
     private boolean running;
     private long dueNanos;
     private int durationMs;
@@ -23,12 +23,12 @@
         this.onDue = onDue;
     }
 
-    /** Starts the deadline, or moves it. */
+    /** Starts the deadline, or moves it to {@code ms} from now. */
     void start(int ms) {
         running = true;
         durationMs = ms;
         dueNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
-        if (timer != null && timerNanos - dueNanos > 0) {
+        if (timer != null && timerDueNanos - dueNanos > 0) {
             cancelTimer();
         }
         if (timer == null) {
@@ -36,12 +36,12 @@
         }
     }
 
-    /** From now on there is no deadline. */
+    /** Clears the deadline; a running timer has no effect when it fires. */
     void stop() {
         running = false;
     }
 
-    /** Stops for good. */
+    /** Clears the deadline and cancels the timer. */
     void close() {
         running = false;
         cancelTimer();
@@ -51,13 +51,13 @@
         return running;
     }
 
-    /** How long the deadline was when it was started, in milliseconds. */
+    /** Returns the duration that the deadline was last started with, in milliseconds. */
     int durationMs() {
         return durationMs;
     }
 
     private void startTimer() {
-        timerNanos = dueNanos;
+        timerDueNanos = dueNanos;
         timer = executor.schedule(this::onTimer, dueNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
     }
 
--- a/sidecar/src/main/java/martenlatch/frontend/http/PendingResponse.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/PendingResponse.java
@@ -9,36 +9,36 @@
 import martenlatch.request.RemainingBody;
 import martenlatch.request.ResponseListener;
 
-/** The response that one request on a connection will get. */
+/** The response to one request of a client connection, from the arrival of the request until it is written. */
 final class PendingResponse implements ResponseListener, RemainingBody.Receiver {
 
     private final ClientConnection connection;
     private final BodyMemoryBudget bodyMemory;
-    /** The id of a request that was accepted, or null. */
+    /** The id of the request once it is accepted by the request tracker, or null. */
     private String requestId;
 
     private boolean keepAlive;
-    private boolean supportsChunks;
-    /** The size of the request's body as it counts against the budget, in bytes. */
+    private boolean supportsChunked;
+    /** The size of the collected request body that is reserved in the memory budget, in bytes. */
     private int bodyBytes;
 
     private HttpResponse response;
-    /** The part of the body that is still being received, or null. */
+    /** The part of the response body that is still being received from the endpoint, or null. */
     private RemainingBody remainingBody;
-    /** Only the end of the connection ends the body. */
-    private boolean endsWithConnection;
+    /** Whether the end of the response body is marked only by closing the connection. */
+    private boolean closeDelimited;
 
-    private boolean last;
+    private boolean lastOnConnection;
 
     PendingResponse(ClientConnection connection, BodyMemoryBudget bodyMemory) {
         this.connection = connection;
         this.bodyMemory = bodyMemory;
     }
 
-    /** What the request says of the connection, and of the responses that its client understands. */
-    void setConnectionOptions(boolean keepsAlive, boolean understandsChunks) {
+    /** Sets whether the request keeps the connection alive and whether its client supports chunked responses. */
+    void setConnectionOptions(boolean keepsAlive, boolean clientSupportsChunked) {
         keepAlive = keepsAlive;
-        supportsChunks = understandsChunks;
+        supportsChunked = clientSupportsChunked;
     }
 
     void setBodyBytes(int bytes) {
@@ -49,45 +49,51 @@
         requestId = id;
     }
 
+    /** Returns the id of the request, or null if it was not accepted. */
     String requestId() {
         return requestId;
     }
 
-    /** The head and, if it is complete, the body; null until there is a response. */
+    /** Returns the head, with the body if that is complete; null until the response is ready. */
     HttpResponse response() {
         return response;
     }
 
+    /** Returns the part of the body that is still being received, or null. */
     RemainingBody remainingBody() {
         return remainingBody;
     }
 
+    /** Returns whether the response can be written. */
     boolean isReady() {
         return response != null;
     }
 
+    /** Returns whether the request was accepted and has no response yet. */
     boolean isAwaited() {
         return requestId != null && response == null;
     }
 
-    boolean endsWithConnection() {
-        return endsWithConnection;
+    /** Returns whether the end of the body is marked only by closing the connection. */
+    boolean closeDelimited() {
+        return closeDelimited;
     }
 
-    /** Decides, when it is written, whether it is the last on its connection. */
-    void decideLast(boolean closing) {
-        last = !keepAlive || closing;
+    /** Decides whether this is the last response on its connection; called immediately before it is written. */
+    void decideLastOnConnection(boolean connectionClosing) {
+        lastOnConnection = !keepAlive || connectionClosing;
     }
 
-    boolean isLast() {
-        return last;
+    boolean isLastOnConnection() {
+        return lastOnConnection;
     }
 
-    /** No request is accepted after this one. */
+    /** Closes the connection after this response. */
     void closeConnectionAfterwards() {
         keepAlive = false;
     }
 
+    /** Releases the reserved memory of the request body; further calls have no effect. */
     void releaseBodyMemory() {
         bodyMemory.release(bodyBytes);
         bodyBytes = 0;
@@ -112,10 +118,10 @@
         HttpResponse head = HttpResponses.streamedHead(endpointResponse);
         if (remainingBody.length() >= 0) {
             HttpUtil.setContentLength(head, remainingBody.length());
-        } else if (supportsChunks) {
+        } else if (supportsChunked) {
             HttpUtil.setTransferEncodingChunked(head, true);
         } else {
-            endsWithConnection = true;
+            closeDelimited = true;
             keepAlive = false;
         }
         respond(head);
@@ -153,13 +159,14 @@
         respond(HttpResponses.ofText(HttpResponseStatus.BAD_GATEWAY, "failed"));
     }
 
-    /** Responds to what is not a request; nothing more is read from a client that sends such. */
+    /** Rejects an invalid request and stops reading from its connection. */
     void rejectInvalid(HttpResponseStatus status, String reason) {
         keepAlive = false;
         connection.stopReadingRequests();
         respond(HttpResponses.ofText(status, reason));
     }
 
+    /** Sets the response and writes it as soon as the responses before it are written. */
     void respond(HttpResponse finalResponse) {
         response = finalResponse;
         releaseBodyMemory();
--- a/sidecar/src/main/java/martenlatch/frontend/http/RequestBodyCollector.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/RequestBodyCollector.java
@@ -25,8 +25,8 @@
 import martenlatch.upstream.StreamedRequestBody;
 
 /**
- * Turns decoded HTTP objects into {@link RequestEvent}s: complete requests or, where a body is long or there is no
- * memory to collect it, requests whose body is streamed while it is received.
+ * Converts decoded HTTP objects into {@link RequestEvent}s. A request is emitted with its complete body; if the body is
+ * large or the memory budget is exhausted, it is emitted early and its body is streamed while it is received.
  */
 final class RequestBodyCollector extends ChannelInboundHandlerAdapter {
 
@@ -40,16 +40,19 @@
     private final BodyMemoryBudget memory;
     private final StreamedRequestBody.Source client;
     private HttpRequest head;
-    /** Read with the head: one that is forwarded loses the headers that concern this connection alone. */
+    /** Whether the request keeps the connection alive; read early, as forwarding removes hop-by-hop headers. */
     private boolean keepAlive;
 
-    /** What has been collected of the body. */
+    /** The part of the body collected so far; null if no body is being collected. */
     private ByteBuf collected;
-    /** The body that is being streamed, or null, and how much of it was received. */
-    private StreamedRequestBody streamed;
+    /** The body that is being streamed, or null. */
+    private StreamedRequestBody streamedBody;
 
+    /** The number of bytes received of the streamed body. */
     private long streamedBytes;
-    private boolean owesContinue;
+    /** Whether the client waits for {@code 100 Continue}. */
+    private boolean continuePending;
+    /** Whether all further input is discarded. */
     private boolean stopped;
 
     /** Creates a collector that pauses {@code client} when a body arrives faster than it can be forwarded. */
@@ -65,7 +68,7 @@
             if (!stopped
                     && message instanceof HttpObject part
                     && part.decoderResult().isFailure()) {
-                reject(ctx, undecodable(part.decoderResult().cause()));
+                reject(ctx, toInvalidInput(part.decoderResult().cause()));
             }
             if (!stopped && message instanceof HttpRequest request) {
                 onHead(ctx, request);
@@ -78,7 +81,7 @@
         }
     }
 
-    private static InvalidInput undecodable(Throwable cause) {
+    private static InvalidInput toInvalidInput(Throwable cause) {
         boolean tooLong = cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException;
         return tooLong
                 ? new InvalidInput(HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
@@ -88,7 +91,7 @@
     private void onHead(ChannelHandlerContext ctx, HttpRequest request) {
         String expectation = request.headers().get(HttpHeaderNames.EXPECT);
         long length = HttpUtil.getContentLength(request, 0L);
-        if (isAmbiguous(request.headers())) {
+        if (hasAmbiguousFraming(request.headers())) {
             reject(ctx, new InvalidInput(HttpResponseStatus.BAD_REQUEST, "ambiguous framing"));
         } else if (length > MAX_BODY_BYTES) {
             reject(ctx, TOO_LARGE);
@@ -98,7 +101,7 @@
             head = request;
             keepAlive = HttpUtil.isKeepAlive(request);
             guard.onHeadComplete();
-            owesContinue = expectation != null;
+            continuePending = expectation != null;
             streamedBytes = 0;
             collected = Unpooled.buffer(0, BodyMemoryBudget.MAX_COLLECTED_BYTES);
             if (length > BodyMemoryBudget.MAX_COLLECTED_BYTES) {
@@ -109,8 +112,8 @@
         }
     }
 
-    /** Where it is not plain where a body ends, another request may hide in it. */
-    private static boolean isAmbiguous(HttpHeaders headers) {
+    /** Returns whether the end of the body is ambiguous, which would allow request smuggling. */
+    private static boolean hasAmbiguousFraming(HttpHeaders headers) {
         List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (codings.isEmpty()) {
             return false;
@@ -121,15 +124,15 @@
     }
 
     private void sendContinue() {
-        if (owesContinue) {
-            owesContinue = false;
+        if (continuePending) {
+            continuePending = false;
             client.onSinkAttached();
         }
     }
 
     private void onContent(ChannelHandlerContext ctx, HttpContent content) {
         ByteBuf bytes = content.content();
-        if (streamed == null) {
+        if (streamedBody == null) {
             int size = collected.readableBytes();
             if (memory.tryGrow(size, size + bytes.readableBytes())) {
                 collected.writeBytes(bytes);
@@ -137,17 +140,17 @@
                 startStreaming(ctx);
             }
         }
-        // A request whose body is streamed may have been answered by now.
+        // Starting to stream the body may have led to a response, which stops this collector.
         if (stopped) {
             return;
         }
-        if (streamed != null && bytes.isReadable()) {
+        if (streamedBody != null && bytes.isReadable()) {
             streamedBytes += bytes.readableBytes();
             if (streamedBytes > MAX_BODY_BYTES) {
                 reject(ctx, TOO_LARGE);
                 return;
             }
-            streamed.offer(bytes.retain());
+            streamedBody.offer(bytes.retain());
         }
         if (content instanceof LastHttpContent) {
             onBodyComplete(ctx);
@@ -155,13 +158,13 @@
     }
 
     private void onBodyComplete(ChannelHandlerContext ctx) {
-        // Nothing is read after a request that says that it is the last.
+        // Nothing is read after a request that closes the connection.
         stopped = !keepAlive;
         HttpRequest request = head;
         head = null;
-        if (streamed != null) {
-            StreamedRequestBody complete = streamed;
-            streamed = null;
+        if (streamedBody != null) {
+            StreamedRequestBody complete = streamedBody;
+            streamedBody = null;
             ctx.fireChannelRead(new BodyComplete());
             complete.complete();
         } else {
@@ -171,9 +174,9 @@
         }
     }
 
-    /** From here on the body is streamed, what has been collected of it first. */
+    /** Switches from collecting to streaming the body, beginning with the part collected so far. */
     private void startStreaming(ChannelHandlerContext ctx) {
-        streamed = new StreamedRequestBody(HttpUtil.getContentLength(head, -1L), new StreamedRequestBody.Source() {
+        streamedBody = new StreamedRequestBody(HttpUtil.getContentLength(head, -1L), new StreamedRequestBody.Source() {
             @Override
             public void setPaused(boolean paused) {
                 client.setPaused(paused);
@@ -186,13 +189,13 @@
         });
         streamedBytes = collected.readableBytes();
         if (streamedBytes > 0) {
-            streamed.offer(Unpooled.copiedBuffer(collected));
+            streamedBody.offer(Unpooled.copiedBuffer(collected));
         }
-        releaseCollectedAndMemory();
-        ctx.fireChannelRead(new StreamedRequest(head, streamed));
+        releaseCollectedAndReservation();
+        ctx.fireChannelRead(new StreamedRequest(head, streamedBody));
     }
 
-    private void releaseCollectedAndMemory() {
+    private void releaseCollectedAndReservation() {
         if (collected != null) {
             memory.release(collected.readableBytes());
         }
@@ -206,14 +209,14 @@
         }
     }
 
-    /** Takes nothing more from this connection. */
+    /** Discards all further input of this connection and aborts the body that is being received. */
     void stop() {
         stopped = true;
-        releaseCollectedAndMemory();
+        releaseCollectedAndReservation();
         head = null;
-        if (streamed != null) {
-            StreamedRequestBody aborted = streamed;
-            streamed = null;
+        if (streamedBody != null) {
+            StreamedRequestBody aborted = streamedBody;
+            streamedBody = null;
             aborted.abort();
         }
     }
--- a/sidecar/src/main/java/martenlatch/frontend/http/RequestEvent.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/RequestEvent.java
@@ -4,19 +4,19 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import martenlatch.upstream.StreamedRequestBody;
 
-/** What the input of a client's connection amounts to. */
+/** An event decoded from the input of a client connection. */
 sealed interface RequestEvent {
 
-    /** A complete request; its body holds memory until it is answered. */
-    @SuppressWarnings("ArrayRecordComponent") // the body is passed on without a copy, and requests are not compared
+    /** A complete request; its body holds reserved memory until the response is ready. */
+    @SuppressWarnings("ArrayRecordComponent") // the body is passed on without a copy, and events are not compared
     record CompleteRequest(HttpRequest head, byte[] body) implements RequestEvent {}
 
-    /** A request whose body is still being received. */
+    /** The head of a request whose body is still being received and is streamed. */
     record StreamedRequest(HttpRequest head, StreamedRequestBody body) implements RequestEvent {}
 
-    /** The body of the streamed request is complete. */
+    /** The completion of the body of the last streamed request. */
     record BodyComplete() implements RequestEvent {}
 
-    /** The first thing that is not a request, too large, or ambiguous: nothing is read of the connection after it. */
+    /** Input that is malformed, too large, ambiguous or too slow; nothing after it is read from the connection. */
     record InvalidInput(HttpResponseStatus status, String reason) implements RequestEvent {}
 }
--- a/sidecar/src/main/java/martenlatch/frontend/http/ResponseQueue.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/ResponseQueue.java
@@ -8,15 +8,15 @@
 import java.util.Deque;
 import java.util.List;
 
-/** The pending responses of one connection; they are written in the order of their requests, as HTTP requires. */
+/** The pending responses of a client connection, written in the order of their requests as HTTP/1.1 requires. */
 final class ResponseQueue {
 
-    /** Hears how far the responses are written. */
+    /** Is notified when responses have been written. */
     interface Listener {
-        /** The last response of the connection was handed over; the future ends when it is written. */
+        /** Called when the last response is passed to the channel; the future completes when it is written. */
         void onLastResponse(ChannelFuture written);
 
-        /** All responses that are ready, and none missing before them, are written. */
+        /** Called when every response that is ready and not preceded by an unready one has been written. */
         void onReadyWritten();
     }
 
@@ -24,9 +24,9 @@
     private final FrontendState state;
     private final Listener listener;
     private final Deque<PendingResponse> pending = new ArrayDeque<>();
-    /** The first of them, while its body is being streamed, or null. */
+    /** The first pending response while its body is being streamed, or null. */
     private PendingResponse streaming;
-    /** The last response has been handed over. */
+    /** Whether the last response of the connection has been passed to the channel. */
     private boolean closing;
 
     ResponseQueue(SocketChannel channel, FrontendState state, Listener listener) {
@@ -43,7 +43,7 @@
         return pending.contains(response);
     }
 
-    /** Whether no other response has to be written before this one. */
+    /** Returns whether no other response has to be written before this one. */
     boolean isNext(PendingResponse response) {
         return pending.isEmpty() || pending.peek() == response;
     }
@@ -56,11 +56,12 @@
         return pending.isEmpty();
     }
 
+    /** Returns whether the last response of the connection has been passed to the channel. */
     boolean isClosing() {
         return closing;
     }
 
-    /** Writes the responses that are ready, as far as none before them is missing. */
+    /** Writes the responses at the head of the queue that are ready. */
     void writeReady() {
         while (!closing
                 && streaming == null
@@ -72,8 +73,8 @@
     }
 
     private void write(PendingResponse next) {
-        next.decideLast(state.isClosingConnections() && pending.size() == 1);
-        if (next.isLast()) {
+        next.decideLastOnConnection(state.isClosingConnections() && pending.size() == 1);
+        if (next.isLastOnConnection()) {
             next.response().headers().set(HttpHeaderNames.CONNECTION, "close");
         }
         ChannelFuture written = channel.writeAndFlush(next.response());
@@ -87,13 +88,13 @@
     }
 
     private void closeIfLast(PendingResponse response, ChannelFuture written) {
-        closing = response.isLast();
+        closing = response.isLastOnConnection();
         if (closing) {
             listener.onLastResponse(written);
         }
     }
 
-    /** The body of a response has ended, complete or cut short; false if it is not the one that is being streamed. */
+    /** Called when a response body has ended, complete or not; returns false if it is not the one being streamed. */
     boolean onStreamEnded(PendingResponse response, boolean complete) {
         if (streaming != response) {
             return false;
@@ -109,22 +110,22 @@
         return true;
     }
 
-    /** Closes the connection in a way that tells the client that the body is incomplete. */
+    /** Closes the connection so that the client detects a truncated body; a close-delimited body requires a reset. */
     private void abort(PendingResponse response) {
-        if (response.endsWithConnection()) {
+        if (response.closeDelimited()) {
             channel.config().setSoLinger(0);
         }
         channel.close();
     }
 
-    /** Pauses the body that is being streamed while the client does not take it. */
+    /** Pauses the streamed body while the channel is not writable, and resumes it afterwards. */
     void onWritabilityChanged() {
         if (streaming != null) {
             streaming.remainingBody().pause(!channel.isWritable());
         }
     }
 
-    /** Removes all pending responses: nobody is there to write them to. */
+    /** Removes and returns all pending responses; called when nothing more can be written. */
     List<PendingResponse> removeAll() {
         List<PendingResponse> removed = List.copyOf(pending);
         pending.clear();
--- a/sidecar/src/main/java/martenlatch/frontend/package-info.java
+++ b/sidecar/src/main/java/martenlatch/frontend/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What all frontends share: parsing the head of a request, and the limits on it. It may use {@code policy.api}.
+ * Code shared by all frontends: parsing request heads and enforcing their limits. This package may use
+ * {@code policy.api}.
  */
 package martenlatch.frontend;
