--- a/sidecar/src/test/java/martenlatch/frontend/RequestParserTest.java
+++ b/sidecar/src/test/java/martenlatch/frontend/RequestParserTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** When a request has to have its final answer. */
+/** Tests the deadline that the parser computes for the final response to a request. */
 class RequestParserTest {
 
-    private static final double NOW = 1_000_000;
+    private static final double NOW_MS = 1_000_000;
     private static final int CLASS_DEADLINE_MS = 3000;
 
     private record Headers(Map<String, String> values) implements RequestHead {
@@ -36,7 +36,7 @@
         }
     }
 
-    private static double deadline(String told, double latest) throws InvalidRequestException {
+    private static double deadlineFromNowMs(String headerMs, double maxDeadlineMs) throws InvalidRequestException {
         BalancerSettings settings = new BalancerSettings(
                 1,
                 0,
@@ -59,20 +59,23 @@
                 List.of(),
                 new AttemptLimits(3, true, true, 2000, 250),
                 new EndpointRules(0.3, 9000, 3, 1000, 1000, 10_000));
-        Headers head = new Headers(Map.of("X-Request-Id", "r", "X-Class", "read", "X-Deadline-Ms", told));
-        return new RequestParser(settings).parse(head, NOW, latest).deadlineMs() - NOW;
+        Headers head = new Headers(Map.of("X-Request-Id", "r", "X-Class", "read", "X-Deadline-Ms", headerMs));
+        return new RequestParser(settings).parse(head, NOW_MS, maxDeadlineMs).deadlineMs() - NOW_MS;
     }
 
-    /** Guards against answers that leave when the client's time is up, and so come after it. */
+    /** Guards against responses that are sent when the time of the client is up and therefore arrive too late. */
     @ParameterizedTest
     @CsvSource({"60, 57.6", "100, 96", "500, 480", "1000, 960", "2500, 2460", "9000, 2960"})
-    void anAnswerIsDueBeforeTheClientsTimeIsUp(String told, double due) throws InvalidRequestException {
-        assertEquals(due, deadline(told, Double.POSITIVE_INFINITY), 1e-6);
+    void deadlineLeavesTimeForTheResponseToReachTheClient(String headerMs, double expectedMs)
+            throws InvalidRequestException {
+        assertEquals(expectedMs, deadlineFromNowMs(headerMs, Double.POSITIVE_INFINITY), 1e-6);
     }
 
+    /** Guards against a process that shuts down before the deadlines of its requests. */
     @ParameterizedTest
     @CsvSource({"1000, 300, 300", "1000, 960, 960", "1000, 970, 960"})
-    void aProcessThatEndsAnswersBeforeItsEnd(String told, double latest, double due) throws InvalidRequestException {
-        assertEquals(due, deadline(told, NOW + latest), 1e-6);
+    void deadlineIsCappedByTheMaximum(String headerMs, double maxDeadlineMs, double expectedMs)
+            throws InvalidRequestException {
+        assertEquals(expectedMs, deadlineFromNowMs(headerMs, NOW_MS + maxDeadlineMs), 1e-6);
     }
 }
--- a/sidecar/src/test/java/martenlatch/frontend/http/ClientListenerTest.java
+++ b/sidecar/src/test/java/martenlatch/frontend/http/ClientListenerTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** How a listener closes: whom the system has accepted is served, and it accepts nobody that is not. */
+/** Tests that a closing listener serves each connection that the kernel has accepted, and accepts no other. */
 @Timeout(60)
 class ClientListenerTest {
 
@@ -36,7 +36,7 @@
         loop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    /** Whether the system takes a connection there. */
+    /** Returns whether a connection to the address can be established. */
     private boolean connects(InetSocketAddress address) {
         try {
             clients.add(new Socket(address.getAddress(), address.getPort()));
@@ -47,39 +47,43 @@
     }
 
     /**
-     * Guards against clients that connect between the last look into the queue and the end of the listener,
-     * and are reset: they connect here just before the close and just after it, while the loop is busy.
+     * Guards against resets of clients that connect between the last accept and the close of the listener. The clients
+     * connect immediately before and after the close is requested, while the event loop is busy.
      */
     @Test
-    void nobodyIsAcceptedWhoIsNotServed() throws Exception {
+    void everyAcceptedConnectionIsServedWhenListenerCloses() throws Exception {
         ClientListener listener = (ClientListener) new ServerBootstrap()
                 .group(loop)
                 .channelFactory(ClientListener::new)
-                .childHandler(new Greeting())
+                .childHandler(new GreetingHandler())
                 .bind(new InetSocketAddress("127.0.0.1", 0))
                 .sync()
                 .channel();
         InetSocketAddress address = listener.localAddress();
-        List<Boolean> before = new ArrayList<>();
-        CompletableFuture<Boolean> after = new CompletableFuture<>();
+        List<Boolean> connectedBeforeClose = new ArrayList<>();
+        CompletableFuture<Boolean> connectedAfterClose = new CompletableFuture<>();
         loop.submit(() -> {
-                    before.add(connects(address));
+                    connectedBeforeClose.add(connects(address));
                     listener.acceptQueuedAndClose();
                     listener.acceptQueuedAndClose();
-                    before.add(connects(address));
-                    listener.closeFuture().addListener(closed -> after.complete(connects(address)));
+                    connectedBeforeClose.add(connects(address));
+                    listener.closeFuture().addListener(closed -> connectedAfterClose.complete(connects(address)));
                 })
                 .get();
-        assertEquals(false, after.get(20, TimeUnit.SECONDS), "the system has closed it too");
-        assertEquals(List.of(true, true), before);
+        assertEquals(
+                false,
+                connectedAfterClose.get(20, TimeUnit.SECONDS),
+                "the kernel accepts no more connections after the close");
+        assertEquals(List.of(true, true), connectedBeforeClose);
         for (Socket client : clients) {
             client.setSoTimeout(20_000);
             assertEquals('!', client.getInputStream().read());
         }
     }
 
+    /** Sends one byte to each accepted client, as proof that it is served. */
     @ChannelHandler.Sharable
-    private static final class Greeting extends ChannelInboundHandlerAdapter {
+    private static final class GreetingHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             Channel channel = ctx.channel();
--- a/sidecar/src/test/java/martenlatch/sidecar/ClientConnectionRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientConnectionRaceTest.java
@@ -11,16 +11,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Requests that arrive while others are in flight on their connection, or while it makes room for a new one. */
+/** Tests requests that arrive while others are in flight on their connection, or while connections are evicted. */
 @Timeout(60)
 class ClientConnectionRaceTest {
 
     private static final int DEADLINE_MS = 8000;
-    /** A disconnect has to be noticed long before this, at which the request would be over anyway. */
-    private static final double NOTICED_MS = DEADLINE_MS / 2.0;
+    /** Time limit for detection, well below the deadline at which the requests time out anyway. */
+    private static final double MAX_DETECTION_MS = DEADLINE_MS / 2.0;
 
-    /** What a sidecar accepts at least, however few descriptors it may hold. */
-    private static final int LEAST_CONNECTIONS = 8;
+    /** The minimum number of connections that a sidecar accepts, independent of its descriptor limit. */
+    private static final int MIN_CONNECTIONS = 8;
 
     private SidecarFixture fixture;
 
@@ -29,23 +29,23 @@
         fixture.close();
     }
 
-    /** Guards against bytes held back while eight are in hand that are lost, or told in another order. */
+    /** Guards against the loss or reordering of input that is buffered while eight pipelined requests are in flight. */
     @Test
-    void whatIsHeldBackIsServedInItsTurn() throws Exception {
+    void bufferedRequestIsServedInOrder() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        FakeEndpoint.Script script = (wire, request) -> {
+        FakeEndpoint.Script script = (connection, request) -> {
             release.await();
-            FakeEndpoint.answer(wire, 200, "", request.headers().get("x-request-id"));
+            FakeEndpoint.answer(connection, 200, "", request.headers().get("x-request-id"));
         };
         fixture = new SidecarFixture(new FakeEndpoint(script), new FakeEndpoint(script), new FakeEndpoint(script))
                 .start();
         try (RawHttpClient client = fixture.client()) {
-            StringBuilder all = new StringBuilder();
+            StringBuilder pipelined = new StringBuilder();
             for (int i = 0; i < 8; i++) {
-                all.append(fixture.request("read", DEADLINE_MS));
+                pipelined.append(fixture.request("read", DEADLINE_MS));
             }
-            client.send(all.toString());
-            SidecarFixture.await("eight are at the endpoints", () -> fixture.attempts() == 8);
+            client.send(pipelined.toString());
+            SidecarFixture.await("eight requests are at the endpoints", () -> fixture.attempts() == 8);
             String next = fixture.request("read", DEADLINE_MS);
             client.send(next.substring(0, 20));
             fixture.sidecar.loop().submit(() -> {}).get();
@@ -58,38 +58,41 @@
         fixture.awaitPending(0);
     }
 
-    /** Guards against memory without end for a client far ahead: beyond a bound its bytes are read on. */
+    /** Guards against unlimited buffering for a pipelining client: input above the limit is processed as a request. */
     @Test
-    void whatIsHeldBackIsBounded() throws Exception {
-        fixture = new SidecarFixture(new FakeEndpoint((wire, request) -> wire.awaitClose())).start();
+    void bufferedInputIsBounded() throws Exception {
+        fixture = new SidecarFixture(new FakeEndpoint((connection, request) -> connection.awaitClose())).start();
         try (RawHttpClient client = fixture.client()) {
-            StringBuilder all = new StringBuilder();
+            StringBuilder pipelined = new StringBuilder();
             for (int i = 0; i < 8; i++) {
-                all.append(fixture.request("order", DEADLINE_MS));
+                pipelined.append(fixture.request("order", DEADLINE_MS));
             }
-            client.send(all.toString());
-            SidecarFixture.await("some are at the endpoint", () -> fixture.attempts() > 0);
-            long began = System.nanoTime();
+            client.send(pipelined.toString());
+            SidecarFixture.await("some requests are at the endpoint", () -> fixture.attempts() > 0);
+            long startNanos = System.nanoTime();
             client.send(fixture.request("order", DEADLINE_MS)
                     .replace(
                             "Content-Length: 5\r\n\r\nhello", "Content-Length: 1000000\r\n\r\n" + "x".repeat(900_000)));
             SidecarFixture.await(
-                    "it is taken for the body that it is, which has a bound", () -> fixture.bodyBytesHeld() > 800_000);
-            assertTrue(SidecarFixture.elapsedMs(began) < NOTICED_MS, "and not when the eight have timed out");
+                    "the input is processed as a request body, which has a limit",
+                    () -> fixture.bodyBytesHeld() > 800_000);
+            assertTrue(
+                    SidecarFixture.elapsedMs(startNanos) < MAX_DETECTION_MS,
+                    "processed before the eight requests time out");
         }
         fixture.awaitPending(0);
-        SidecarFixture.await("nothing of it is kept", () -> fixture.bodyBytesHeld() == 0);
+        SidecarFixture.await("the memory of the body is released", () -> fixture.bodyBytesHeld() == 0);
     }
 
-    /** Guards against room made for a newcomer by cutting off a request that is there and not read yet. */
+    /** Guards against the eviction, in favour of a new connection, of one whose request has arrived but is unread. */
     @Test
-    void aRequestAndANewcomerWhoNeedsItsRoom() throws Exception {
+    void evictionSparesConnectionWithUnreadRequest() throws Exception {
         fixture = new SidecarFixture(FakeEndpoint.answering(200, "", "served"));
-        // So few that the least number of connections holds.
+        // So few descriptors that the minimum number of connections applies.
         fixture.sockets = 1;
         fixture.start();
         List<RawHttpClient> clients = new ArrayList<>();
-        for (int i = 0; i < LEAST_CONNECTIONS; i++) {
+        for (int i = 0; i < MIN_CONNECTIONS; i++) {
             clients.add(fixture.client());
             assertEquals(
                     200,
@@ -98,14 +101,14 @@
                             .read()
                             .status());
         }
-        // The system tells of them in this order, and the first client has been idle the longest.
+        // The event loop sees the new connection first, and the first client has been idle the longest.
         fixture.whileHeld(
                 () -> clients.add(fixture.client()), () -> clients.get(0).send(fixture.request("order", DEADLINE_MS)));
         assertEquals(200, clients.get(0).read().status());
         clients.get(1).awaitClose();
         assertEquals(
                 200,
-                clients.get(LEAST_CONNECTIONS)
+                clients.get(MIN_CONNECTIONS)
                         .send(fixture.request("order", DEADLINE_MS))
                         .read()
                         .status());
--- a/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
@@ -19,13 +19,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A client disconnects while an attempt for it would begin, while it waits, or with its response. */
+/** Tests clients that disconnect as an attempt starts, while they wait, or as their response arrives. */
 @Timeout(60)
 class ClientDisconnectRaceTest {
 
     private static final int DEADLINE_MS = 8000;
-    /** A disconnect has to be noticed long before this, at which the request would be over anyway. */
-    private static final double NOTICED_MS = DEADLINE_MS / 2.0;
+    /** Time limit for detecting a disconnect, well below the deadline at which the request times out anyway. */
+    private static final double MAX_DETECTION_MS = DEADLINE_MS / 2.0;
 
     private SidecarFixture fixture;
 
@@ -34,10 +34,10 @@
         fixture.close();
     }
 
-    /** Starts a sidecar before one place, whose connections the test accepts itself. */
-    private ServerSocket startBefore(ServerSocket place, boolean cancel) throws IOException {
-        fixture = SidecarFixture.startedBefore(place, cancel);
-        return place;
+    /** Starts a sidecar with one endpoint, whose connections the test accepts itself. */
+    private ServerSocket startWithEndpointAt(ServerSocket listener, boolean cancel) throws IOException {
+        fixture = SidecarFixture.startedBefore(listener, cancel);
+        return listener;
     }
 
     private long attemptsOf(String requestId) {
@@ -47,16 +47,16 @@
                 .count();
     }
 
-    private void assertNothingIsPending() throws InterruptedException {
+    private void awaitNoPendingRequests() throws InterruptedException {
         SidecarFixture.await("no request is pending", () -> fixture.tableSizes().get(0) == 0);
     }
 
-    /** Guards against a request that is read late, with the end of its connection behind it, and forwarded. */
+    /** Guards against forwarding a request that is read late, when the client has already closed its connection. */
     @ParameterizedTest
     @CsvSource({"true, false", "true, true", "false, false", "false, true"})
-    void aRequestWhoseClientHasLeftIsNotForwarded(boolean accepted, boolean reset) throws Exception {
+    void requestOfDisconnectedClientIsNotForwarded(boolean accepted, boolean reset) throws Exception {
         fixture = new SidecarFixture(FakeEndpoint.answering(200, "", "served")).start();
-        // The endpoint has an idle connection now: an attempt would be written at once.
+        // There is now an idle connection to the endpoint, on which an attempt would be written immediately.
         assertEquals("served", fixture.ask("order", DEADLINE_MS).body());
         SidecarFixture.settle();
         RawHttpClient[] client = new RawHttpClient[1];
@@ -79,130 +79,133 @@
                     }
                 });
         assertEquals("served", fixture.ask("order", DEADLINE_MS).body());
-        assertNothingIsPending();
+        awaitNoPendingRequests();
         assertEquals(0, attemptsOf("r1"));
         assertEquals(1, attemptsOf("r2"));
     }
 
     /**
-     * Guards against a retry that is written at once, on an idle connection, although the end of its client has
-     * come with the end of the attempt before.
+     * Guards against a retry that is written immediately, on an idle connection, although the client disconnects at the
+     * same time as the previous attempt fails.
      */
     @ParameterizedTest
     @CsvSource({"true, true", "true, false", "false, true", "false, false"})
-    void aRetryOnAnIdleConnectionIsNotSent(boolean resetFirst, boolean cancellation) throws Exception {
-        CountDownLatch both = new CountDownLatch(2);
-        LinkedBlockingQueue<RawHttpClient> held = new LinkedBlockingQueue<>();
-        FakeEndpoint.Script script = (wire, request) -> {
+    void retryOnIdleConnectionIsNotSentAfterDisconnect(boolean resetFirst, boolean cancellation) throws Exception {
+        CountDownLatch bothArrived = new CountDownLatch(2);
+        LinkedBlockingQueue<RawHttpClient> waitingAttempts = new LinkedBlockingQueue<>();
+        FakeEndpoint.Script script = (connection, request) -> {
             if (request.headers().get("x-request-id").equals("r2")) {
-                held.add(wire);
-                wire.awaitClose();
+                waitingAttempts.add(connection);
+                connection.awaitClose();
                 return;
             }
-            both.countDown();
-            both.await();
-            FakeEndpoint.answer(wire, 200, "", "served");
+            bothArrived.countDown();
+            bothArrived.await();
+            FakeEndpoint.answer(connection, 200, "", "served");
         };
         fixture = new SidecarFixture(new FakeEndpoint(script), new FakeEndpoint(script));
         fixture.cancel = cancellation;
         fixture.start();
-        try (RawHttpClient one = fixture.client();
-                RawHttpClient other = fixture.client()) {
-            one.send(fixture.request("read", DEADLINE_MS));
-            other.send(fixture.request("read", DEADLINE_MS));
-            assertEquals("served", one.read().body());
-            assertEquals("served", other.read().body());
+        try (RawHttpClient firstClient = fixture.client();
+                RawHttpClient secondClient = fixture.client()) {
+            firstClient.send(fixture.request("read", DEADLINE_MS));
+            secondClient.send(fixture.request("read", DEADLINE_MS));
+            assertEquals("served", firstClient.read().body());
+            assertEquals("served", secondClient.read().body());
         }
-        // Both endpoints have an idle connection now.
+        // There is now an idle connection to each endpoint.
         SidecarFixture.settle();
         RawHttpClient client = fixture.client().send(fixture.request("read", DEADLINE_MS));
-        RawHttpClient attempt = held.poll(SidecarFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        RawHttpClient attempt = waitingAttempts.poll(SidecarFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
         if (resetFirst) {
             fixture.whileHeld(attempt::reset, client::close);
         } else {
             fixture.whileHeld(client::close, attempt::reset);
         }
-        assertNothingIsPending();
+        awaitNoPendingRequests();
         assertEquals("served", fixture.ask("read", DEADLINE_MS).body());
         assertEquals(1, attemptsOf("r2"));
-        assertEquals(List.of(), List.copyOf(held));
+        assertEquals(List.of(), List.copyOf(waitingAttempts));
     }
 
-    /** Guards against requests whose client has left while their connection came up, and which then run. */
+    /** Guards against sending a request whose client disconnected while the connection to the endpoint was set up. */
     @ParameterizedTest
     @ValueSource(strings = {"order, cancel", "order", "read, cancel", "read"})
-    void nothingIsSentForAClientThatLeftBeforeTheConnectionWasUp(String how) throws Exception {
-        String kind = how.split(",", 2)[0];
+    void requestIsNotSentIfClientDisconnectsWhileConnecting(String variant) throws Exception {
+        String kind = variant.split(",", 2)[0];
         try (LateEndpoint late = new LateEndpoint()) {
             fixture = SidecarFixture.withEndpointAt(late.address());
-            fixture.cancel = how.endsWith("cancel");
+            fixture.cancel = variant.endsWith("cancel");
             fixture.dialMs = 30_000;
             fixture.start();
-            long began = System.nanoTime();
-            RawHttpClient leaves = fixture.client().send(fixture.request(kind, DEADLINE_MS));
+            long startNanos = System.nanoTime();
+            RawHttpClient disconnecting = fixture.client().send(fixture.request(kind, DEADLINE_MS));
             fixture.awaitPending(1);
-            RawHttpClient stays = fixture.client().send(fixture.request(kind, DEADLINE_MS));
+            RawHttpClient connected = fixture.client().send(fixture.request(kind, DEADLINE_MS));
             fixture.awaitPending(2);
-            leaves.close();
+            disconnecting.close();
             fixture.awaitPending(1);
-            assertTrue(SidecarFixture.elapsedMs(began) < NOTICED_MS, "withdrawn, and not timed out");
+            assertTrue(
+                    SidecarFixture.elapsedMs(startNanos) < MAX_DETECTION_MS, "cancelled before the request times out");
             late.open();
-            assertEquals("late", stays.read().body());
-            stays.close();
+            assertEquals("late", connected.read().body());
+            connected.close();
             assertEquals(
                     List.of("r1"),
                     late.requests.stream()
                             .map(request -> request.headers().get("x-request-id"))
                             .toList());
-            // Nothing is held against the endpoint: it is asked at once.
+            // The endpoint is not penalized: it receives the next request immediately.
             assertEquals("late", fixture.ask("order", DEADLINE_MS).body());
         }
     }
 
     /**
-     * Guards against an end behind bytes that nobody reads: a client that has eight requests in hand and the
-     * beginning of a ninth sent, and leaves.
+     * Guards against a disconnect that stays undetected behind unread bytes. The client disconnects with eight requests
+     * in flight and the beginning of a ninth sent.
      */
     @ParameterizedTest
     @ValueSource(strings = {"fin", "reset", "fin behind more than is held", "fin behind a flood"})
-    void theEndOfAClientFarAheadOfItsAnswersIsSeen(String how) throws Exception {
-        fixture = new SidecarFixture(new FakeEndpoint((wire, request) -> wire.awaitClose())).start();
+    void disconnectOfPipeliningClientIsDetected(String variant) throws Exception {
+        fixture = new SidecarFixture(new FakeEndpoint((connection, request) -> connection.awaitClose())).start();
         RawHttpClient client = fixture.client();
-        StringBuilder all = new StringBuilder();
+        StringBuilder pipelined = new StringBuilder();
         for (int i = 0; i < 8; i++) {
-            all.append(fixture.request("order", DEADLINE_MS));
+            pipelined.append(fixture.request("order", DEADLINE_MS));
         }
-        client.send(all.toString());
-        SidecarFixture.await("some are at the endpoint", () -> fixture.attempts() > 0);
-        // Once another client has its answer, all that came before has been dealt with.
+        client.send(pipelined.toString());
+        SidecarFixture.await("some requests are at the endpoint", () -> fixture.attempts() > 0);
+        // Once another client has its response, all earlier input has been processed.
         fixture.ask("order", DEADLINE_MS);
-        long began = System.nanoTime();
-        if (how.endsWith("held")) {
+        long startNanos = System.nanoTime();
+        if (variant.endsWith("held")) {
             client.send("POST /api HTTP/1.1\r\nContent-Length: 50000\r\n\r\n" + "x".repeat(40_000));
-        } else if (how.endsWith("flood")) {
+        } else if (variant.endsWith("flood")) {
             client.send("no request at all\r\n\r\n" + "x".repeat(1_000_000));
         } else {
             client.send("POST /api HT");
         }
-        if (how.equals("reset")) {
+        if (variant.equals("reset")) {
             client.reset();
         } else {
             client.close();
         }
         fixture.awaitPending(0);
-        assertTrue(SidecarFixture.elapsedMs(began) < NOTICED_MS, "noticed, and not timed out");
+        assertTrue(
+                SidecarFixture.elapsedMs(startNanos) < MAX_DETECTION_MS,
+                "disconnect detected before the requests time out");
         SidecarFixture.await(
-                "its attempts are called off",
+                "the attempts of the client are cancelled",
                 () -> fixture.endpoints.get(0).open.get() == 0);
     }
 
-    /** Guards against what a burst of clients leaves behind who go in the middle of their bodies. */
+    /** Guards against leaked requests, memory and connections when many clients disconnect while sending bodies. */
     @Test
-    void clientsThatLeaveInTheMiddleOfTheirBodiesLeaveNothing() throws Exception {
+    void disconnectsDuringBodiesReleaseAllResources() throws Exception {
         fixture = new SidecarFixture(FakeEndpoint.serving(), FakeEndpoint.serving()).start();
         List<RawHttpClient> clients = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            // Some bodies are collected, some passed on as they come.
+            // Some bodies are collected, others are streamed.
             int length = i % 2 == 0 ? 200_000 : 2_000_000;
             clients.add(fixture.client()
                     .send(fixture.request("order", DEADLINE_MS)
@@ -210,7 +213,7 @@
                                     "Content-Length: 5\r\n\r\nhello",
                                     "Content-Length: " + length + "\r\n\r\n" + "x".repeat(100_000))));
         }
-        SidecarFixture.await("bodies are coming", () -> fixture.bodyBytesHeld() > 0);
+        SidecarFixture.await("bodies are being received", () -> fixture.bodyBytesHeld() > 0);
         for (int i = 0; i < clients.size(); i++) {
             if (i % 3 == 0) {
                 clients.get(i).reset();
@@ -219,49 +222,49 @@
             }
         }
         fixture.awaitPending(0);
-        SidecarFixture.await("the room of all bodies is free", () -> fixture.bodyBytesHeld() == 0);
+        SidecarFixture.await("the memory of all bodies is released", () -> fixture.bodyBytesHeld() == 0);
         for (FakeEndpoint endpoint : fixture.endpoints) {
-            SidecarFixture.await("its connections are gone", () -> endpoint.open.get() == 0);
+            SidecarFixture.await("the connections of the endpoint are closed", () -> endpoint.open.get() == 0);
             endpoint.requests.forEach(request -> assertTrue(
                     request.body().length() < Integer.parseInt(request.headers().get("content-length")),
-                    "none came whole"));
+                    "no endpoint received a complete body"));
         }
         assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
     }
 
-    /** A client that ends its side has left, as one that closes: nobody can tell them apart. */
+    /** A client that closes only its output counts as disconnected, as that looks the same as a full close. */
     @Test
-    void aClientThatEndsItsSideHasLeft() throws Exception {
-        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitClose());
-        fixture = new SidecarFixture(hung).start();
+    void halfCloseCountsAsDisconnect() throws Exception {
+        FakeEndpoint hangingEndpoint = new FakeEndpoint((connection, request) -> connection.awaitClose());
+        fixture = new SidecarFixture(hangingEndpoint).start();
         try (RawHttpClient client = fixture.client()) {
             client.send(fixture.request("order", DEADLINE_MS));
             client.socket.shutdownOutput();
             try {
                 client.read();
-                throw new AssertionError("an answer for nobody");
+                throw new AssertionError("a response was sent to a disconnected client");
             } catch (EOFException | SocketException e) {
                 fixture.awaitPending(0);
             }
         }
-        SidecarFixture.await("what was sent is called off", () -> hung.open.get() == 0);
+        SidecarFixture.await("the attempt is cancelled", () -> hangingEndpoint.open.get() == 0);
     }
 
-    /** Guards against a repeat for a client that left in the moment in which its first attempt failed. */
+    /** Guards against a retry for a client that disconnects at the same time as its first attempt fails. */
     @ParameterizedTest
     @CsvSource({"true, true", "true, false", "false, true", "false, false"})
-    void aRepeatIsNotSentForAClientWhoseEndComesWithItsCause(boolean causeFirst, boolean cancel) throws Exception {
-        try (ServerSocket place = startBefore(LateEndpoint.queue(), cancel)) {
+    void retryIsNotSentIfClientDisconnectsAsAttemptFails(boolean failureFirst, boolean cancel) throws Exception {
+        try (ServerSocket listener = startWithEndpointAt(LateEndpoint.queue(), cancel)) {
             RawHttpClient client = fixture.client().send(fixture.request("read", DEADLINE_MS));
-            RawHttpClient first = new RawHttpClient(place.accept());
+            RawHttpClient first = new RawHttpClient(listener.accept());
             first.read();
-            try (LateEndpoint late = new LateEndpoint(place)) {
-                if (causeFirst) {
+            try (LateEndpoint late = new LateEndpoint(listener)) {
+                if (failureFirst) {
                     fixture.whileHeld(first::reset, client::close);
                 } else {
                     fixture.whileHeld(client::close, first::reset);
                 }
-                fixture.awaitPending(0, NOTICED_MS);
+                fixture.awaitPending(0, MAX_DETECTION_MS);
                 late.open();
                 assertEquals("late", fixture.ask("order", DEADLINE_MS).body());
                 assertEquals(
@@ -273,37 +276,38 @@
         }
     }
 
-    /** An answer that nobody waits for any more is nobody's, and its connection may go on. */
+    /** Guards against delivering the response to a disconnected client on a reused connection to the next client. */
     @ParameterizedTest
     @CsvSource({"true, true", "true, false", "false, true", "false, false"})
-    void anAnswerAndTheEndOfItsClient(boolean answerFirst, boolean cancel) throws Exception {
-        try (ServerSocket place = startBefore(LateEndpoint.queue(), cancel)) {
+    void responseToDisconnectedClientIsNotDeliveredToNextRequest(boolean responseFirst, boolean cancel)
+            throws Exception {
+        try (ServerSocket listener = startWithEndpointAt(LateEndpoint.queue(), cancel)) {
             RawHttpClient client = fixture.client().send(fixture.request("order", DEADLINE_MS));
-            RawHttpClient endpoint = new RawHttpClient(place.accept());
+            RawHttpClient endpoint = new RawHttpClient(listener.accept());
             endpoint.read();
-            SidecarFixture.Deed answers = () -> FakeEndpoint.answer(endpoint, 200, "", "first");
-            if (answerFirst) {
-                fixture.whileHeld(answers, client::close);
+            SidecarFixture.Deed respond = () -> FakeEndpoint.answer(endpoint, 200, "", "first");
+            if (responseFirst) {
+                fixture.whileHeld(respond, client::close);
             } else {
-                fixture.whileHeld(client::close, answers);
+                fixture.whileHeld(client::close, respond);
             }
-            fixture.awaitPending(0, NOTICED_MS);
+            fixture.awaitPending(0, MAX_DETECTION_MS);
             SidecarFixture.settle();
-            Thread serves = new Thread(() -> serveNext(place, endpoint));
-            serves.start();
+            Thread endpointThread = new Thread(() -> serveNext(listener, endpoint));
+            endpointThread.start();
             assertEquals("second", fixture.ask("order", DEADLINE_MS).body());
-            serves.join();
+            endpointThread.join();
         }
     }
 
-    /** Serves the next request on the connection that exists, or on another where that was closed. */
-    private static void serveNext(ServerSocket place, RawHttpClient endpoint) {
+    /** Serves the next request on the existing endpoint connection, or on a new one if that was closed. */
+    private static void serveNext(ServerSocket listener, RawHttpClient endpoint) {
         try {
             RawHttpClient next = endpoint;
             try {
                 next.read();
             } catch (IOException e) {
-                next = new RawHttpClient(place.accept());
+                next = new RawHttpClient(listener.accept());
                 next.read();
             }
             FakeEndpoint.answer(next, 200, "", "second");
--- a/sidecar/src/test/java/martenlatch/sidecar/ClientLimitsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientLimitsTest.java
@@ -17,15 +17,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that behave badly: each gets an error or a close in time, and nobody else notices. */
+/** Tests clients that violate limits: each is rejected or disconnected in time, and other clients are unaffected. */
 @Timeout(60)
 class ClientLimitsTest {
 
     private static final int DEADLINE_MS = 8000;
-    /** What such a client is owed an end within, and what a busy machine may take beyond it. */
-    private static final double OWED_MS = 3000 + 5000;
+    /** The time limit for an error or a close, plus slack for a busy machine. */
+    private static final double MAX_ERROR_DELAY_MS = 3000 + 5000;
 
-    private static final String HIDDEN =
+    /** A request that follows an invalid one and must not be forwarded. */
+    private static final String SMUGGLED_REQUEST =
             "GET /api HTTP/1.1\r\nX-Request-Id: hidden\r\nX-Class: read\r\n" + "X-Deadline-Ms: 8000\r\nHost: a\r\n\r\n";
 
     private SidecarFixture fixture;
@@ -40,30 +41,30 @@
         fixture.close();
     }
 
-    private static FakeEndpoint good() throws IOException {
+    private static FakeEndpoint servingEndpoint() throws IOException {
         return FakeEndpoint.answering(200, "", "served");
     }
 
-    private static void assertEnded(RawHttpClient client) throws IOException {
+    private static void assertClosedWithoutMessage(RawHttpClient client) throws IOException {
         try {
             client.read();
         } catch (EOFException | SocketException e) {
-            // What is wanted: no further message.
+            // Expected: no further message.
             return;
         }
-        throw new AssertionError("one more message came");
+        throw new AssertionError("expected the connection to close, but another message arrived");
     }
 
-    // ---- time ----
+    // ---- time limits ----
 
     @Test
-    void aConnectionThatSaysNothingIsClosed() throws Exception {
-        start(good());
-        long began = System.nanoTime();
+    void silentConnectionIsClosed() throws Exception {
+        start(servingEndpoint());
+        long startNanos = System.nanoTime();
         try (RawHttpClient client = fixture.client()) {
             client.awaitClose();
         }
-        assertTrue((System.nanoTime() - began) / 1e6 < OWED_MS);
+        assertTrue((System.nanoTime() - startNanos) / 1e6 < MAX_ERROR_DELAY_MS);
     }
 
     @ParameterizedTest
@@ -74,21 +75,21 @@
                 "POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nhel",
                 "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel"
             })
-    void aRequestThatStallsIsAnErrorInTime(String part) throws Exception {
-        start(good());
-        long began = System.nanoTime();
+    void stalledRequestTimesOut(String partialRequest) throws Exception {
+        start(servingEndpoint());
+        long startNanos = System.nanoTime();
         try (RawHttpClient client = fixture.client()) {
-            assertEquals(408, client.send(part).read().status());
-            assertEnded(client);
+            assertEquals(408, client.send(partialRequest).read().status());
+            assertClosedWithoutMessage(client);
         }
-        assertTrue((System.nanoTime() - began) / 1e6 < OWED_MS);
+        assertTrue((System.nanoTime() - startNanos) / 1e6 < MAX_ERROR_DELAY_MS);
     }
 
-    /** Guards against a limit that each byte starts anew. */
+    /** Guards against a time limit that is restarted by each byte. */
     @Test
-    void aRequestThatTricklesIsAnErrorInTime() throws Exception {
-        start(good());
-        long began = System.nanoTime();
+    void slowlySentHeadTimesOut() throws Exception {
+        start(servingEndpoint());
+        long startNanos = System.nanoTime();
         try (RawHttpClient client = fixture.client()) {
             assertEquals(
                     200,
@@ -108,10 +109,10 @@
             trickle.start();
             assertEquals(408, client.read().status());
         }
-        assertTrue((System.nanoTime() - began) / 1e6 < OWED_MS);
+        assertTrue((System.nanoTime() - startNanos) / 1e6 < MAX_ERROR_DELAY_MS);
     }
 
-    // ---- what can't be read ----
+    // ---- invalid input ----
 
     @ParameterizedTest
     @ValueSource(
@@ -130,148 +131,157 @@
                 "a line with no colon\r\n\r\n",
                 "Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\nzz\r\n\r\n"
             })
-    void noRequestHidesInAnother(String framing) throws Exception {
-        start(good());
+    void ambiguousOrMalformedFramingIsRejected(String framing) throws Exception {
+        start(servingEndpoint());
         String head =
                 "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: open\r\nX-Class: read\r\n" + "X-Deadline-Ms: 8000\r\n";
         try (RawHttpClient client = fixture.client()) {
-            assertEquals(400, client.send(head + framing + HIDDEN).read().status());
-            assertEnded(client);
+            assertEquals(
+                    400, client.send(head + framing + SMUGGLED_REQUEST).read().status());
+            assertClosedWithoutMessage(client);
         }
         assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
-        assertEquals(1, fixture.attempts(), "nothing of it was sent on");
+        assertEquals(1, fixture.attempts(), "only the valid request was forwarded");
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"X-Request-Id: twice", "X-Class: order", "X-Deadline-Ms: 9"})
-    void whatIsToldTwiceIsNoRequest(String again) throws Exception {
-        start(good());
+    void repeatedHeaderIsRejected(String repeatedHeader) throws Exception {
+        start(servingEndpoint());
         try (RawHttpClient client = fixture.client()) {
-            String request = fixture.request("read", DEADLINE_MS).replace("Host:", again + "\r\nHost:");
-            assertEquals(400, client.send(request + HIDDEN).read().status());
-            assertEnded(client);
+            String request = fixture.request("read", DEADLINE_MS).replace("Host:", repeatedHeader + "\r\nHost:");
+            assertEquals(400, client.send(request + SMUGGLED_REQUEST).read().status());
+            assertClosedWithoutMessage(client);
         }
         assertEquals(0, fixture.attempts());
     }
 
-    // ---- size ----
+    // ---- size limits ----
 
-    /** The error comes by the head alone, and is not destroyed by what is still being sent. */
+    /** The error is sent after the head alone, and is not lost while the client is still sending the body. */
     @Test
-    void aBodyThatIsTooLargeIsRefusedByItsHead() throws Exception {
-        start(good());
+    void tooLargeBodyIsRejectedByItsHead() throws Exception {
+        start(servingEndpoint());
         try (RawHttpClient client = fixture.client()) {
             client.send("POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 62914560\r\n\r\n");
             client.send("x".repeat(100_000));
             assertEquals(413, client.read().status());
-            assertEnded(client);
+            assertClosedWithoutMessage(client);
         }
         assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
     }
 
     @Test
-    void aHeadWithoutEndIsCutShort() throws Exception {
-        start(good());
+    void tooLargeHeadIsRejected() throws Exception {
+        start(servingEndpoint());
         try (RawHttpClient client = fixture.client()) {
             client.send("GET /api HTTP/1.1\r\n" + "X-Pad: pppppppppppppppppp\r\n".repeat(2000));
             assertEquals(431, client.read().status());
-            assertEnded(client);
+            assertClosedWithoutMessage(client);
         }
     }
 
-    // ---- number ----
+    // ---- limits on the number of requests and connections ----
 
-    /** Guards against hundreds of requests in one read: few are taken, and the answers keep their order. */
+    /** Guards against hundreds of requests in one read: only a few are accepted, and the responses keep their order. */
     @Test
-    void requestsFarAheadOfTheirAnswersEndTheConnection() throws Exception {
+    void excessivePipeliningClosesConnection() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        start(new FakeEndpoint((wire, request) -> {
+        start(new FakeEndpoint((connection, request) -> {
             release.await();
-            FakeEndpoint.answer(wire, 200, "", request.headers().get("x-request-id"));
+            FakeEndpoint.answer(connection, 200, "", request.headers().get("x-request-id"));
         }));
         try (RawHttpClient client = fixture.client()) {
-            StringBuilder all = new StringBuilder();
+            StringBuilder pipelined = new StringBuilder();
             for (int i = 0; i < 300; i++) {
-                all.append(fixture.request("read", DEADLINE_MS));
+                pipelined.append(fixture.request("read", DEADLINE_MS));
             }
-            client.send(all.toString());
-            SidecarFixture.await("the first is out", () -> fixture.attempts() > 0);
-            // Once another client has its answer, all that came in the first read has been dealt with.
-            assertEquals(503, fixture.ask("order", DEADLINE_MS).status(), "the module has enough");
+            client.send(pipelined.toString());
+            SidecarFixture.await("the first request is at the endpoint", () -> fixture.attempts() > 0);
+            // Once another client has its response, all input of the first read has been processed.
+            assertEquals(503, fixture.ask("order", DEADLINE_MS).status(), "the sidecar is at its limit");
             release.countDown();
             int sent = 0;
             for (int i = 0; i < 8; i++) {
-                RawHttpClient.Message answer = client.read();
-                sent += i == sent && answer.status() == 200 ? 1 : 0;
-                assertEquals(i < sent ? 200 : 503, answer.status());
-                assertEquals(i < sent ? "r" + i : "refused\n", answer.body());
+                RawHttpClient.Message response = client.read();
+                sent += i == sent && response.status() == 200 ? 1 : 0;
+                assertEquals(i < sent ? 200 : 503, response.status());
+                assertEquals(i < sent ? "r" + i : "refused\n", response.body());
             }
-            assertTrue(sent > 0 && sent < 8, sent + " were taken");
+            assertTrue(sent > 0 && sent < 8, sent + " requests were forwarded");
             assertEquals(429, client.read().status());
-            assertEnded(client);
+            assertClosedWithoutMessage(client);
             assertEquals(sent, fixture.attempts());
         }
     }
 
-    /** Guards against silent connections that take the room of those that ask. */
+    /** Guards against silent connections that use up the connection limit at the expense of active clients. */
     @Test
-    void connectionsThatNeverAskedMakeRoomFirst() throws Exception {
-        fixture = new SidecarFixture(good());
+    void silentConnectionsAreEvictedFirst() throws Exception {
+        fixture = new SidecarFixture(servingEndpoint());
         fixture.sockets = 1;
         fixture.start();
-        List<RawHttpClient> silent = new ArrayList<>();
-        try (RawHttpClient usual = fixture.client()) {
+        List<RawHttpClient> silentClients = new ArrayList<>();
+        try (RawHttpClient activeClient = fixture.client()) {
             assertEquals(
-                    200, usual.send(fixture.request("read", DEADLINE_MS)).read().status());
+                    200,
+                    activeClient
+                            .send(fixture.request("read", DEADLINE_MS))
+                            .read()
+                            .status());
             for (int i = 0; i < 40; i++) {
-                silent.add(fixture.client());
+                silentClients.add(fixture.client());
             }
-            silent.get(0).awaitClose();
+            silentClients.get(0).awaitClose();
             assertEquals(
-                    200, usual.send(fixture.request("read", DEADLINE_MS)).read().status());
+                    200,
+                    activeClient
+                            .send(fixture.request("read", DEADLINE_MS))
+                            .read()
+                            .status());
             assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
         }
-        for (RawHttpClient client : silent) {
+        for (RawHttpClient client : silentClients) {
             client.close();
         }
     }
 
-    /** A drain does not wait for what never becomes a request. */
+    /** Guards against a drain that waits for requests that are never completed. */
     @Test
-    void aDrainLetsGoOfHalfARequest() throws Exception {
-        start(good());
-        try (RawHttpClient half = fixture.client().send("POST /api HTTP/1.1\r\n");
-                RawHttpClient behind = fixture.client()) {
-            behind.send(fixture.request("read", DEADLINE_MS) + "POST /api HTTP/1.1\r\n");
-            assertNotEquals(0, behind.read().status());
+    void drainClosesConnectionsWithPartialRequests() throws Exception {
+        start(servingEndpoint());
+        try (RawHttpClient partialClient = fixture.client().send("POST /api HTTP/1.1\r\n");
+                RawHttpClient pipelinedPartialClient = fixture.client()) {
+            pipelinedPartialClient.send(fixture.request("read", DEADLINE_MS) + "POST /api HTTP/1.1\r\n");
+            assertNotEquals(0, pipelinedPartialClient.read().status());
             Thread drain = new Thread(fixture.sidecar::drain);
             drain.start();
-            half.awaitClose();
-            behind.awaitClose();
+            partialClient.awaitClose();
+            pipelinedPartialClient.awaitClose();
             drain.join();
         }
     }
 
-    /** The module's time for a request is bounded by its class, whatever the client says. */
+    /** The deadline of a request is limited by its request class, even if the client allows more time. */
     @Test
-    void aDeadlineFarAwayIsBoundedByTheClass() throws Exception {
-        start(good());
+    void deadlineIsCappedByTheRequestClass() throws Exception {
+        start(servingEndpoint());
         assertEquals(200, fixture.ask("order", 999_999_999).status());
-        int told = Integer.parseInt(
+        int forwardedMs = Integer.parseInt(
                 fixture.endpoints.get(0).requests.get(0).headers().get("x-deadline-ms"));
-        assertTrue(told <= 9000, "what the endpoint is told: " + told);
+        assertTrue(forwardedMs <= 9000, "deadline forwarded to the endpoint in ms: " + forwardedMs);
     }
 
     /**
-     * Guards against a clock that stands from before: neither a request that is waited for nor one that
-     * comes in good time is cut off by it.
+     * Guards against a timer of an earlier request that closes the connection while a later request is in flight or
+     * arrives in time.
      */
     @Test
-    void aConnectionInUseOutlivesTheClocksOfItsEarlierRequests() throws Exception {
-        AtomicInteger holdMs = new AtomicInteger();
-        fixture = new SidecarFixture(new FakeEndpoint((wire, request) -> {
-                    Thread.sleep(holdMs.get());
-                    FakeEndpoint.answer(wire, 200, "", "mine");
+    void timersOfEarlierRequestsDoNotCloseConnectionInUse() throws Exception {
+        AtomicInteger responseDelayMs = new AtomicInteger();
+        fixture = new SidecarFixture(new FakeEndpoint((connection, request) -> {
+                    Thread.sleep(responseDelayMs.get());
+                    FakeEndpoint.answer(connection, 200, "", "mine");
                 }))
                 .start();
         try (RawHttpClient client = fixture.client()) {
@@ -279,12 +289,12 @@
                     200,
                     client.send(fixture.request("read", DEADLINE_MS)).read().status());
             Thread.sleep(1500);
-            holdMs.set(2000);
+            responseDelayMs.set(2000);
             assertEquals(
                     200,
                     client.send(fixture.request("read", DEADLINE_MS)).read().status());
             Thread.sleep(1800);
-            holdMs.set(0);
+            responseDelayMs.set(0);
             assertEquals(
                     200,
                     client.send(fixture.request("read", DEADLINE_MS)).read().status());
--- a/sidecar/src/test/java/martenlatch/sidecar/ClosingTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClosingTest.java
@@ -13,21 +13,23 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * What comes in the very moment in which a connection or a listener is closed. The loop hears of the network
- * before it does what is due, so the bad order is made by holding it up twice: once until the close is due,
- * and again among what is due, when it has just looked for bytes.
+ * Tests input that arrives at the moment when a connection or listener is closed. The event loop handles I/O before due
+ * tasks, so the race is forced by blocking the loop twice: until the close is due, and again in a task that runs after
+ * the I/O and before the close.
  */
 @Timeout(60)
 class ClosingTest {
 
     private static final int DEADLINE_MS = 8000;
-    /** When the listener closes, when the last call comes, and when idle connections are closed. */
-    private static final int LINGER_MS = 600;
+    /** The time from the start of a drain until the listener closes. */
+    private static final int LISTENER_CLOSE_MS = 600;
 
-    private static final int LAST_CALL_MS = 2700;
-    private static final int IDLE_MS = 5000;
-    /** Longer than an end may be late. */
-    private static final int HELD_UP_MS = 1500;
+    /** The time from the start of a drain until connections without a request in flight are closed. */
+    private static final int IDLE_CLIENTS_CLOSE_MS = 2700;
+    /** The time after which an idle connection is closed. */
+    private static final int IDLE_TIMEOUT_MS = 5000;
+    /** How long the event loop is blocked: longer than the slack for a late shutdown. */
+    private static final int LOOP_BLOCKED_MS = 1500;
 
     private SidecarFixture fixture;
 
@@ -36,50 +38,52 @@
         fixture.close();
     }
 
-    private SidecarFixture before(FakeEndpoint endpoint) throws IOException {
+    private SidecarFixture createFixture(FakeEndpoint endpoint) throws IOException {
         fixture = new SidecarFixture(endpoint);
         return fixture;
     }
 
-    private static FakeEndpoint good() throws IOException {
+    private static FakeEndpoint servingEndpoint() throws IOException {
         return FakeEndpoint.answering(200, "", "served");
     }
 
-    /** Does something when the loop has read what there was, and is about to do what is due by then. */
-    private void justBefore(double dueMs, SidecarFixture.Deed deed) throws Exception {
+    /** Runs an action when the event loop has handled I/O and is about to run the tasks due after {@code dueMs}. */
+    private void runBeforeDueTasks(double dueMs, SidecarFixture.Deed action) throws Exception {
         EventLoop loop = fixture.sidecar.loop();
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch again = new CountDownLatch(1);
-        CountDownLatch done = new CountDownLatch(1);
-        long until = System.nanoTime() + (long) (dueMs * 1e6);
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch blockedAgain = new CountDownLatch(1);
+        CountDownLatch actionDone = new CountDownLatch(1);
+        long untilNanos = System.nanoTime() + (long) (dueMs * 1e6);
         loop.execute(() -> {
             loop.schedule(
                     () -> {
-                        again.countDown();
-                        SidecarFixture.await(done);
+                        blockedAgain.countDown();
+                        SidecarFixture.await(actionDone);
                     },
                     1,
                     TimeUnit.MILLISECONDS);
-            held.countDown();
-            while (System.nanoTime() < until) {
+            blocked.countDown();
+            while (System.nanoTime() < untilNanos) {
                 Thread.onSpinWait();
             }
         });
-        SidecarFixture.await(held);
-        SidecarFixture.await(again);
+        SidecarFixture.await(blocked);
+        SidecarFixture.await(blockedAgain);
         try {
-            deed.run();
+            action.run();
         } finally {
-            done.countDown();
+            actionDone.countDown();
         }
     }
 
-    private Thread drain() throws Exception {
+    /** Starts a drain and waits until health checks report it. */
+    private Thread startDrain() throws Exception {
         Thread drain = new Thread(fixture.sidecar::drain);
         drain.start();
-        SidecarFixture.await("it drains", () -> {
-            try (RawHttpClient wire = fixture.client()) {
-                return wire.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+        SidecarFixture.await("the sidecar is draining", () -> {
+            try (RawHttpClient healthClient = fixture.client()) {
+                return healthClient
+                                .send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
                                 .read()
                                 .status()
                         == 503;
@@ -90,41 +94,43 @@
         return drain;
     }
 
-    /** Guards against a process that ends with nobody on its connections and somebody at its door. */
+    /** Guards against a process that exits with an unserved connection in its accept queue. */
     @Test
-    void whoWaitsToBeAcceptedAsTheListenerClosesIsServed() throws Exception {
-        before(good()).start();
-        Thread drain = drain();
-        RawHttpClient[] last = new RawHttpClient[1];
-        justBefore(LINGER_MS + 50, () -> last[0] = fixture.client().send(fixture.request("order", DEADLINE_MS)));
-        assertEquals(200, last[0].read().status());
-        last[0].close();
+    void connectionInAcceptQueueIsServedWhenListenerCloses() throws Exception {
+        createFixture(servingEndpoint()).start();
+        Thread drain = startDrain();
+        RawHttpClient[] lastClient = new RawHttpClient[1];
+        runBeforeDueTasks(
+                LISTENER_CLOSE_MS + 50,
+                () -> lastClient[0] = fixture.client().send(fixture.request("order", DEADLINE_MS)));
+        assertEquals(200, lastClient[0].read().status());
+        lastClient[0].close();
         drain.join();
         assertTrue(fixture.logged().contains("martenlatch: drained"), fixture.logged());
     }
 
-    /** Guards against a last call that resets a client whose request is there and has not been read. */
+    /** Guards against resetting a client whose request is unread when a drain closes idle connections. */
     @Test
-    void aRequestThatIsThereAtTheLastCallIsAnswered() throws Exception {
-        before(good()).start();
+    void unreadRequestIsServedWhenIdleClientsAreClosed() throws Exception {
+        createFixture(servingEndpoint()).start();
         try (RawHttpClient client = fixture.client()) {
             assertEquals(
                     200,
                     client.send(fixture.request("order", DEADLINE_MS)).read().status());
-            Thread drain = drain();
-            justBefore(LAST_CALL_MS + 50, () -> client.send(fixture.request("order", DEADLINE_MS)));
-            RawHttpClient.Message answer = client.read();
-            assertEquals(200, answer.status());
-            assertEquals("close", answer.headers().get("connection"));
+            Thread drain = startDrain();
+            runBeforeDueTasks(IDLE_CLIENTS_CLOSE_MS + 50, () -> client.send(fixture.request("order", DEADLINE_MS)));
+            RawHttpClient.Message response = client.read();
+            assertEquals(200, response.status());
+            assertEquals("close", response.headers().get("connection"));
             client.close();
             drain.join();
         }
     }
 
-    /** Guards against the same where a connection has stood idle for as long as it may. */
+    /** Guards against resetting a client whose request is unread when the idle timeout of its connection expires. */
     @Test
-    void aRequestThatIsThereWhenItsConnectionHasStoodIdleIsAnswered() throws Exception {
-        before(good()).start();
+    void unreadRequestIsServedAtIdleTimeout() throws Exception {
+        createFixture(servingEndpoint()).start();
         try (RawHttpClient client = fixture.client()) {
             for (int i = 0; i < 2; i++) {
                 assertEquals(
@@ -133,47 +139,48 @@
                                 .read()
                                 .status());
             }
-            justBefore(IDLE_MS + 50, () -> client.send(fixture.request("order", DEADLINE_MS)));
+            runBeforeDueTasks(IDLE_TIMEOUT_MS + 50, () -> client.send(fixture.request("order", DEADLINE_MS)));
             assertEquals(200, client.read().status());
         }
     }
 
-    /** And half of one is given its time, and no more. */
+    /** Guards against closing, or never closing, a connection with a partial request unread at its idle timeout. */
     @Test
-    void halfARequestThatIsThereWhenItsConnectionHasStoodIdleIsWaitedFor() throws Exception {
-        before(good()).start();
+    void partialRequestAtIdleTimeoutGetsTheHeadTimeout() throws Exception {
+        createFixture(servingEndpoint()).start();
         try (RawHttpClient client = fixture.client();
                 RawHttpClient silent = fixture.client()) {
             String request = fixture.request("order", DEADLINE_MS);
-            justBefore(IDLE_MS + 50, () -> {
+            runBeforeDueTasks(IDLE_TIMEOUT_MS + 50, () -> {
                 client.send(request.substring(0, 30));
                 silent.send("POST /api");
             });
             fixture.sidecar.loop().submit(() -> {}).get();
             assertEquals(200, client.send(request.substring(30)).read().status());
-            assertEquals(408, silent.read().status(), "who goes on saying nothing is told");
+            assertEquals(408, silent.read().status(), "a client that never completes its request gets a timeout");
         }
     }
 
-    /** Guards against an end that is put off by as long as the loop was held up when it was told. */
+    /** Guards against a drain that ends late by as long as the event loop was blocked when the drain began. */
     @Test
-    void aLoopThatIsHeldUpAsItIsToldToEndEndsInTime() throws Exception {
-        before(new FakeEndpoint((wire, request) -> wire.awaitClose())).start();
+    void drainEndsInTimeIfEventLoopIsBlocked() throws Exception {
+        createFixture(new FakeEndpoint((connection, request) -> connection.awaitClose()))
+                .start();
         try (RawHttpClient client = fixture.client()) {
             client.send(fixture.request("order", DEADLINE_MS));
-            SidecarFixture.await("it is in hand", () -> fixture.attempts() == 1);
+            SidecarFixture.await("the request is at the endpoint", () -> fixture.attempts() == 1);
             Thread drain = new Thread(fixture.sidecar::drain);
             fixture.whileHeld(
                     drain::start,
                     () -> SidecarFixture.await(
-                            "it has been told", () -> fixture.logged().contains("draining")),
+                            "the drain has been logged", () -> fixture.logged().contains("draining")),
                     () -> {
-                        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HELD_UP_MS);
-                        while (System.nanoTime() < until) {
+                        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LOOP_BLOCKED_MS);
+                        while (System.nanoTime() < untilNanos) {
                             Thread.onSpinWait();
                         }
                     });
-            assertEquals(502, client.read().status(), "answered before it ends");
+            assertEquals(502, client.read().status(), "the response is sent before the process exits");
             client.close();
             drain.join();
             assertTrue(fixture.logged().contains("martenlatch: drained"), fixture.logged());
@@ -181,27 +188,31 @@
     }
 
     /**
-     * Guards against a process that is killed before its last answer because requests had more time by
-     * settings that hold no more.
+     * Guards against a process that is killed before its last response, because the time for its drain was computed
+     * from longer deadlines of earlier settings.
      */
     @Test
-    void theEndGoesByTheDeadlinesThatHoldNow() throws Exception {
-        before(new FakeEndpoint((wire, request) -> wire.awaitClose())).start();
+    void drainUsesTheDeadlinesOfTheCurrentSettings() throws Exception {
+        createFixture(new FakeEndpoint((connection, request) -> connection.awaitClose()))
+                .start();
         try (RawHttpClient client = fixture.client()) {
             client.send(fixture.request("order", DEADLINE_MS));
-            SidecarFixture.await("it is in hand", () -> fixture.attempts() == 1);
+            SidecarFixture.await("the request is at the endpoint", () -> fixture.attempts() == 1);
             Files.writeString(
                     fixture.configFile,
                     fixture.config()
                             .replace("\"hard-limit-ms\":9000", "\"hard-limit-ms\":500")
                             .replace("\"slo-ms\":9000", "\"slo-ms\":400"));
             fixture.sidecar.reload();
-            SidecarFixture.await("the settings hold", () -> fixture.logged().contains("settings changed"));
-            long began = System.nanoTime();
-            Thread drain = drain();
+            SidecarFixture.await(
+                    "the settings are applied", () -> fixture.logged().contains("settings changed"));
+            long startNanos = System.nanoTime();
+            Thread drain = startDrain();
             assertEquals(502, client.read().status());
-            // By the old ones it would have had 3.4 s.
-            assertTrue((System.nanoTime() - began) / 1e6 < 3000, "answered before it may be killed");
+            // With the old settings the request would have had 3.4 s.
+            assertTrue(
+                    (System.nanoTime() - startNanos) / 1e6 < 3000,
+                    "the response is sent before the process may be killed");
             client.close();
             drain.join();
         }
--- a/sidecar/src/test/java/martenlatch/sidecar/RawHttpClient.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/RawHttpClient.java
@@ -14,12 +14,12 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** One end of an HTTP connection, spoken byte by byte, so that tests can also speak it badly. */
+/** One end of an HTTP/1.1 connection, client or server, that sends raw text so that tests can violate the protocol. */
 final class RawHttpClient implements Closeable {
 
-    private static final int PATIENCE_MS = 20_000;
+    private static final int READ_TIMEOUT_MS = 20_000;
 
-    /** A message: its first line, its headers in lower case and its body. */
+    /** An HTTP message; the names of its headers are in lower case. */
     record Message(String startLine, Map<String, String> headers, String body) {
         int status() {
             return Integer.parseInt(startLine.split(" ", 3)[1]);
@@ -31,7 +31,7 @@
 
     RawHttpClient(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         in = new BufferedInputStream(socket.getInputStream());
     }
@@ -45,30 +45,30 @@
         return this;
     }
 
-    /** Connects with a small buffer for what is received, as on a poor link. */
-    static RawHttpClient connect(InetSocketAddress address, int receiveBuffer) throws IOException {
+    /** Connects with a receive buffer of the given size; a small one simulates a slow link. */
+    static RawHttpClient connect(InetSocketAddress address, int receiveBufferBytes) throws IOException {
         Socket socket = new Socket();
-        socket.setReceiveBufferSize(receiveBuffer);
+        socket.setReceiveBufferSize(receiveBufferBytes);
         socket.connect(address);
         return new RawHttpClient(socket);
     }
 
-    /** Is told how much of a body has come. */
-    interface Progress {
-        void at(int bytes) throws Exception;
+    /** Is notified how many bytes of a body have been received. */
+    interface ProgressListener {
+        void onProgress(int bytes) throws Exception;
     }
 
     byte[] read(int size) throws IOException {
         byte[] bytes = in.readNBytes(size);
         if (bytes.length < size) {
-            throw new EOFException("the connection ended after " + bytes.length + " of " + size);
+            throw new EOFException("the connection closed after " + bytes.length + " of " + size);
         }
         return bytes;
     }
 
     byte[] readBody(Message head) throws IOException {
         try {
-            return readBody(head, so -> {});
+            return readBody(head, totalBytes -> {});
         } catch (IOException e) {
             throw e;
         } catch (Exception e) {
@@ -76,17 +76,17 @@
         }
     }
 
-    /** Reads the body that a head announces: by length, in chunks, or until the connection ends. */
-    byte[] readBody(Message head, Progress progress) throws Exception {
+    /** Reads the body that belongs to a head: by its length, in chunks, or until the connection closes. */
+    byte[] readBody(Message head, ProgressListener progressListener) throws Exception {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         if (head.headers().containsKey("transfer-encoding")) {
-            for (int size = chunk(); size > 0; size = chunk()) {
-                copy(body, size, progress);
-                line();
+            for (int size = readChunkSize(); size > 0; size = readChunkSize()) {
+                readInto(body, size, progressListener);
+                readLine();
             }
             skipTrailers();
         } else if (head.headers().containsKey("content-length")) {
-            copy(body, Integer.parseInt(head.headers().get("content-length")), progress);
+            readInto(body, Integer.parseInt(head.headers().get("content-length")), progressListener);
         } else {
             in.transferTo(body);
         }
@@ -94,25 +94,26 @@
     }
 
     private void skipTrailers() throws IOException {
-        String trailer = line();
+        String trailer = readLine();
         while (!trailer.isEmpty()) {
-            trailer = line();
+            trailer = readLine();
         }
     }
 
-    private int chunk() throws IOException {
-        return Integer.parseInt(line().split(";", 2)[0].trim(), 16);
+    private int readChunkSize() throws IOException {
+        return Integer.parseInt(readLine().split(";", 2)[0].trim(), 16);
     }
 
-    private void copy(ByteArrayOutputStream body, int size, Progress progress) throws Exception {
-        for (int left = size; left > 0; ) {
-            byte[] part = read(Math.min(left, 32 * 1024));
+    private void readInto(ByteArrayOutputStream body, int size, ProgressListener progressListener) throws Exception {
+        for (int remaining = size; remaining > 0; ) {
+            byte[] part = read(Math.min(remaining, 32 * 1024));
             body.write(part);
-            left -= part.length;
-            progress.at(body.size());
+            remaining -= part.length;
+            progressListener.onProgress(body.size());
         }
     }
 
+    /** Reads a message whose body is delimited by Content-Length, or empty without that header. */
     Message read() throws IOException {
         Message head = readHead();
         byte[] body = in.readNBytes(Integer.parseInt(head.headers().getOrDefault("content-length", "0")));
@@ -120,22 +121,22 @@
     }
 
     Message readHead() throws IOException {
-        String first = line();
+        String startLine = readLine();
         Map<String, String> headers = new LinkedHashMap<>();
-        for (String line = line(); !line.isEmpty(); line = line()) {
+        for (String line = readLine(); !line.isEmpty(); line = readLine()) {
             int colon = line.indexOf(':');
             headers.put(
                     line.substring(0, colon).toLowerCase(Locale.ROOT),
                     line.substring(colon + 1).trim());
         }
-        return new Message(first, headers, "");
+        return new Message(startLine, headers, "");
     }
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b = in.read(); b != '\n'; b = in.read()) {
             if (b < 0) {
-                throw new EOFException("the connection ended");
+                throw new EOFException("the connection closed");
             }
             if (b != '\r') {
                 line.write(b);
@@ -151,12 +152,12 @@
         } catch (java.net.SocketTimeoutException e) {
             throw e;
         } catch (IOException e) {
-            // A reset ends it as well.
+            // A reset closes the connection as well.
             return;
         }
     }
 
-    /** Closes with a reset. */
+    /** Closes the connection with a reset. */
     void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
