--- a/sidecar/src/main/java/martenlatch/frontend/RequestParser.java
+++ b/sidecar/src/main/java/martenlatch/frontend/RequestParser.java
@@ -23,7 +23,7 @@
     private static final List<String> SINGLE_VALUE_HEADERS =
             List.of(REQUEST_ID_HEADER, DEADLINE_HEADER, CLASS_HEADER, TENANT_HEADER, IDEMPOTENCY_KEY_HEADER);
 
-    private static final String REPEATED_HEADER = "one of " + SINGLE_VALUE_HEADERS + " is repeated";
+    private static final String REPEATED_HEADER_MESSAGE = "one of " + SINGLE_VALUE_HEADERS + " is repeated";
 
     private static final int BAD_REQUEST = 400;
     private static final int METHOD_NOT_ALLOWED = 405;
@@ -62,7 +62,7 @@
         String id = head.first(REQUEST_ID_HEADER);
         require(id != null && !id.isEmpty(), REQUEST_ID_HEADER + " is missing");
         for (String name : SINGLE_VALUE_HEADERS) {
-            require(!head.isRepeated(name), REPEATED_HEADER);
+            require(!head.isRepeated(name), REPEATED_HEADER_MESSAGE);
         }
         Integer classIndex = classIndexes.get(emptyIfNull(head.first(CLASS_HEADER)));
         require(classIndex != null, "X-Class is missing or unknown");
--- a/sidecar/src/main/java/martenlatch/frontend/http/ClientConnection.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/ClientConnection.java
@@ -37,7 +37,9 @@
     /** The maximum number of pipelined requests whose responses are not written yet. */
     private static final int MAX_PIPELINED = 8;
 
+    /** The Retry-After time of requests on a connection above the connection limit. */
     private static final double OVERFLOW_RETRY_AFTER_MS = 1000;
+
     private static final byte[] NO_BODY = new byte[0];
     /** Headers that apply to a single connection and are not forwarded. */
     private static final List<CharSequence> HOP_BY_HOP_HEADERS = List.of(
@@ -62,6 +64,7 @@
     /** Whether this connection exceeds the connection limit; its requests are rejected. */
     private boolean overLimit;
 
+    /** Whether the client has sent a valid request on this connection, which then counts as idle between requests. */
     private boolean clientSentRequest;
     /** The pending response to the request whose body is still being received, or null. */
     private PendingResponse responseToIncompleteRequest;
@@ -79,6 +82,7 @@
         responses = new ResponseQueue(channel, context.state(), this);
     }
 
+    /** Adds the handlers of this connection to the pipeline of its channel. */
     void addTo(ChannelPipeline pipeline) {
         pipeline.addLast(guard, new HttpRequestDecoder(), new HttpResponseEncoder(), collector, this);
     }
@@ -128,6 +132,7 @@
         return channel.isActive();
     }
 
+    /** Returns whether the channel accepts more output without exceeding its write buffer limit. */
     boolean isWritable() {
         return channel.isWritable();
     }
@@ -214,8 +219,8 @@
     }
 
     private void route(PendingResponse response, HttpRequest request, byte[] body, StreamedRequestBody streamedBody) {
-        boolean supportsChunks = request.protocolVersion().compareTo(HttpVersion.HTTP_1_1) >= 0;
-        response.setConnectionOptions(HttpUtil.isKeepAlive(request), supportsChunks);
+        boolean supportsChunked = request.protocolVersion().compareTo(HttpVersion.HTTP_1_1) >= 0;
+        response.setConnectionOptions(HttpUtil.isKeepAlive(request), supportsChunked);
         int queryStart = request.uri().indexOf('?');
         String path = queryStart < 0 ? request.uri() : request.uri().substring(0, queryStart);
         switch (path) {
--- a/sidecar/src/main/java/martenlatch/frontend/http/ClientConnections.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/ClientConnections.java
@@ -69,10 +69,12 @@
         idle.remove(connection);
     }
 
+    /** Makes a connection that has sent requests before, but has none in flight, a candidate for eviction. */
     void markIdle(ClientConnection connection) {
         idle.add(connection);
     }
 
+    /** Makes a connection a candidate that is evicted before idle ones. */
     void markExpendable(ClientConnection connection) {
         expendable.add(connection);
     }
--- a/sidecar/src/main/java/martenlatch/frontend/http/ConnectionGuard.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/ConnectionGuard.java
@@ -33,10 +33,12 @@
      */
     private static final int LINGER_MS = 300;
 
+    /** The connection is closed when more bytes than this have been discarded after the last response. */
     private static final int MAX_LINGER_BYTES = 256 * 1024;
     /** The linger time for a client that is sending a body, as it may check for a response only occasionally. */
     private static final int BODY_LINGER_MS = 2000;
 
+    /** The linger limit for a client that is sending a body. */
     private static final long MAX_BODY_LINGER_BYTES = RequestBodyCollector.MAX_BODY_BYTES;
     /**
      * The limit on buffered input, above which it is processed in any case. Input is buffered here rather than left in
--- a/sidecar/src/main/java/martenlatch/frontend/http/PendingResponse.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/PendingResponse.java
@@ -28,6 +28,7 @@
     /** Whether the end of the response body is marked only by closing the connection. */
     private boolean closeDelimited;
 
+    /** Whether the connection closes after this response; decided when it is written. */
     private boolean lastOnConnection;
 
     PendingResponse(ClientConnection connection, BodyMemoryBudget bodyMemory) {
@@ -75,7 +76,7 @@
     }
 
     /** Returns whether the end of the body is marked only by closing the connection. */
-    boolean closeDelimited() {
+    boolean isCloseDelimited() {
         return closeDelimited;
     }
 
--- a/sidecar/src/main/java/martenlatch/frontend/http/ResponseQueue.java
+++ b/sidecar/src/main/java/martenlatch/frontend/http/ResponseQueue.java
@@ -112,7 +112,7 @@
 
     /** Closes the connection so that the client detects a truncated body; a close-delimited body requires a reset. */
     private void abort(PendingResponse response) {
-        if (response.closeDelimited()) {
+        if (response.isCloseDelimited()) {
             channel.config().setSoLinger(0);
         }
         channel.close();
