--- a/sidecar/src/main/java/martenlatch/sidecar/SidecarParts.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/SidecarParts.java
@@ -61,7 +61,7 @@
         logger = new RateLimitedLogger(scheduler, log);
         EndpointListGate endpointListGate =
                 new EndpointListGate(scheduler, config.settings(), maxListWaitMs, endpointListReady::complete);
-        DescriptorBudget budget = DescriptorBudget.of(config.sockets(), config.admin() != null);
+        DescriptorBudget budget = DescriptorBudget.of(config.maxDescriptors(), config.admin() != null);
         endpointPool = new EndpointPool(
                 loop,
                 scheduler,
@@ -83,15 +83,16 @@
                 discovery::start,
                 config.settings(),
                 config.seed(),
-                config.known(),
+                config.cachedEndpointList(),
                 RequestObserver.NONE);
         adminOperations = new AdminOperations(scheduler, logger, new OperatorControl());
         adminServer = new AdminServer(loop, adminOperations);
         discovery.setListener(
-                endpointListGate.before(new EndpointListRelay()), config.known().version());
+                endpointListGate.wrap(new EndpointListRelay()),
+                config.cachedEndpointList().version());
         frontend = new Frontend(
                 loop, scheduler, logger, requestTracker, endpointPool, config.settings(), budget.clientConnections());
-        adminOperations.onEndpointList(config.known());
+        adminOperations.onEndpointList(config.cachedEndpointList());
         if (config.admin() != null) {
             adminOperations.share(sharedFolder, config.name(), loop);
         }
@@ -124,7 +125,7 @@
     /** Takes over the addresses of the other sidecars; throws if there are not as many as before. */
     void applyGossipAddresses(SiteConfig next) {
         if (gossip != null) {
-            gossip.applyAddresses(next.peerAddresses().each());
+            gossip.applyAddresses(next.peerAddresses().addresses());
         }
     }
 
--- a/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
@@ -57,14 +57,14 @@
     void requestOfDisconnectedClientIsNotForwarded(boolean accepted, boolean reset) throws Exception {
         fixture = new SidecarFixture(FakeEndpoint.answering(200, "", "served")).start();
         // There is now an idle connection to the endpoint, on which an attempt would be written immediately.
-        assertEquals("served", fixture.ask("order", DEADLINE_MS).body());
-        SidecarFixture.settle();
+        assertEquals("served", fixture.sendRequest("order", DEADLINE_MS).body());
+        SidecarFixture.awaitReuseDelay();
         RawHttpClient[] client = new RawHttpClient[1];
-        SidecarFixture.Deed connect = () -> client[0] = fixture.client();
+        SidecarFixture.Action connect = () -> client[0] = fixture.client();
         if (accepted) {
             connect.run();
         }
-        fixture.whileHeld(
+        fixture.whileEventLoopBlocked(
                 () -> {
                     if (!accepted) {
                         connect.run();
@@ -78,7 +78,7 @@
                         client[0].close();
                     }
                 });
-        assertEquals("served", fixture.ask("order", DEADLINE_MS).body());
+        assertEquals("served", fixture.sendRequest("order", DEADLINE_MS).body());
         awaitNoPendingRequests();
         assertEquals(0, attemptsOf("r1"));
         assertEquals(1, attemptsOf("r2"));
@@ -114,16 +114,16 @@
             assertEquals("served", secondClient.read().body());
         }
         // There is now an idle connection to each endpoint.
-        SidecarFixture.settle();
+        SidecarFixture.awaitReuseDelay();
         RawHttpClient client = fixture.client().send(fixture.request("read", DEADLINE_MS));
-        RawHttpClient attempt = waitingAttempts.poll(SidecarFixture.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        RawHttpClient attempt = waitingAttempts.poll(SidecarFixture.AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (resetFirst) {
-            fixture.whileHeld(attempt::reset, client::close);
+            fixture.whileEventLoopBlocked(attempt::reset, client::close);
         } else {
-            fixture.whileHeld(client::close, attempt::reset);
+            fixture.whileEventLoopBlocked(client::close, attempt::reset);
         }
         awaitNoPendingRequests();
-        assertEquals("served", fixture.ask("read", DEADLINE_MS).body());
+        assertEquals("served", fixture.sendRequest("read", DEADLINE_MS).body());
         assertEquals(1, attemptsOf("r2"));
         assertEquals(List.of(), List.copyOf(waitingAttempts));
     }
@@ -133,10 +133,10 @@
     @ValueSource(strings = {"order, cancel", "order", "read, cancel", "read"})
     void requestIsNotSentIfClientDisconnectsWhileConnecting(String variant) throws Exception {
         String kind = variant.split(",", 2)[0];
-        try (LateEndpoint late = new LateEndpoint()) {
+        try (DelayedAcceptEndpoint late = new DelayedAcceptEndpoint()) {
             fixture = SidecarFixture.withEndpointAt(late.address());
             fixture.cancel = variant.endsWith("cancel");
-            fixture.dialMs = 30_000;
+            fixture.connectTimeoutMs = 30_000;
             fixture.start();
             long startNanos = System.nanoTime();
             RawHttpClient disconnecting = fixture.client().send(fixture.request(kind, DEADLINE_MS));
@@ -147,7 +147,7 @@
             fixture.awaitPending(1);
             assertTrue(
                     SidecarFixture.elapsedMs(startNanos) < MAX_DETECTION_MS, "cancelled before the request times out");
-            late.open();
+            late.startAccepting();
             assertEquals("late", connected.read().body());
             connected.close();
             assertEquals(
@@ -156,7 +156,7 @@
                             .map(request -> request.headers().get("x-request-id"))
                             .toList());
             // The endpoint is not penalized: it receives the next request immediately.
-            assertEquals("late", fixture.ask("order", DEADLINE_MS).body());
+            assertEquals("late", fixture.sendRequest("order", DEADLINE_MS).body());
         }
     }
 
@@ -176,7 +176,7 @@
         client.send(pipelined.toString());
         SidecarFixture.await("some requests are at the endpoint", () -> fixture.attempts() > 0);
         // Once another client has its response, all earlier input has been processed.
-        fixture.ask("order", DEADLINE_MS);
+        fixture.sendRequest("order", DEADLINE_MS);
         long startNanos = System.nanoTime();
         if (variant.endsWith("held")) {
             client.send("POST /api HTTP/1.1\r\nContent-Length: 50000\r\n\r\n" + "x".repeat(40_000));
@@ -229,7 +229,7 @@
                     request.body().length() < Integer.parseInt(request.headers().get("content-length")),
                     "no endpoint received a complete body"));
         }
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
     }
 
     /** A client that closes only its output counts as disconnected, as that looks the same as a full close. */
@@ -254,19 +254,19 @@
     @ParameterizedTest
     @CsvSource({"true, true", "true, false", "false, true", "false, false"})
     void retryIsNotSentIfClientDisconnectsAsAttemptFails(boolean failureFirst, boolean cancel) throws Exception {
-        try (ServerSocket listener = startWithEndpointAt(LateEndpoint.queue(), cancel)) {
+        try (ServerSocket listener = startWithEndpointAt(DelayedAcceptEndpoint.listenWithShortBacklog(), cancel)) {
             RawHttpClient client = fixture.client().send(fixture.request("read", DEADLINE_MS));
             RawHttpClient first = new RawHttpClient(listener.accept());
             first.read();
-            try (LateEndpoint late = new LateEndpoint(listener)) {
+            try (DelayedAcceptEndpoint late = new DelayedAcceptEndpoint(listener)) {
                 if (failureFirst) {
-                    fixture.whileHeld(first::reset, client::close);
+                    fixture.whileEventLoopBlocked(first::reset, client::close);
                 } else {
-                    fixture.whileHeld(client::close, first::reset);
+                    fixture.whileEventLoopBlocked(client::close, first::reset);
                 }
                 fixture.awaitPending(0, MAX_DETECTION_MS);
-                late.open();
-                assertEquals("late", fixture.ask("order", DEADLINE_MS).body());
+                late.startAccepting();
+                assertEquals("late", fixture.sendRequest("order", DEADLINE_MS).body());
                 assertEquals(
                         List.of("r1"),
                         late.requests.stream()
@@ -281,21 +281,21 @@
     @CsvSource({"true, true", "true, false", "false, true", "false, false"})
     void responseToDisconnectedClientIsNotDeliveredToNextRequest(boolean responseFirst, boolean cancel)
             throws Exception {
-        try (ServerSocket listener = startWithEndpointAt(LateEndpoint.queue(), cancel)) {
+        try (ServerSocket listener = startWithEndpointAt(DelayedAcceptEndpoint.listenWithShortBacklog(), cancel)) {
             RawHttpClient client = fixture.client().send(fixture.request("order", DEADLINE_MS));
             RawHttpClient endpoint = new RawHttpClient(listener.accept());
             endpoint.read();
-            SidecarFixture.Deed respond = () -> FakeEndpoint.answer(endpoint, 200, "", "first");
+            SidecarFixture.Action respond = () -> FakeEndpoint.answer(endpoint, 200, "", "first");
             if (responseFirst) {
-                fixture.whileHeld(respond, client::close);
+                fixture.whileEventLoopBlocked(respond, client::close);
             } else {
-                fixture.whileHeld(client::close, respond);
+                fixture.whileEventLoopBlocked(client::close, respond);
             }
             fixture.awaitPending(0, MAX_DETECTION_MS);
-            SidecarFixture.settle();
+            SidecarFixture.awaitReuseDelay();
             Thread endpointThread = new Thread(() -> serveNext(listener, endpoint));
             endpointThread.start();
-            assertEquals("second", fixture.ask("order", DEADLINE_MS).body());
+            assertEquals("second", fixture.sendRequest("order", DEADLINE_MS).body());
             endpointThread.join();
         }
     }
--- a/sidecar/src/test/java/martenlatch/sidecar/ClientLimitsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientLimitsTest.java
@@ -140,7 +140,7 @@
                     400, client.send(head + framing + SMUGGLED_REQUEST).read().status());
             assertClosedWithoutMessage(client);
         }
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(1, fixture.attempts(), "only the valid request was forwarded");
     }
 
@@ -168,7 +168,7 @@
             assertEquals(413, client.read().status());
             assertClosedWithoutMessage(client);
         }
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
     }
 
     @Test
@@ -199,7 +199,7 @@
             client.send(pipelined.toString());
             SidecarFixture.await("the first request is at the endpoint", () -> fixture.attempts() > 0);
             // Once another client has its response, all input of the first read has been processed.
-            assertEquals(503, fixture.ask("order", DEADLINE_MS).status(), "the sidecar is at its limit");
+            assertEquals(503, fixture.sendRequest("order", DEADLINE_MS).status(), "the sidecar is at its limit");
             release.countDown();
             int sent = 0;
             for (int i = 0; i < 8; i++) {
@@ -239,7 +239,7 @@
                             .send(fixture.request("read", DEADLINE_MS))
                             .read()
                             .status());
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         }
         for (RawHttpClient client : silentClients) {
             client.close();
@@ -266,7 +266,7 @@
     @Test
     void deadlineIsCappedByTheRequestClass() throws Exception {
         start(servingEndpoint());
-        assertEquals(200, fixture.ask("order", 999_999_999).status());
+        assertEquals(200, fixture.sendRequest("order", 999_999_999).status());
         int forwardedMs = Integer.parseInt(
                 fixture.endpoints.get(0).requests.get(0).headers().get("x-deadline-ms"));
         assertTrue(forwardedMs <= 9000, "deadline forwarded to the endpoint in ms: " + forwardedMs);
--- a/sidecar/src/test/java/martenlatch/sidecar/ClosingTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClosingTest.java
@@ -48,7 +48,7 @@
     }
 
     /** Runs an action when the event loop has handled I/O and is about to run the tasks due after {@code dueMs}. */
-    private void runBeforeDueTasks(double dueMs, SidecarFixture.Deed action) throws Exception {
+    private void runBeforeDueTasks(double dueMs, SidecarFixture.Action action) throws Exception {
         EventLoop loop = fixture.sidecar.loop();
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch blockedAgain = new CountDownLatch(1);
@@ -170,7 +170,7 @@
             client.send(fixture.request("order", DEADLINE_MS));
             SidecarFixture.await("the request is at the endpoint", () -> fixture.attempts() == 1);
             Thread drain = new Thread(fixture.sidecar::drain);
-            fixture.whileHeld(
+            fixture.whileEventLoopBlocked(
                     drain::start,
                     () -> SidecarFixture.await(
                             "the drain has been logged", () -> fixture.logged().contains("draining")),
--- a/sidecar/src/test/java/martenlatch/sidecar/DeduplicationWindowRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DeduplicationWindowRaceTest.java
@@ -31,23 +31,23 @@
      */
     @Test
     void aKeyedRepeatIsNotSentAfterItsWindow() throws Exception {
-        try (ServerSocket place = LateEndpoint.queue()) {
+        try (ServerSocket place = DelayedAcceptEndpoint.listenWithShortBacklog()) {
             fixture = SidecarFixture.withEndpointAt("127.0.0.1:" + place.getLocalPort());
-            fixture.dialMs = 30_000;
-            fixture.windowMs = 3000;
+            fixture.connectTimeoutMs = 30_000;
+            fixture.deduplicationWindowMs = 3000;
             fixture.start();
             long began = System.nanoTime();
             RawHttpClient client = fixture.client().send(fixture.request("move", DEADLINE_MS));
             RawHttpClient first = new RawHttpClient(place.accept());
             first.read();
-            try (LateEndpoint late = new LateEndpoint(place)) {
+            try (DelayedAcceptEndpoint late = new DelayedAcceptEndpoint(place)) {
                 first.reset();
                 RawHttpClient.Message answer = client.read();
                 assertEquals(503, answer.status(), "every endpoint drops it when it is sent again in time");
                 assertTrue(SidecarFixture.elapsedMs(began) >= 2500, "it was to be repeated within the window");
                 assertTrue(SidecarFixture.elapsedMs(began) < NOTICED_MS, "given up is answered at once");
-                late.open();
-                assertEquals("late", fixture.ask("order", DEADLINE_MS).body());
+                late.startAccepting();
+                assertEquals("late", fixture.sendRequest("order", DEADLINE_MS).body());
                 assertEquals(
                         List.of("r1"),
                         late.requests.stream()
