--- a/sidecar/src/main/java/martenlatch/sidecar/ConfigurationReloader.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/ConfigurationReloader.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import martenlatch.site.SiteConfig;
 
-/** Reads the configuration file again in service, and applies all of it in one turn of the event loop, or nothing. */
+/** Reloads the configuration file and applies it atomically, within a single event loop task: all of it or nothing. */
 final class ConfigurationReloader {
 
     private final Path file;
@@ -21,14 +21,15 @@
     }
 
     /**
-     * Reads and compares the file once, off the event loop, and drops the result: the code of a reload is loaded and
-     * linked by that, which would otherwise hold up the event loop at the first reload.
+     * Reads the file and compares it with the given configuration, then discards the result. This runs off the event
+     * loop and loads and links the classes that a reload needs, which would otherwise block the event loop during the
+     * first reload.
      */
     static void warmUp(Path file, SiteConfig config) {
         try {
             differsInSettings(config.readAgain(file), config);
         } catch (IOException | RuntimeException e) {
-            // The file has been changed since the start; a reload will tell what is wrong with it.
+            // The file has changed since start-up; a reload logs what is wrong with it.
             return;
         }
     }
@@ -37,7 +38,10 @@
         return !next.settings().equals(current.settings());
     }
 
-    /** To be called on the event loop. */
+    /**
+     * Reads the configuration file and applies it; an unusable file is logged and changes nothing. Must be called on the
+     * event loop.
+     */
     void reload() {
         try {
             SiteConfig current = configuration.get();
--- a/sidecar/src/main/java/martenlatch/sidecar/CurrentConfiguration.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/CurrentConfiguration.java
@@ -3,11 +3,14 @@
 import martenlatch.policy.api.RequestClass;
 import martenlatch.site.SiteConfig;
 
-/** The configuration in force. It is read and replaced on the event loop; only its longest deadline is for others. */
+/**
+ * Holds the configuration in force. It is read and replaced on the event loop; only {@link #maxDeadlineMs} may be called
+ * from other threads.
+ */
 final class CurrentConfiguration {
 
     private SiteConfig config;
-    /** Written once for each configuration: a shutdown reads it on its own thread, perhaps during a reload. */
+    /** Written once per configuration, as the shutdown thread may read it while a reload replaces the configuration. */
     private volatile long maxDeadlineMs;
 
     CurrentConfiguration(SiteConfig config) {
@@ -27,7 +30,7 @@
         maxDeadlineMs = max;
     }
 
-    /** The longest deadline of any request class, in milliseconds; may be called from any thread. */
+    /** Returns the longest deadline of any request class, in milliseconds; may be called from any thread. */
     long maxDeadlineMs() {
         return maxDeadlineMs;
     }
--- a/sidecar/src/main/java/martenlatch/sidecar/DescriptorBudget.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/DescriptorBudget.java
@@ -5,27 +5,27 @@
 import martenlatch.frontend.http.Frontend;
 
 /**
- * How the file descriptors that the process may hold are divided: one half for clients, one half for endpoints.
+ * Divides the file descriptors that the process may open: one half for clients, the other half for endpoints.
  *
- * @param clientConnections the largest number of client connections
- * @param endpointConnections the largest number of connections to endpoints
+ * @param clientConnections the maximum number of client connections
+ * @param endpointConnections the maximum number of connections to endpoints
  */
 record DescriptorBudget(int clientConnections, int endpointConnections) {
 
-    /** Descriptors beyond those that the JVM holds from its start: warm-up, discovery, a round of accepts. */
-    private static final int RESERVED = 32;
-    /** Descriptors for the admin API: its connections, its listener, and the shared folder's lock and listing. */
-    private static final int RESERVED_FOR_ADMIN = AdminServer.MAX_CONNECTIONS + 4;
-    /** What the JVM typically holds open, where the system does not tell. */
+    /** Descriptors reserved for warm-up, discovery and one batch of accepted connections. */
+    private static final int RESERVED_DESCRIPTORS = 32;
+    /** Descriptors reserved for the admin API: its connections and listener, and the shared folder's lock and listing. */
+    private static final int RESERVED_ADMIN_DESCRIPTORS = AdminServer.MAX_CONNECTIONS + 4;
+    /** The number of files that a JVM typically has open, used where the system does not report it. */
     private static final int TYPICAL_OPEN_FILES = 32;
 
     private static final int MIN_CONNECTIONS = 8;
 
-    /** Divides the descriptors that are left after those already open and those reserved. */
+    /** Divides the descriptors that remain after subtracting the open and the reserved ones. */
     static DescriptorBudget of(int descriptors, boolean hasAdminApi) {
-        int reserved = RESERVED + (hasAdminApi ? RESERVED_FOR_ADMIN : 0);
-        int half = Math.max(MIN_CONNECTIONS, (descriptors - openFiles() - reserved) / 2);
-        return new DescriptorBudget(Math.max(MIN_CONNECTIONS, half - Frontend.OVERFLOW), half);
+        int reserved = RESERVED_DESCRIPTORS + (hasAdminApi ? RESERVED_ADMIN_DESCRIPTORS : 0);
+        int perSide = Math.max(MIN_CONNECTIONS, (descriptors - openFiles() - reserved) / 2);
+        return new DescriptorBudget(Math.max(MIN_CONNECTIONS, perSide - Frontend.OVERFLOW), perSide);
     }
 
     private static int openFiles() {
--- a/sidecar/src/main/java/martenlatch/sidecar/GossipTransport.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/GossipTransport.java
@@ -27,12 +27,13 @@
 import martenlatch.request.Scheduler;
 import martenlatch.site.PeerAddresses;
 
-/** Membership among the sidecars over UDP, on the sidecar's event loop. */
+/** Runs the gossip membership protocol among the sidecars over UDP, on the sidecar's event loop. */
 final class GossipTransport implements GossipMembership.Environment {
 
-    /** Longer than any message: what is longer is cut, and not a message then. */
+    /** Exceeds the size of every valid message; a longer datagram is truncated and then rejected as malformed. */
     private static final int MAX_DATAGRAM_BYTES = 512;
 
+    /** The highest zone index that a gossip message can carry. */
     private static final int MAX_ZONE = 31;
 
     private final EventLoop loop;
@@ -40,7 +41,7 @@
     private final RateLimitedLogger logger;
     private final GossipMembership membership;
     private List<InetSocketAddress> addresses;
-    private final Map<InetSocketAddress, Integer> numbersByAddress = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> peersByAddress = new HashMap<>();
     private DatagramChannel channel;
     private boolean closed;
 
@@ -65,7 +66,7 @@
         applyAddresses(peerAddresses.each());
     }
 
-    /** Takes over the addresses of the others; their number cannot change in service. */
+    /** Replaces the addresses of the peers; the number of peers cannot change while the sidecar runs. */
     void applyAddresses(List<InetSocketAddress> next) {
         if (addresses != null && next.size() != addresses.size()) {
             throw new ConfigurationException(
@@ -73,19 +74,20 @@
                     "field peers must keep its " + addresses.size() + " addresses in service but has " + next.size());
         }
         addresses = List.copyOf(next);
-        numbersByAddress.clear();
+        peersByAddress.clear();
         for (int i = 0; i < addresses.size(); i++) {
-            numbersByAddress.put(addresses.get(i), i);
+            peersByAddress.put(addresses.get(i), i);
         }
     }
 
-    /** Listens; the future tells whether that was possible. */
-    ChannelFuture listen(InetSocketAddress at) {
-        ChannelFuture bound = new Bootstrap()
+    /** Binds the UDP socket; the returned future reports whether that succeeded. */
+    ChannelFuture listen(InetSocketAddress address) {
+        ChannelFuture binding = new Bootstrap()
                 .group(loop)
                 .channel(NioDatagramChannel.class)
                 .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
-                // While one process of this sidecar takes over from another, the newer one hears the others.
+                // During a handover both processes of this sidecar bind the address; the newer one receives the
+                // messages.
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES))
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
@@ -93,18 +95,18 @@
                     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
                         membership.receive(
                                 scheduler.now(),
-                                numbersByAddress.getOrDefault(packet.sender(), -1),
+                                peersByAddress.getOrDefault(packet.sender(), -1),
                                 ByteBufUtil.getBytes(packet.content()));
                     }
 
                     @Override
                     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                        // The system reports that nobody received a datagram that was sent before.
+                        // Ignored: the system reports here that an earlier datagram reached no receiver.
                     }
                 })
-                .bind(at);
-        channel = (DatagramChannel) bound.channel();
-        return bound;
+                .bind(address);
+        channel = (DatagramChannel) binding.channel();
+        return binding;
     }
 
     /** Starts the membership protocol. */
@@ -120,36 +122,36 @@
         });
     }
 
-    /** Leaves, and goes on telling that until the process ends. */
+    /** Leaves the membership, and keeps announcing that until the process ends. */
     void leave() {
         membership.leave(scheduler.now());
     }
 
-    /** Sends nothing more. */
+    /** Closes the socket; no messages are sent afterwards. */
     void close() {
         closed = true;
         channel.close();
     }
 
     @Override
-    public void send(int to, byte[] datagram) {
+    public void send(int peer, byte[] datagram) {
         if (!closed) {
-            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), addresses.get(to)));
+            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), addresses.get(peer)));
         }
     }
 
     @Override
     public void onStateChanged(int peer, PeerState before, PeerState now) {
-        boolean worthLogging = now == PeerState.FAULTY
+        boolean isSignificant = now == PeerState.FAULTY
                 || now == PeerState.LEFT
                 || before == PeerState.FAULTY
                 || before == PeerState.LEFT;
-        if (worthLogging) {
+        if (isSignificant) {
             logger.log("peer " + peer, before + " -> " + now);
         }
     }
 
-    /** The view as JSON, for the admin API. */
+    /** Returns the membership view as JSON, for the admin API. */
     String json() {
         PeerView view = membership.view(scheduler.now());
         StringBuilder json = new StringBuilder("{\"told\":" + view.told() + ",\"at_least\":" + view.atLeast()
--- a/sidecar/src/main/java/martenlatch/sidecar/GracefulShutdown.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/GracefulShutdown.java
@@ -7,24 +7,24 @@
 import martenlatch.frontend.http.Frontend;
 
 /**
- * Answers what is in flight and what still arrives, within the time that the platform leaves between SIGTERM and
- * SIGKILL. While there is time clients go on using the connections that they have: where the sidecars that could
- * serve them are still starting, they would find nobody.
+ * Drains the sidecar within the time that the platform leaves between SIGTERM and SIGKILL: requests in flight and
+ * requests that still arrive are answered. Clients keep using their connections for most of that time, because the
+ * other sidecars that could serve them may still be starting.
  */
 final class GracefulShutdown {
 
-    /** New connections still arrive for a while after SIGTERM: until then the listener stays open. */
+    /** How long the listener stays open after SIGTERM, as new connections still arrive for a while. */
     private static final int LISTENER_LINGER_MS = 600;
 
-    private static final int EMPTY_POLL_MS = 10;
-    /** SIGKILL follows SIGTERM after the longest deadline, or after this time if that is shorter, and the slack. */
+    private static final int DRAINED_POLL_INTERVAL_MS = 10;
+    /** SIGKILL follows SIGTERM after the longest deadline, capped at this time, plus {@link #KILL_SLACK_MS}. */
     private static final int MAX_KILL_DELAY_MS = 3000;
 
     private static final int KILL_SLACK_MS = 700;
-    /** Time at the end that is reserved for requests in flight: idle connections are closed before it. */
+    /** Time reserved for requests in flight at the end of the drain; idle connections are closed before it starts. */
     private static final int IN_FLIGHT_RESERVE_MS = 700;
-    /** Slack before SIGKILL for a delayed event loop. */
-    private static final int DELAY_SLACK_MS = 300;
+    /** Safety margin before SIGKILL in case the event loop runs late. */
+    private static final int EVENT_LOOP_SLACK_MS = 300;
 
     private final EventLoop loop;
     private final SidecarParts parts;
@@ -39,38 +39,42 @@
         this.log = log;
     }
 
-    /** Drains the sidecar; returns once no client is left, or when the time is up. */
+    /** Drains the sidecar; returns once no client connection is left, or when the time is up. */
     void run() {
         log.println("martenlatch: draining");
         long startedNanos = System.nanoTime();
-        long killedAfterMs = Math.min(maxDeadlineMs, MAX_KILL_DELAY_MS) + KILL_SLACK_MS;
-        long endMs = killedAfterMs - DELAY_SLACK_MS;
+        long killDelayMs = Math.min(maxDeadlineMs, MAX_KILL_DELAY_MS) + KILL_SLACK_MS;
+        long drainTimeoutMs = killDelayMs - EVENT_LOOP_SLACK_MS;
         boolean hasSuccessor = parts.adminOperations.announceLeaving();
-        // A delayed event loop starts late, and SIGKILL does not wait for it.
-        loop.execute(() -> begin(hasSuccessor, endMs, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos)));
-        awaitDrained(endMs);
+        // A busy event loop starts the drain late, and SIGKILL does not wait for it: the delay counts as elapsed time.
+        loop.execute(() ->
+                begin(hasSuccessor, drainTimeoutMs, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos)));
+        awaitDrained(drainTimeoutMs);
         log.println(
                 drained.getCount() == 0
                         ? "martenlatch: drained"
                         : "martenlatch: drain timed out: some connections still have responses to write");
     }
 
-    private void begin(boolean hasSuccessor, long endMs, long lateMs) {
+    private void begin(boolean hasSuccessor, long drainTimeoutMs, long elapsedMs) {
         Frontend frontend = parts.frontend;
-        double remainingMs = (double) (endMs - lateMs);
+        double remainingMs = (double) (drainTimeoutMs - elapsedMs);
         parts.leaveGossip();
-        // Tasks that are due at once run in this order: connections in the accept queue come before idle ones close.
+        // Tasks due at the same time run in this order: queued connections are accepted before idle ones are closed.
         if (hasSuccessor) {
             log.println("martenlatch: handing over: another process serves this address");
             frontend.handOver(remainingMs);
         } else {
             frontend.drain(remainingMs);
-            loop.schedule(frontend::closeListener, LISTENER_LINGER_MS - lateMs, TimeUnit.MILLISECONDS);
+            loop.schedule(frontend::closeListener, LISTENER_LINGER_MS - elapsedMs, TimeUnit.MILLISECONDS);
         }
-        long closeIdleMs = Math.max(LISTENER_LINGER_MS, endMs - IN_FLIGHT_RESERVE_MS);
-        loop.schedule(frontend::closeIdleClients, closeIdleMs - lateMs, TimeUnit.MILLISECONDS);
+        long closeIdleMs = Math.max(LISTENER_LINGER_MS, drainTimeoutMs - IN_FLIGHT_RESERVE_MS);
+        loop.schedule(frontend::closeIdleClients, closeIdleMs - elapsedMs, TimeUnit.MILLISECONDS);
         loop.scheduleWithFixedDelay(
-                this::checkDrained, Math.max(0, LISTENER_LINGER_MS - lateMs), EMPTY_POLL_MS, TimeUnit.MILLISECONDS);
+                this::checkDrained,
+                Math.max(0, LISTENER_LINGER_MS - elapsedMs),
+                DRAINED_POLL_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     private void checkDrained() {
@@ -79,10 +83,13 @@
         }
     }
 
-    /** Every request has its answer by the end; clients that do not take theirs are not waited for. */
-    private void awaitDrained(long endMs) {
+    /**
+     * Waits until the sidecar is drained. Every request is answered by the end of the drain; clients that do not read
+     * their responses in time are not waited for.
+     */
+    private void awaitDrained(long drainTimeoutMs) {
         try {
-            drained.await(endMs + DELAY_SLACK_MS / 2, TimeUnit.MILLISECONDS);
+            drained.await(drainTimeoutMs + EVENT_LOOP_SLACK_MS / 2, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/sidecar/src/main/java/martenlatch/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/Sidecar.java
@@ -18,7 +18,7 @@
 import martenlatch.site.PeerAddresses;
 import martenlatch.site.SiteConfig;
 
-/** One sidecar in service: its parts on one event loop, which is the only thread that touches any of them. */
+/** A running sidecar: its components on one event loop, which is the only thread that accesses them. */
 public final class Sidecar {
 
     private final StartOptions options;
@@ -38,15 +38,15 @@
     }
 
     /**
-     * Reads the configuration, listens and warms up; returns once the sidecar is warm.
+     * Starts a sidecar: reads the configuration, listens and warms up. Returns once the warm-up has finished.
      *
      * @throws IOException if an address cannot be bound, or the configuration file cannot be read
      * @throws IllegalArgumentException if the configuration cannot be used; its message names field and value
      */
     public static Sidecar start(StartOptions options, PrintStream log) throws IOException {
         SiteConfig config = SiteConfig.read(options.configFile());
-        // Netty's logger formats local times, whose rules are read from a file at the first line: under load there
-        // may be no descriptor for it, and the error would end the event loop.
+        // Netty's logger formats local times. The first line reads the time zone rules from a file, which fails when no
+        // descriptor is left under load, and that error would terminate the event loop. So the rules are read now.
         TimeZone.getDefault();
         log.println("martenlatch: " + System.currentTimeMillis() + " starting with version "
                 + config.known().version() + " of the endpoint list, "
@@ -77,19 +77,20 @@
             awaitEndpointList();
             listen(config);
         } else {
-            startBesideAgent(config);
+            startWithAgent(config);
         }
         log.println("martenlatch: serving on " + address);
-        // Not before: where the process has a part of a core only, clients would wait for it.
+        // Done only after the listener is open: with a fraction of a core, clients would have to wait for it.
         ConfigurationReloader.warmUp(options.configFile(), config);
     }
 
     /**
-     * Changes that the agent has learned count as notified already, and it answers at once. Beside another process,
-     * clients are divided between both and must not meet one with cold code. Alone, a client that is accepted early
-     * waits a little, while one that is refused finds nobody.
+     * Starts with a local discovery agent, which pushes endpoint lists. Changes known to the agent already count as
+     * notified, and it responds at once, so its list is awaited first. If another process serves the same address,
+     * clients are distributed over both processes, so this one warms up before it listens. Without another process it
+     * listens first: a client accepted early waits briefly, while a rejected one would not be served at all.
      */
-    private void startBesideAgent(SiteConfig config) throws IOException, InterruptedException {
+    private void startWithAgent(SiteConfig config) throws IOException, InterruptedException {
         boolean hasPredecessor = parts.adminOperations.othersServe();
         awaitEndpointList();
         if (hasPredecessor) {
@@ -101,7 +102,10 @@
         }
     }
 
-    /** Changes from before this start count as notified soon: clients must not come while the list may be old. */
+    /**
+     * Waits for a current endpoint list. Changes made before this start soon count as notified, so clients must not be
+     * served from a list that may be outdated.
+     */
     private void awaitEndpointList() {
         EndpointListGate.Reason reason = parts.endpointListReady.join();
         if (reason != EndpointListGate.Reason.LIST_CURRENT) {
@@ -120,7 +124,7 @@
     }
 
     private void listen(SiteConfig config) throws IOException, InterruptedException {
-        // Whoever sees that this process is ready must also find its mark in the shared folder.
+        // Must precede listening: a process that sees this one ready must also find its marker in the shared folder.
         parts.adminOperations.announceServing();
         address = bind(() -> parts.frontend.listen(config.listen()), config.listen());
         log.println("martenlatch: listening on " + address);
@@ -128,15 +132,15 @@
 
     private InetSocketAddress bind(Supplier<ChannelFuture> listen, InetSocketAddress requested)
             throws IOException, InterruptedException {
-        ChannelFuture bound = listen.get().await();
-        if (!bound.isSuccess()) {
+        ChannelFuture binding = listen.get().await();
+        if (!binding.isSuccess()) {
             stop();
             BindException failure = new BindException(
-                    "cannot listen on " + requested + ": " + bound.cause().getMessage());
-            failure.initCause(bound.cause());
+                    "cannot listen on " + requested + ": " + binding.cause().getMessage());
+            failure.initCause(binding.cause());
             throw failure;
         }
-        return (InetSocketAddress) bound.channel().localAddress();
+        return (InetSocketAddress) binding.channel().localAddress();
     }
 
     private void warmUp(SiteConfig config) throws InterruptedException {
@@ -152,20 +156,21 @@
     }
 
     /**
-     * Reads the configuration file again, moves to the discovery that it names and applies its settings; addresses,
-     * limits and the known list take effect at the next start. A file that cannot be used as a whole changes nothing.
+     * Reads the configuration file again, switches to the discovery that it names and applies its settings. Addresses,
+     * limits and the known endpoint list take effect at the next start. A file that is invalid in any part changes
+     * nothing.
      */
     public void reload() {
         loop.execute(() -> new ConfigurationReloader(options.configFile(), configuration, parts, log).reload());
     }
 
-    /** Answers all requests that are in flight or still arrive, then stops; returns when that is done. */
+    /** Answers all requests that are in flight or still arrive, then stops the sidecar; blocks until that is done. */
     public void drain() {
         new GracefulShutdown(loop, parts, configuration.maxDeadlineMs(), log).run();
         stop();
     }
 
-    /** Ends everything at once. */
+    /** Stops the sidecar at once, without draining. */
     public void stop() {
         if (parts != null) {
             parts.close();
@@ -173,12 +178,12 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    /** The address that clients connect to. */
+    /** Returns the address that clients connect to. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** The address of the admin API, or null. */
+    /** Returns the address of the admin API, or null if there is none. */
     InetSocketAddress adminAddress() {
         return adminAddress;
     }
@@ -187,12 +192,12 @@
         return loop;
     }
 
-    /** The numbers of pending requests and of known endpoints; to be called on the event loop. */
+    /** Returns the numbers of pending requests and of known endpoints; must be called on the event loop. */
     List<Integer> tableSizes() {
         return List.of(parts.requestTracker.pendingRequests(), parts.endpointPool.size());
     }
 
-    /** What the bodies of requests hold in memory, in bytes; to be called on the event loop. */
+    /** Returns the memory held by request bodies, in bytes; must be called on the event loop. */
     long bodyBytesHeld() {
         return parts.frontend.bodyBytesHeld();
     }
--- a/sidecar/src/main/java/martenlatch/sidecar/SidecarParts.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/SidecarParts.java
@@ -24,11 +24,11 @@
 import martenlatch.site.SiteConfig;
 import martenlatch.upstream.EndpointPool;
 
-/** The parts of one sidecar, wired together. They are created and used on its event loop, which owns their state. */
+/** Wires the components of one sidecar. They are created and used on its event loop, which owns their state. */
 final class SidecarParts {
 
-    /** After clients were told to go away, new connections may still arrive for this long. */
-    private static final int LAST_CONNECTIONS_MS = 1000;
+    /** New connections may still arrive for this long after an operator's drain; idle connections close afterwards. */
+    private static final int IDLE_CLOSE_DELAY_MS = 1000;
 
     final EndpointPool endpointPool;
     final DiscoveryClient discovery;
@@ -36,17 +36,17 @@
     final AdminOperations adminOperations;
     final AdminServer adminServer;
     final Frontend frontend;
-    /** Completes when clients may be served from the endpoint list. */
+    /** Completes when clients may be served from the endpoint list, with the reason. */
     final CompletableFuture<EndpointListGate.Reason> endpointListReady = new CompletableFuture<>();
 
     private final EventLoop loop;
     private final Scheduler scheduler;
     private final RateLimitedLogger logger;
     private final SplittableRandom random;
-    /** Membership among the sidecars, or null where it is off. */
+    /** The gossip membership among the sidecars, or null if it is disabled. */
     private GossipTransport gossip;
 
-    private Scheduler.Timer idleClientsTimer;
+    private Scheduler.Timer idleCloseTimer;
 
     SidecarParts(
             EventLoop loop,
@@ -97,7 +97,7 @@
         }
     }
 
-    /** Creates the gossip transport and listens; the future tells whether that was possible. */
+    /** Creates the gossip transport and binds its socket; the returned future reports whether that succeeded. */
     ChannelFuture listenForGossip(SiteConfig config, PeerAddresses addresses) {
         gossip = new GossipTransport(loop, scheduler, logger, config.settings(), addresses, config.seed());
         return gossip.listen(addresses.listen());
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Hands all parts the configuration that holds from now on; requests in flight keep their settings. */
+    /** Applies a new configuration to all components; requests in flight keep the settings that they started with. */
     void apply(SiteConfig next) {
         endpointPool.applyTimeouts(next.settings().limits().connectTimeoutMs(), next.idleCloseMs());
         requestTracker.applySettings(next.settings());
@@ -121,14 +121,14 @@
         discovery.moveTo(next.discovery());
     }
 
-    /** Takes over the addresses of the other sidecars; throws if there are not as many as before. */
+    /** Replaces the addresses of the other sidecars; throws an exception if their number differs from before. */
     void applyGossipAddresses(SiteConfig next) {
         if (gossip != null) {
             gossip.applyAddresses(next.peerAddresses().each());
         }
     }
 
-    /** Ends work outside the event loop, and gossip on it. */
+    /** Stops the work on other threads at once, and gossip by a task on the event loop. */
     void close() {
         adminOperations.close();
         if (gossip != null) {
@@ -136,7 +136,7 @@
         }
     }
 
-    /** Carries out what operators ask of this sidecar. */
+    /** Executes the operators' calls on this sidecar. */
     private final class OperatorControl implements AdminOperations.Service {
         @Override
         public boolean isReady() {
@@ -145,11 +145,11 @@
 
         @Override
         public void goAway(boolean away) {
-            if (idleClientsTimer != null) {
-                idleClientsTimer.cancel();
+            if (idleCloseTimer != null) {
+                idleCloseTimer.cancel();
             }
             frontend.goAway(away);
-            idleClientsTimer = away ? scheduler.after(LAST_CONNECTIONS_MS, frontend::closeIdleClients) : null;
+            idleCloseTimer = away ? scheduler.after(IDLE_CLOSE_DELAY_MS, frontend::closeIdleClients) : null;
         }
 
         @Override
@@ -163,7 +163,7 @@
         }
     }
 
-    /** Passes endpoint lists on: to the admin API, which knows endpoints by name, before the load balancer. */
+    /** Forwards endpoint lists to the admin API, which validates endpoint names, and then to the load balancer. */
     private final class EndpointListRelay implements EndpointList.Listener {
         @Override
         public void onEndpointList(EndpointList list) {
--- a/sidecar/src/main/java/martenlatch/sidecar/Warmup.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/Warmup.java
@@ -47,86 +47,101 @@
 import martenlatch.upstream.ResponseDecoder;
 
 /**
- * Sends synthetic requests through a second set of the sidecar's parts, on its own address, so that the code is loaded
- * and compiled before clients come. Nothing of it reaches an endpoint or outlives the warm-up.
+ * Sends synthetic requests through a temporary set of the sidecar's components, listening on ephemeral ports of the
+ * sidecar's own address, so that the code is loaded and compiled before clients connect. The requests never reach a real
+ * endpoint, and nothing of the warm-up outlives it.
  */
 final class Warmup {
 
-    /** Enough for the compiler to have compiled what every request runs through. */
-    private static final int REQUESTS = 25;
-    /** The longest warm-up, in milliseconds: a busy machine must not keep a sidecar from starting. */
-    private static final int MAX_MS = 3000;
+    /** Enough requests for the JIT compiler to have compiled the code that every request runs through. */
+    private static final int REQUEST_COUNT = 25;
+    /** The maximum duration of the warm-up: a busy machine must not keep a sidecar from starting. */
+    private static final int MAX_DURATION_MS = 3000;
+    /** The size of the request and response bodies. */
+    private static final int BODY_BYTES = 128;
 
     private final EventLoop loop;
     private final SiteConfig config;
-    private final Runnable done;
+    private final Runnable onFinished;
     private EndpointPool pool;
     private Frontend frontend;
     private Channel endpoint;
     private Channel client;
-    private int answered;
-    private boolean ended;
+    private int responseCount;
+    private boolean finished;
 
-    Warmup(EventLoop loop, SiteConfig config, Runnable done) {
+    Warmup(EventLoop loop, SiteConfig config, Runnable onFinished) {
         this.loop = loop;
         this.config = config;
-        this.done = done;
+        this.onFinished = onFinished;
     }
 
+    /** Starts the warm-up; {@code onFinished} runs on the event loop when it ends, successful or not. */
     void start() {
-        loop.schedule(this::end, MAX_MS, TimeUnit.MILLISECONDS);
-        ChannelFuture bound = new ServerBootstrap()
+        loop.schedule(this::finish, MAX_DURATION_MS, TimeUnit.MILLISECONDS);
+        ChannelFuture binding = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel accepted) {
-                        accepted.pipeline()
+                    protected void initChannel(SocketChannel channel) {
+                        channel.pipeline()
                                 .addLast(
                                         new HttpServerCodec(),
                                         new HttpObjectAggregator(ResponseDecoder.MAX_COLLECTED_BODY_BYTES),
                                         new EndpointHandler());
                     }
                 })
-                .bind(ephemeral());
-        endpoint = bound.channel();
-        bound.addListener(up -> {
-            if (up.isSuccess() && !ended) {
+                .bind(ephemeralAddress());
+        endpoint = binding.channel();
+        binding.addListener(future -> {
+            if (future.isSuccess() && !finished) {
                 startSidecar((InetSocketAddress) endpoint.localAddress());
             } else {
-                end();
+                finish();
             }
         });
     }
 
-    private InetSocketAddress ephemeral() {
+    private InetSocketAddress ephemeralAddress() {
         return new InetSocketAddress(config.listen().getAddress(), 0);
     }
 
-    private void startSidecar(InetSocketAddress at) {
+    private void startSidecar(InetSocketAddress endpointAddress) {
         Scheduler scheduler = new EventLoopScheduler(loop);
-        RateLimitedLogger silent = new RateLimitedLogger(scheduler, new PrintStream(OutputStream.nullOutputStream()));
+        RateLimitedLogger discardingLogger =
+                new RateLimitedLogger(scheduler, new PrintStream(OutputStream.nullOutputStream()));
         EndpointList list = new EndpointList(
                 0,
                 true,
                 List.of(new EndpointList.Entry(
-                        new Endpoint("warm-up", config.settings().ownZone(), 0, 0, 0, EndpointStatus.READY, 1), at)));
-        pool = new EndpointPool(loop, scheduler, silent, MAX_MS, config.idleCloseMs(), config.sockets());
+                        new Endpoint("warm-up", config.settings().ownZone(), 0, 0, 0, EndpointStatus.READY, 1),
+                        endpointAddress)));
+        pool = new EndpointPool(
+                loop, scheduler, discardingLogger, MAX_DURATION_MS, config.idleCloseMs(), config.sockets());
         RequestTracker requestTracker = new RequestTracker(
-                scheduler, silent, pool, () -> {}, config.settings(), config.seed(), list, RequestObserver.NONE);
-        frontend = new Frontend(loop, scheduler, silent, requestTracker, pool, config.settings(), config.sockets());
-        ChannelFuture bound = frontend.listen(ephemeral());
-        bound.addListener(up -> {
-            if (up.isSuccess() && !ended) {
-                startClient((InetSocketAddress) bound.channel().localAddress());
+                scheduler,
+                discardingLogger,
+                pool,
+                () -> {},
+                config.settings(),
+                config.seed(),
+                list,
+                RequestObserver.NONE);
+        frontend = new Frontend(
+                loop, scheduler, discardingLogger, requestTracker, pool, config.settings(), config.sockets());
+        ChannelFuture binding = frontend.listen(ephemeralAddress());
+        binding.addListener(future -> {
+            if (future.isSuccess() && !finished) {
+                startClient((InetSocketAddress) binding.channel().localAddress());
             } else {
-                end();
+                finish();
             }
         });
     }
 
-    private void startClient(InetSocketAddress at) {
+    private void startClient(InetSocketAddress frontendAddress) {
         ChannelFuture connecting = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -134,38 +149,38 @@
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel fresh) {
-                        fresh.pipeline()
+                    protected void initChannel(SocketChannel channel) {
+                        channel.pipeline()
                                 .addLast(
                                         new HttpClientCodec(),
                                         new HttpObjectAggregator(ResponseDecoder.MAX_COLLECTED_BODY_BYTES),
                                         new ClientHandler());
                     }
                 })
-                .connect(at);
+                .connect(frontendAddress);
         client = connecting.channel();
-        connecting.addListener(up -> {
-            if (up.isSuccess()) {
+        connecting.addListener(future -> {
+            if (future.isSuccess()) {
                 sendRequest();
             } else {
-                end();
+                finish();
             }
         });
     }
 
     private void sendRequest() {
         List<RequestClass> classes = config.settings().classes();
-        RequestClass requestClass = classes.get(answered % classes.size());
+        RequestClass requestClass = classes.get(responseCount % classes.size());
         boolean idempotent = requestClass.idempotency() == Idempotency.IDEMPOTENT;
         FullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 idempotent ? HttpMethod.GET : HttpMethod.POST,
                 "/api",
-                idempotent ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[128]));
+                idempotent ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[BODY_BYTES]));
         request.headers()
-                .set("X-Request-Id", "warm-up-" + answered)
+                .set("X-Request-Id", "warm-up-" + responseCount)
                 .set("X-Class", requestClass.name())
-                .set(RequestParser.DEADLINE, MAX_MS)
+                .set(RequestParser.DEADLINE, MAX_DURATION_MS)
                 .set("Host", "warm-up")
                 .set("Cookie", "key=0")
                 .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
@@ -175,11 +190,11 @@
         client.writeAndFlush(request);
     }
 
-    private void end() {
-        if (ended) {
+    private void finish() {
+        if (finished) {
             return;
         }
-        ended = true;
+        finished = true;
         endpoint.close();
         if (client != null) {
             client.close();
@@ -188,35 +203,37 @@
             frontend.close();
             pool.close();
         }
-        done.run();
+        onFinished.run();
     }
 
+    /** Responds to every request with a fixed body. */
     private static final class EndpointHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             FullHttpResponse response = new DefaultFullHttpResponse(
-                    HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(new byte[128]));
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(new byte[BODY_BYTES]));
             response.headers()
                     .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
             ctx.writeAndFlush(response);
         }
     }
 
+    /** Sends the next request after each response, until the last one has been answered. */
     private final class ClientHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            if (++answered < REQUESTS) {
+            if (++responseCount < REQUEST_COUNT) {
                 sendRequest();
             } else {
-                end();
+                finish();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            end();
+            finish();
         }
     }
 }
