--- a/sidecar/src/main/java/martenlatch/admin/AdminOperations.java
+++ b/sidecar/src/main/java/martenlatch/admin/AdminOperations.java
@@ -16,28 +16,29 @@
 import martenlatch.request.Scheduler;
 
 /**
- * What operators may ask of a running sidecar, in whatever protocol. Calls, endpoint lists and what the shared folder
- * shows arrive on the thread that owns the sidecar's state.
+ * The operations that operators can call on a running sidecar, independent of the protocol. A <i>call</i> is one
+ * invocation by an operator, in contrast to a client's request. Calls, endpoint lists and the content of the shared
+ * folder arrive on the thread that owns the sidecar's state.
  */
 public final class AdminOperations implements SharedFolderWorker.Listener {
 
-    /** A call whose change is not stored by then is answered without waiting on: operators wait for a second. */
+    /** Operators wait 1 s for a response, so a call whose change is not stored within this time gets an error response. */
     private static final int STORE_TIMEOUT_MS = 600;
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** The sidecar as its operators see it. */
+    /** The functions of the sidecar that operators control. */
     public interface Service {
-        /** Whether clients can be served here. */
+        /** Returns whether the sidecar is ready to serve clients. */
         boolean isReady();
 
-        /** Sends the clients away, or takes clients again; to repeat that is no error. */
-        void goAway(boolean away);
+        /** Starts draining clients, or accepts clients again; repeating a call has no effect. */
+        void setDraining(boolean draining);
 
-        /** The view of the other sidecars as JSON, or null where gossip is off. */
+        /** Returns the gossip membership view as JSON, or null if gossip is disabled. */
         String gossipView();
 
-        /** From now on nothing new is sent to these endpoints, and to no others disabled by hand. */
+        /** Replaces the set of endpoints disabled by operators; no new requests are sent to them. */
         void disableEndpoints(Set<String> endpointIds);
     }
 
@@ -45,12 +46,12 @@
     private final RateLimitedLogger logger;
     private final Service service;
     private final DisabledEndpoints disabledEndpoints = new DisabledEndpoints();
-    /** Null where nothing is stored. */
+    /** The shared folder; like its worker, it is null if changes are not stored. */
     private SharedFolder folder;
 
     private SharedFolderWorker worker;
 
-    /** Creates operations that store nothing yet. */
+    /** Creates operations whose changes are not stored until {@link #openSharedFolder} is called. */
     public AdminOperations(Scheduler scheduler, RateLimitedLogger logger, Service service) {
         this.scheduler = scheduler;
         this.logger = logger;
@@ -58,21 +59,22 @@
     }
 
     /**
-     * Shares what operators decide with other processes of the same sidecar, and takes over what they have stored; to
-     * be called before the sidecar serves. Where the folder cannot be used the sidecar goes on alone.
+     * Opens the folder through which the processes of one sidecar share the disabled endpoints, and applies those that
+     * are stored in it. Must be called before the sidecar serves. If the folder cannot be used, the sidecar runs without
+     * it.
      *
-     * @param parent where the folder is created; null where there is none that processes share
+     * @param parent the directory in which the folder is created, or null if there is no shared directory
      * @param sidecar the sidecar's name
      * @param owner runs tasks on the thread that owns the sidecar's state
      */
-    public void share(Path parent, String sidecar, Executor owner) {
+    public void openSharedFolder(Path parent, String sidecar, Executor owner) {
         if (parent == null) {
             logger.info("no TMPDIR is set: disabled endpoints are forgotten when this process ends");
             return;
         }
         try {
             folder = new SharedFolder(parent, sidecar);
-            onStored(folder.disabledIds(), 0);
+            onFolderRead(folder.disabledIds(), 0);
             worker = new SharedFolderWorker(folder, owner, this);
             if (!disabledEndpoints.ids().isEmpty()) {
                 logger.info("endpoints disabled before this start: " + disabledEndpoints.ids());
@@ -83,7 +85,7 @@
         }
     }
 
-    /** This process serves from here on. It waits for the disk, as {@link #announceLeaving} does. */
+    /** Marks this process as serving in the shared folder. Blocks on disk I/O, as {@link #announceLeaving} does. */
     public void announceServing() {
         if (folder != null) {
             try {
@@ -94,19 +96,19 @@
         }
     }
 
-    /** Whether another process of the same sidecar serves. */
-    public boolean othersServe() {
+    /** Returns whether another process of the same sidecar serves. */
+    public boolean isAnotherProcessServing() {
         try {
-            return folder != null && folder.othersServe();
+            return folder != null && folder.isAnotherProcessServing();
         } catch (IOException e) {
             logger.info("cannot see whether another process serves: " + e);
             return false;
         }
     }
 
-    /** This process does not serve any more; true if another one of the same sidecar does. */
+    /** Removes the mark that this process serves; returns whether another process of the same sidecar serves. */
     public boolean announceLeaving() {
-        boolean others = othersServe();
+        boolean anotherServes = isAnotherProcessServing();
         if (folder != null) {
             try {
                 folder.unmarkServing();
@@ -114,24 +116,24 @@
                 logger.info("other processes may believe that this one serves: " + e);
             }
         }
-        return others;
+        return anotherServes;
     }
 
-    /** Ends the work on the shared folder. */
+    /** Stops reading and writing the shared folder. */
     public void close() {
         if (worker != null) {
             worker.close();
         }
     }
 
-    /** An endpoint list has been received. */
+    /** Called when an endpoint list has been received. */
     public void onEndpointList(EndpointList list) {
         disabledEndpoints.onEndpointList(list.full(), list.endpoints());
     }
 
     @Override
-    public void onStored(Set<String> disabled, long upTo) {
-        if (disabledEndpoints.onStored(disabled, upTo)) {
+    public void onFolderRead(Set<String> disabledIds, long lastWrittenChange) {
+        if (disabledEndpoints.onFolderRead(disabledIds, lastWrittenChange)) {
             logger.info("endpoints disabled by operators: " + disabledEndpoints.ids());
             applyDisabled();
         }
@@ -146,7 +148,7 @@
         service.disableEndpoints(Set.copyOf(disabledEndpoints.ids()));
     }
 
-    /** Carries out a call; the response is given once, perhaps before this returns. */
+    /** Executes a call; {@code respond} is invoked exactly once, possibly before this method returns. */
     void call(String method, String path, byte[] body, Consumer<AdminResponse> respond) {
         String allowedMethod = allowedMethod(path);
         if (allowedMethod == null) {
@@ -161,7 +163,7 @@
             case "/ready" -> respond.accept(state(service.isReady() ? 200 : 503));
             case "/peers" -> respond.accept(gossipView());
             case "/drain", "/undrain" -> {
-                service.goAway(path.equals("/drain"));
+                service.setDraining(path.equals("/drain"));
                 logger.info("operator: " + path);
                 respond.accept(state(200));
             }
@@ -169,7 +171,7 @@
         }
     }
 
-    /** The method that a path takes, or null for an unknown path. */
+    /** Returns the HTTP method that a path accepts, or null for an unknown path. */
     private static String allowedMethod(String path) {
         return switch (path) {
             case "/ready", "/peers" -> "GET";
@@ -214,44 +216,47 @@
         }
     }
 
-    /** Responds once the change is stored; a change that cannot be stored is reported, but holds in this process. */
+    /**
+     * Stores a change and responds once that is done. A change that cannot be stored is reported as an error, but remains
+     * in effect in this process.
+     */
     private void store(String id, boolean disabled, Consumer<AdminResponse> respond) {
         if (worker == null) {
             respond.accept(state(200));
             return;
         }
-        long changeNumber = disabledEndpoints.latestChange();
-        StoredChange change = new StoredChange(id, changeNumber, respond);
+        long changeNumber = disabledEndpoints.latestChangeNumber();
+        PendingChange change = new PendingChange(id, changeNumber, respond);
         change.timer = scheduler.after(STORE_TIMEOUT_MS, change::onTimeout);
         worker.store(id, disabled, changeNumber, change::onDone);
     }
 
     /** A change that is being stored, and the call that waits for it. */
-    private final class StoredChange {
+    private final class PendingChange {
         private final String id;
         private final long number;
         private final Consumer<AdminResponse> respond;
         private Scheduler.Timer timer;
-        private boolean answered;
+        private boolean responded;
 
-        StoredChange(String id, long number, Consumer<AdminResponse> respond) {
+        PendingChange(String id, long number, Consumer<AdminResponse> respond) {
             this.id = id;
             this.number = number;
             this.respond = respond;
         }
 
         private void onTimeout() {
-            answered = true;
+            responded = true;
             respond.accept(AdminResponse.error(503, "it holds in this process, but is not kept yet: the disk is slow"));
         }
 
         private void onDone(IOException failure) {
             timer.cancel();
             if (failure != null) {
-                disabledEndpoints.onNotStored(id, number);
+                disabledEndpoints.onStoreFailed(id, number);
                 logger.log("an operator's decision is not stored", failure);
             }
-            if (!answered) {
+            if (!responded) {
                 respond.accept(
                         failure == null
                                 ? state(200)
--- a/sidecar/src/main/java/martenlatch/admin/AdminServer.java
+++ b/sidecar/src/main/java/martenlatch/admin/AdminServer.java
@@ -29,37 +29,37 @@
 import martenlatch.net.Buffers;
 
 /**
- * The operators' address: HTTP/1.1, one call a connection. A client that sends nothing, or half of a call, neither
- * keeps others out nor stays for long.
+ * The HTTP/1.1 server of the admin API, with one call per connection. A connection without a complete call can neither
+ * block other callers nor stay open for long: it is closed after a timeout, or earlier if there are too many.
  */
 public final class AdminServer {
 
-    /** The largest number of connections; a new one above it closes the oldest without a complete call. */
+    /** The maximum number of connections; a new one beyond it closes the oldest one without a complete call. */
     public static final int MAX_CONNECTIONS = 16;
-    /** Operators get a response within a second: a call is complete by then, or gets an error. */
+    /** Operators expect a response within 1 s, so a call that is not complete within this time gets an error response. */
     private static final int CALL_TIMEOUT_MS = 800;
 
     private static final int MAX_BODY_BYTES = 4096;
-    private static final int MAX_LINE_BYTES = 2048;
-    private static final int MAX_HEADER_BYTES = 4096;
+    private static final int MAX_REQUEST_LINE_BYTES = 2048;
+    private static final int MAX_HEADERS_BYTES = 4096;
 
     private final EventLoop loop;
     private final AdminOperations operations;
-    /** Connections without a complete call yet, the oldest first. */
-    private final Set<Channel> incomplete = new LinkedHashSet<>();
+    /** Connections that have not sent a complete call yet, oldest first. */
+    private final Set<Channel> awaitingCall = new LinkedHashSet<>();
 
-    private int open;
+    private int openConnections;
     private Channel listener;
 
-    /** Creates a server that does not listen yet. */
+    /** Creates a server that is not listening yet. */
     public AdminServer(EventLoop loop, AdminOperations operations) {
         this.loop = loop;
         this.operations = operations;
     }
 
-    /** Listens for calls; the future tells whether that was possible. */
+    /** Starts listening for calls; the returned future reports whether that succeeded. */
     public ChannelFuture listen(InetSocketAddress address) {
-        ChannelFuture bound = new ServerBootstrap()
+        ChannelFuture binding = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
@@ -67,40 +67,41 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel accepted) {
-                        accepted.pipeline()
+                    protected void initChannel(SocketChannel channel) {
+                        channel.pipeline()
                                 .addLast(
-                                        new HttpServerCodec(MAX_LINE_BYTES, MAX_HEADER_BYTES, MAX_BODY_BYTES),
+                                        new HttpServerCodec(MAX_REQUEST_LINE_BYTES, MAX_HEADERS_BYTES, MAX_BODY_BYTES),
                                         new HttpObjectAggregator(MAX_BODY_BYTES, true),
                                         new CallHandler());
                     }
                 })
                 .bind(address);
-        listener = bound.channel();
-        return bound;
+        listener = binding.channel();
+        return binding;
     }
 
-    /** Accepts no more calls. */
+    /** Stops accepting connections. */
     public void close() {
         if (listener != null) {
             listener.close();
         }
     }
 
+    /** Handles the single call of a connection. */
     private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
-        private boolean answered;
+        private boolean responded;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            open++;
-            incomplete.add(ctx.channel());
-            if (open > MAX_CONNECTIONS) {
-                incomplete.iterator().next().close();
+            openConnections++;
+            awaitingCall.add(ctx.channel());
+            if (openConnections > MAX_CONNECTIONS) {
+                awaitingCall.iterator().next().close();
             }
             loop.schedule(
                     () -> {
-                        if (incomplete.contains(ctx.channel())) {
+                        if (awaitingCall.contains(ctx.channel())) {
                             respond(ctx, AdminResponse.error(408, "no whole call in time"));
                         }
                     },
@@ -110,33 +111,33 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            open--;
-            incomplete.remove(ctx.channel());
+            openConnections--;
+            awaitingCall.remove(ctx.channel());
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest call) {
-            if (answered || !incomplete.remove(ctx.channel())) {
+            if (responded || !awaitingCall.remove(ctx.channel())) {
                 return;
             }
             if (call.decoderResult().isFailure()) {
                 respond(ctx, AdminResponse.error(400, "malformed call"));
                 return;
             }
-            int query = call.uri().indexOf('?');
+            int queryStart = call.uri().indexOf('?');
             operations.call(
                     call.method().name(),
-                    query < 0 ? call.uri() : call.uri().substring(0, query),
+                    queryStart < 0 ? call.uri() : call.uri().substring(0, queryStart),
                     ByteBufUtil.getBytes(call.content()),
                     response -> respond(ctx, response));
         }
 
         private void respond(ChannelHandlerContext ctx, AdminResponse response) {
-            incomplete.remove(ctx.channel());
-            if (answered) {
+            awaitingCall.remove(ctx.channel());
+            if (responded) {
                 return;
             }
-            answered = true;
+            responded = true;
             byte[] body = (response.json() + "\n").getBytes(StandardCharsets.UTF_8);
             FullHttpResponse message = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(response.status()), Unpooled.wrappedBuffer(body));
--- a/sidecar/src/main/java/martenlatch/admin/DisabledEndpoints.java
+++ b/sidecar/src/main/java/martenlatch/admin/DisabledEndpoints.java
@@ -12,96 +12,102 @@
 import martenlatch.policy.api.EndpointStatus;
 
 /**
- * Which endpoints the operators have disabled: by calls to this process, and by what another process of the same
- * sidecar has stored in the shared folder. No I/O: changes are numbered, and whoever reads the folder tells up to
- * which of them had been written by then.
+ * The endpoints that operators have disabled, either by calls to this process or by calls to another process of the same
+ * sidecar, which are read from the shared folder. This class does no I/O. It numbers its changes, and the reader of the
+ * folder passes the number of the last change that had been written before the folder was read.
  */
 final class DisabledEndpoints {
 
-    /** Endpoints remembered after they have left the list, so that a late call still finds them. */
-    private static final int MAX_FORMER = 10_000;
-    /** Endpoints disabled at once: far more than anyone disables by hand, and a bound for the folder. */
+    /** The number of endpoints remembered after they have left the list, so that a late call still finds them. */
+    private static final int MAX_FORMER_IDS = 10_000;
+    /** The maximum number of disabled endpoints: far more than operators disable, it bounds the size of the folder. */
     static final int MAX_DISABLED = 10_000;
 
-    /** What becomes of a call. */
+    /** The outcome of a change. */
     enum Result {
-        /** It is done, and the change is to be stored. */
+        /** The change is in effect and has to be stored. */
         DONE,
-        /** No list has ever named such an endpoint. */
+        /** No endpoint list has ever contained the endpoint. */
         UNKNOWN,
-        /** So many are disabled that no more are accepted. */
+        /** The maximum number of endpoints is already disabled. */
         FULL
     }
 
-    /** A change made in this process that the folder may not show yet, or never will. */
+    /** A change made in this process that may not be in the shared folder yet, or never will be. */
     private record Change(long number, boolean disabled) {}
 
+    /** The number of a change that could not be stored: higher than that of any written change. */
     private static final long NEVER_STORED = Long.MAX_VALUE;
 
-    private final Set<String> listed = new HashSet<>();
-    private final Map<String, Boolean> former = new LinkedHashMap<>() {
+    /** The ids in the current endpoint list. */
+    private final Set<String> listedIds = new HashSet<>();
+    /** A bounded set of ids that are not in the current endpoint list, oldest first; the values are unused. */
+    private final Map<String, Boolean> formerIds = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > MAX_FORMER;
+            return size() > MAX_FORMER_IDS;
         }
     };
-    private final Map<String, Change> changes = new HashMap<>();
+    /** The changes of this process that have not been seen as written to the shared folder, by endpoint id. */
+    private final Map<String, Change> unwrittenChanges = new HashMap<>();
+
     private Set<String> disabled = new TreeSet<>();
-    private long latestChange;
+    private long latestChangeNumber;
 
-    /** An endpoint list has been received. */
+    /** Called when an endpoint list has been received. */
     void onEndpointList(boolean full, List<Endpoint> endpoints) {
         if (full) {
-            listed.forEach(id -> former.put(id, true));
-            listed.clear();
+            listedIds.forEach(id -> formerIds.put(id, true));
+            listedIds.clear();
         }
         for (Endpoint endpoint : endpoints) {
             if (endpoint.status() != EndpointStatus.GONE) {
-                listed.add(endpoint.id());
-                former.remove(endpoint.id());
-            } else if (listed.remove(endpoint.id())) {
-                former.put(endpoint.id(), true);
+                listedIds.add(endpoint.id());
+                formerIds.remove(endpoint.id());
+            } else if (listedIds.remove(endpoint.id())) {
+                formerIds.put(endpoint.id(), true);
             }
         }
     }
 
-    /** Disables or enables an endpoint; to repeat that is no error. */
+    /** Disables or enables an endpoint; repeating a change is not an error. */
     Result set(String id, boolean disable) {
-        if (!listed.contains(id) && !former.containsKey(id) && !disabled.contains(id)) {
+        if (!listedIds.contains(id) && !formerIds.containsKey(id) && !disabled.contains(id)) {
             return Result.UNKNOWN;
         }
         if (disable && !disabled.contains(id) && disabled.size() >= MAX_DISABLED) {
             return Result.FULL;
         }
-        changes.put(id, new Change(++latestChange, disable));
+        unwrittenChanges.put(id, new Change(++latestChangeNumber, disable));
         if (disable) {
             disabled.add(id);
         } else {
             disabled.remove(id);
-            former.put(id, true);
+            formerIds.put(id, true);
         }
         return Result.DONE;
     }
 
-    /** The number of the latest change. */
-    long latestChange() {
-        return latestChange;
+    /** Returns the number of the latest change. */
+    long latestChangeNumber() {
+        return latestChangeNumber;
     }
 
-    /** A change could not be stored: it holds in this process until the next call for that endpoint. */
-    void onNotStored(String id, long changeNumber) {
-        changes.computeIfPresent(
+    /** Called when a change could not be stored; it stays in effect in this process until that endpoint changes again. */
+    void onStoreFailed(String id, long changeNumber) {
+        unwrittenChanges.computeIfPresent(
                 id, (k, change) -> change.number == changeNumber ? new Change(NEVER_STORED, change.disabled) : change);
     }
 
     /**
-     * Takes over what the folder shows, with all changes up to {@code upTo} in it; later changes of this process take
-     * precedence. True if that makes a difference.
+     * Replaces the disabled endpoints with the content of the shared folder, which includes all changes up to {@code
+     * lastWrittenChange} except those that could not be stored. These and later changes of this process take
+     * precedence. Returns whether the disabled endpoints changed.
      */
-    boolean onStored(Set<String> stored, long upTo) {
-        changes.values().removeIf(change -> change.number <= upTo);
-        Set<String> next = new TreeSet<>(stored);
-        changes.forEach((id, change) -> {
+    boolean onFolderRead(Set<String> storedIds, long lastWrittenChange) {
+        unwrittenChanges.values().removeIf(change -> change.number <= lastWrittenChange);
+        Set<String> next = new TreeSet<>(storedIds);
+        unwrittenChanges.forEach((id, change) -> {
             if (change.disabled) {
                 next.add(id);
             } else {
@@ -113,7 +119,7 @@
         return changed;
     }
 
-    /** The ids of the disabled endpoints, in order. */
+    /** Returns the ids of the disabled endpoints, sorted. */
     Set<String> ids() {
         return Collections.unmodifiableSet(disabled);
     }
--- a/sidecar/src/main/java/martenlatch/admin/SharedFolder.java
+++ b/sidecar/src/main/java/martenlatch/admin/SharedFolder.java
@@ -19,16 +19,17 @@
 import java.util.Set;
 
 /**
- * The folder that the processes of one sidecar share, the old and the new one during an upgrade. Each fact in it is a
- * file of its own, created or deleted in one step, so that a process killed at any point leaves nothing half done:
+ * The folder that the processes of one sidecar share: the old and the new process during an upgrade. Each entry is a
+ * separate file that is created or deleted atomically, so that a process killed at any point leaves no partial state:
  *
  * <ul>
- * <li>{@code out-ID}: the endpoint ID (URL-encoded, as a file's name) is disabled;</li>
- * <li>{@code serving-N}: a process serves; it holds a lock on the file, which the system releases when it dies.</li>
+ * <li>{@code out-ID}: the endpoint with this id (URL-encoded to be a valid file name) is disabled;</li>
+ * <li>{@code serving-N}: a process is serving; it holds a lock on the file, which the system releases when the process
+ * dies.</li>
  * </ul>
  *
- * <p>One thread may read and write the disabled endpoints while another calls {@link #markServing} and
- * {@link #unmarkServing}.
+ * <p>One thread may read and write the disabled endpoints while another one calls {@link #markServing} and {@link
+ * #unmarkServing}.
  */
 final class SharedFolder {
 
@@ -37,28 +38,28 @@
     private static final String UNFINISHED_PREFIX = "begun-";
 
     private final Path folder;
-    /** This process's mark that it serves, and the lock on it; null while it does not. */
-    private Path ownMark;
+    /** The file that marks this process as serving, and the channel that holds the lock on it; null while not serving. */
+    private Path ownMarkFile;
 
-    private FileChannel ownChannel;
+    private FileChannel ownMarkChannel;
 
-    /** Opens the folder of one sidecar below {@code parent}, and creates it if it does not exist. */
+    /** Opens the folder of a sidecar below {@code parent}, and creates it if it does not exist. */
     SharedFolder(Path parent, String sidecar) throws IOException {
-        folder = Files.createDirectories(parent.resolve("martenlatch-" + encoded(sidecar)));
+        folder = Files.createDirectories(parent.resolve("martenlatch-" + urlEncoded(sidecar)));
     }
 
-    private static String encoded(String name) {
+    private static String urlEncoded(String name) {
         return URLEncoder.encode(name, StandardCharsets.UTF_8);
     }
 
-    /** Stores that an endpoint is disabled, or is not any more; to repeat that is no error. */
+    /** Stores that an endpoint is disabled, or enabled again; repeating that is not an error. */
     void set(String id, boolean disabled) throws IOException {
-        Path file = folder.resolve(DISABLED_PREFIX + encoded(id));
+        Path file = folder.resolve(DISABLED_PREFIX + urlEncoded(id));
         if (disabled) {
             try {
                 Files.createFile(file);
             } catch (FileAlreadyExistsException e) {
-                // It is disabled already: by an earlier call, or by the other process.
+                // Already disabled, by an earlier call or by the other process.
                 return;
             }
         } else {
@@ -66,7 +67,7 @@
         }
     }
 
-    /** The ids of the disabled endpoints. */
+    /** Returns the ids of the disabled endpoints. */
     Set<String> disabledIds() throws IOException {
         Set<String> ids = new HashSet<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, DISABLED_PREFIX + "*")) {
@@ -82,31 +83,31 @@
         return ids;
     }
 
-    /** From here on other processes can see that this one serves. */
+    /** Marks this process as serving, visibly to the other processes. */
     void markServing() throws IOException {
         String name = ProcessHandle.current().pid() + "-" + System.nanoTime();
         Path unfinished = folder.resolve(UNFINISHED_PREFIX + name);
-        ownChannel = FileChannel.open(unfinished, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
-        ownChannel.lock();
-        // Locked before it becomes visible: nobody takes it for a dead process's in between.
-        ownMark = Files.move(unfinished, folder.resolve(SERVING_PREFIX + name), StandardCopyOption.ATOMIC_MOVE);
+        ownMarkChannel = FileChannel.open(unfinished, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+        ownMarkChannel.lock();
+        // The file is locked before it becomes visible, so that it is never mistaken for that of a dead process.
+        ownMarkFile = Files.move(unfinished, folder.resolve(SERVING_PREFIX + name), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** This process does not serve any more. */
+    /** Removes the mark that this process serves. */
     void unmarkServing() throws IOException {
-        if (ownChannel != null) {
-            Files.deleteIfExists(ownMark);
-            ownChannel.close();
-            ownChannel = null;
+        if (ownMarkChannel != null) {
+            Files.deleteIfExists(ownMarkFile);
+            ownMarkChannel.close();
+            ownMarkChannel = null;
         }
     }
 
-    /** Whether another process serves; files of processes that are dead are removed. */
-    boolean othersServe() throws IOException {
+    /** Returns whether another process serves; marks of dead processes are deleted. */
+    boolean isAnotherProcessServing() throws IOException {
         boolean found = false;
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, SERVING_PREFIX + "*")) {
             for (Path file : files) {
-                if (!file.equals(ownMark)) {
+                if (!file.equals(ownMarkFile)) {
                     found |= isLocked(file);
                 }
             }
@@ -125,10 +126,10 @@
             Files.deleteIfExists(file);
             return false;
         } catch (OverlappingFileLockException e) {
-            // Held by another sidecar in this same process, as in tests.
+            // Locked by another sidecar within this JVM, as in tests.
             return true;
         } catch (NoSuchFileException e) {
-            // Deleted between listing the folder and opening the file.
+            // The file was deleted after the folder had been listed.
             return false;
         }
     }
--- a/sidecar/src/main/java/martenlatch/admin/SharedFolderWorker.java
+++ b/sidecar/src/main/java/martenlatch/admin/SharedFolderWorker.java
@@ -10,23 +10,29 @@
 import java.util.function.Consumer;
 
 /**
- * Reads and writes the shared folder on a thread of its own, so that a slow disk delays nobody else: it writes in the
- * order of the calls, and polls in between for what another process has done. What it finds is handed to the thread
- * that owns the state.
+ * Reads and writes the shared folder on a dedicated thread, so that a slow disk does not block any other thread. Writes
+ * are executed in the order of the calls; between them the folder is polled for changes by another process. Results are
+ * handed to the thread that owns the sidecar's state.
  */
 final class SharedFolderWorker {
 
-    /** The pause between two polls, in milliseconds: well within the 500 ms in which a drain must take effect. */
-    static final int POLL_MS = 100;
-    /** Changes that wait to be written; a disk that takes none for so long is reported as broken. */
-    private static final int MAX_WAITING = 256;
+    /** The pause between two polls: well within the 500 ms in which a drain must take effect. */
+    static final int POLL_INTERVAL_MS = 100;
+    /** The maximum number of changes that wait to be written; further ones fail, as the disk must be stuck. */
+    private static final int MAX_PENDING_WRITES = 256;
 
-    /** Hears, on the owner's thread, what the folder shows. */
+    /** Receives the content of the folder, on the owner's thread. */
     interface Listener {
-        /** The disabled endpoints, with all changes up to {@code upTo} among them. */
-        void onStored(Set<String> disabled, long upTo);
+        /**
+         * Called when the content of the folder, or the number of the last written change, has changed.
+         *
+         * @param disabledIds the disabled endpoints in the folder
+         * @param lastWrittenChange the number of the last change that was written, or failed to be, before the folder was
+         *     read
+         */
+        void onFolderRead(Set<String> disabledIds, long lastWrittenChange);
 
-        /** The folder cannot be read. */
+        /** Called when the folder cannot be read. */
         void onReadFailed(IOException cause);
     }
 
@@ -34,12 +40,13 @@
     private final Executor owner;
     private final Listener listener;
     private final ScheduledExecutorService worker;
-    private final AtomicInteger waiting = new AtomicInteger();
-    /** What was handed over last, and up to which change; like the next field, used by the worker's thread alone. */
-    private Set<String> lastStored;
+    private final AtomicInteger pendingWrites = new AtomicInteger();
+    /** The disabled endpoints and the change number that were last reported; accessed only by the worker's thread. */
+    private Set<String> lastReportedIds;
 
-    private long lastUpTo = -1;
-    private long writtenUpTo;
+    private long lastReportedChange = -1;
+    /** The number of the last change that was written or failed to be; accessed only by the worker's thread. */
+    private long lastWrittenChange;
 
     SharedFolderWorker(SharedFolder folder, Executor owner, Listener listener) {
         this.folder = folder;
@@ -50,17 +57,17 @@
             thread.setDaemon(true);
             return thread;
         });
-        worker.scheduleWithFixedDelay(this::poll, 0, POLL_MS, TimeUnit.MILLISECONDS);
+        worker.scheduleWithFixedDelay(this::poll, 0, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private void poll() {
         try {
-            Set<String> stored = folder.disabledIds();
-            if (!stored.equals(lastStored) || writtenUpTo != lastUpTo) {
-                lastStored = stored;
-                lastUpTo = writtenUpTo;
-                long upTo = writtenUpTo;
-                owner.execute(() -> listener.onStored(stored, upTo));
+            Set<String> disabledIds = folder.disabledIds();
+            if (!disabledIds.equals(lastReportedIds) || lastWrittenChange != lastReportedChange) {
+                lastReportedIds = disabledIds;
+                lastReportedChange = lastWrittenChange;
+                long reportedChange = lastWrittenChange;
+                owner.execute(() -> listener.onFolderRead(disabledIds, reportedChange));
             }
         } catch (IOException | RuntimeException e) {
             IOException failure = asIoException(e);
@@ -68,18 +75,18 @@
         }
     }
 
-    /** Stores a change; {@code done} is called on the owner's thread, with null or with the failure. */
-    void store(String id, boolean disabled, long changeNumber, Consumer<IOException> done) {
-        if (waiting.get() >= MAX_WAITING) {
-            done.accept(new IOException(MAX_WAITING + " changes wait to be written already"));
+    /** Stores a change; {@code onDone} is called on the owner's thread, with null on success or with the failure. */
+    void store(String id, boolean disabled, long changeNumber, Consumer<IOException> onDone) {
+        if (pendingWrites.get() >= MAX_PENDING_WRITES) {
+            onDone.accept(new IOException(MAX_PENDING_WRITES + " changes wait to be written already"));
             return;
         }
-        waiting.incrementAndGet();
+        pendingWrites.incrementAndGet();
         worker.execute(() -> {
-            waiting.decrementAndGet();
+            pendingWrites.decrementAndGet();
             IOException failure = write(id, disabled);
-            writtenUpTo = changeNumber;
-            owner.execute(() -> done.accept(failure));
+            lastWrittenChange = changeNumber;
+            owner.execute(() -> onDone.accept(failure));
         });
     }
 
@@ -96,6 +103,7 @@
         return e instanceof IOException io ? io : new IOException(e.toString(), e);
     }
 
+    /** Stops the worker; changes that have not been written yet are dropped. */
     void close() {
         worker.shutdownNow();
     }
--- a/sidecar/src/main/java/martenlatch/cli/Main.java
+++ b/sidecar/src/main/java/martenlatch/cli/Main.java
@@ -21,22 +21,22 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** The command line: {@code serve} runs a sidecar, {@code benchlink} the adapter to the simulator. */
+/** The command line entry point: {@code serve} runs a sidecar, {@code benchlink} the simulator adapter. */
 public final class Main {
 
-    /** How long a SIGTERM waits for a start that is under way, in milliseconds. */
+    /** How long the handling of SIGTERM waits for a start-up in progress. */
     private static final int START_TIMEOUT_MS = 5000;
 
     private static final String USAGE = "usage: java -jar martenlatch.jar serve [--peers]|benchlink";
-    private static final String GOSSIP_OPTION = "--peers";
+    private static final String PEERS_OPTION = "--peers";
     private static final Set<String> HELP_OPTIONS = Set.of("--help", "-h", "help");
 
     private Main() {}
 
-    /** Runs a command; a failure is one line on standard error and an exit status above 0. */
+    /** Runs a command; a failure prints one line to standard error and exits with a status above 0. */
     public static void main(String[] args) throws IOException {
         int status;
-        boolean gossip = args.length == 2 && args[1].equals(GOSSIP_OPTION);
+        boolean gossip = args.length == 2 && args[1].equals(PEERS_OPTION);
         if (args.length > 0 && args[0].equals("serve") && (args.length == 1 || gossip)) {
             status = serve(System.getenv("GW_CONFIG"), System.getenv("TMPDIR"), gossip, System.err);
         } else {
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Runs the adapter to the simulator on these streams; returns the exit status. */
+    /** Runs the simulator adapter on the given streams; returns the exit status. */
     public static int run(String[] args, InputStream in, OutputStream out, PrintStream errors) throws IOException {
         if (args.length == 1 && HELP_OPTIONS.contains(args[0])) {
             out.write((USAGE + "\n").getBytes(StandardCharsets.UTF_8));
@@ -69,18 +69,19 @@
         }
     }
 
-    /** Starts a sidecar, to run until SIGTERM; returns the exit status of a start that failed. */
+    /** Starts a sidecar that runs until SIGTERM; returns 0, or the exit status for a failed start. */
     static int serve(String configFile, String sharedFolder, boolean gossip, PrintStream errors) {
-        // First of all: until there is a handler, SIGHUP ends the process.
-        CompletableFuture<Sidecar> running = new CompletableFuture<>();
-        SignalHandler before = Signal.handle(new Signal("HUP"), signal -> running.thenAccept(Sidecar::reload));
-        if (before == SignalHandler.SIG_IGN) {
-            // The JVM leaves a signal alone that was ignored when it started.
+        // The handler is installed first, as an unhandled SIGHUP terminates the process.
+        CompletableFuture<Sidecar> startedSidecar = new CompletableFuture<>();
+        SignalHandler previousHandler =
+                Signal.handle(new Signal("HUP"), signal -> startedSidecar.thenAccept(Sidecar::reload));
+        if (previousHandler == SignalHandler.SIG_IGN) {
+            // The JVM does not handle a signal that was ignored when the process started.
             errors.println("martenlatch: whoever started this process has it ignore SIGHUP (nohup does): "
                     + "a changed configuration holds from the next start on");
         }
-        // Clients may come before start returns: a stop by SIGTERM waits for it, and drains.
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(running), "drain"));
+        // Clients may connect before start() returns, so SIGTERM waits for the start-up to finish and then drains.
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(startedSidecar), "drain"));
         try {
             if (configFile == null || configFile.isBlank()) {
                 throw new IllegalArgumentException("GW_CONFIG must name the configuration file but is " + configFile);
@@ -89,10 +90,10 @@
             Sidecar sidecar = Sidecar.start(
                     new StartOptions(Path.of(configFile), folder, gossip, StartOptions.DEFAULT_MAX_LIST_WAIT_MS),
                     errors);
-            running.complete(sidecar);
+            startedSidecar.complete(sidecar);
             return 0;
         } catch (IOException | RuntimeException e) {
-            running.completeExceptionally(e);
+            startedSidecar.completeExceptionally(e);
             errors.println("martenlatch: "
                     + (e.getMessage() == null
                             ? e.toString()
@@ -101,13 +102,14 @@
         }
     }
 
-    private static void drain(CompletableFuture<Sidecar> running) {
+    private static void drain(CompletableFuture<Sidecar> startedSidecar) {
         try {
-            running.get(START_TIMEOUT_MS, TimeUnit.MILLISECONDS).drain();
-            // Halting after the drain makes a stop by SIGTERM a clean exit.
+            startedSidecar.get(START_TIMEOUT_MS, TimeUnit.MILLISECONDS).drain();
+            // Halting with status 0 after the drain makes a stop by SIGTERM a clean exit.
             Runtime.getRuntime().halt(0);
         } catch (InterruptedException | ExecutionException | TimeoutException e) {
-            // It does not serve yet: there is nothing to drain, and the exit status is that of the signal.
+            // The sidecar is not serving yet: there is nothing to drain, and the exit status remains that of the
+            // signal.
             return;
         }
     }
--- a/sidecar/src/main/java/martenlatch/cli/package-info.java
+++ b/sidecar/src/main/java/martenlatch/cli/package-info.java
@@ -1,2 +1,5 @@
-/** The command line: its commands and their exit status. It may use every package, and decides nothing. */
+/**
+ * The command line: its commands and their exit statuses. This package may depend on every other package and contains no
+ * load balancing logic.
+ */
 package martenlatch.cli;
--- a/sidecar/src/main/java/martenlatch/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/Sidecar.java
@@ -91,7 +91,7 @@
      * listens first: a client accepted early waits briefly, while a rejected one would not be served at all.
      */
     private void startWithAgent(SiteConfig config) throws IOException, InterruptedException {
-        boolean hasPredecessor = parts.adminOperations.othersServe();
+        boolean hasPredecessor = parts.adminOperations.isAnotherProcessServing();
         awaitEndpointList();
         if (hasPredecessor) {
             warmUp(config);
--- a/sidecar/src/main/java/martenlatch/sidecar/SidecarParts.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/SidecarParts.java
@@ -93,7 +93,7 @@
                 loop, scheduler, logger, requestTracker, endpointPool, config.settings(), budget.clientConnections());
         adminOperations.onEndpointList(config.known());
         if (config.admin() != null) {
-            adminOperations.share(sharedFolder, config.name(), loop);
+            adminOperations.openSharedFolder(sharedFolder, config.name(), loop);
         }
     }
 
@@ -144,12 +144,12 @@
         }
 
         @Override
-        public void goAway(boolean away) {
+        public void setDraining(boolean draining) {
             if (idleCloseTimer != null) {
                 idleCloseTimer.cancel();
             }
-            frontend.goAway(away);
-            idleCloseTimer = away ? scheduler.after(IDLE_CLOSE_DELAY_MS, frontend::closeIdleClients) : null;
+            frontend.goAway(draining);
+            idleCloseTimer = draining ? scheduler.after(IDLE_CLOSE_DELAY_MS, frontend::closeIdleClients) : null;
         }
 
         @Override
--- a/sidecar/src/test/java/martenlatch/admin/DisabledEndpointsTest.java
+++ b/sidecar/src/test/java/martenlatch/admin/DisabledEndpointsTest.java
@@ -54,10 +54,10 @@
     void anOldLookUndoesNoCall() {
         DisabledEndpoints endpoints = knowing("a");
         endpoints.set("a", true);
-        assertFalse(endpoints.onStored(Set.of(), 0), "looked at before the file was made");
+        assertFalse(endpoints.onFolderRead(Set.of(), 0), "looked at before the file was made");
         assertEquals(Set.of("a"), endpoints.ids());
-        assertFalse(endpoints.onStored(Set.of("a"), 1));
-        assertTrue(endpoints.onStored(Set.of(), 1), "the other process has put it back since");
+        assertFalse(endpoints.onFolderRead(Set.of("a"), 1));
+        assertTrue(endpoints.onFolderRead(Set.of(), 1), "the other process has put it back since");
         assertEquals(Set.of(), endpoints.ids());
     }
 
@@ -65,11 +65,11 @@
     void aCallThatCannotBeKeptHoldsInThisProcess() {
         DisabledEndpoints endpoints = knowing("a", "b");
         endpoints.set("a", true);
-        endpoints.onNotStored("a", endpoints.latestChange());
-        endpoints.onStored(Set.of("b"), 9);
+        endpoints.onStoreFailed("a", endpoints.latestChangeNumber());
+        endpoints.onFolderRead(Set.of("b"), 9);
         assertEquals(Set.of("a", "b"), endpoints.ids());
         endpoints.set("a", false);
-        endpoints.onStored(Set.of("b"), endpoints.latestChange());
+        endpoints.onFolderRead(Set.of("b"), endpoints.latestChangeNumber());
         assertEquals(Set.of("b"), endpoints.ids());
     }
 
@@ -113,11 +113,11 @@
                         String id = "" + (char) ('a' + random.nextInt(3));
                         boolean out = random.nextBoolean();
                         one.set(id, out);
-                        waiting.get(which).add(new Write(id, out, one.latestChange()));
+                        waiting.get(which).add(new Write(id, out, one.latestChangeNumber()));
                         assertEquals(out, one.ids().contains(id), "a call holds at once");
                     }
                     case 1 -> write(folder, waiting.get(which).poll(), which, written);
-                    default -> one.onStored(folder, written[which]);
+                    default -> one.onFolderRead(folder, written[which]);
                 }
             }
             for (int which = 0; which < 2; which++) {
@@ -126,7 +126,7 @@
                 }
             }
             for (int which = 0; which < 2; which++) {
-                both.get(which).onStored(folder, written[which]);
+                both.get(which).onFolderRead(folder, written[which]);
                 assertEquals(folder, both.get(which).ids(), "seed " + seed);
             }
         }
--- a/sidecar/src/test/java/martenlatch/admin/SharedFolderTest.java
+++ b/sidecar/src/test/java/martenlatch/admin/SharedFolderTest.java
@@ -41,12 +41,12 @@
         SharedFolder old = new SharedFolder(parent, "n0");
         SharedFolder heir = new SharedFolder(parent, "n0");
         old.markServing();
-        assertFalse(old.othersServe(), "it is no other to itself");
-        assertTrue(heir.othersServe());
+        assertFalse(old.isAnotherProcessServing(), "it is no other to itself");
+        assertTrue(heir.isAnotherProcessServing());
         heir.markServing();
-        assertTrue(old.othersServe());
+        assertTrue(old.isAnotherProcessServing());
         old.unmarkServing();
-        assertFalse(heir.othersServe());
+        assertFalse(heir.isAnotherProcessServing());
         heir.unmarkServing();
         try (var files = Files.list(parent.resolve("martenlatch-n0"))) {
             assertEquals(0, files.count(), "nothing is left behind");
@@ -58,7 +58,7 @@
     void aDeadProcessIsNoHeir() throws Exception {
         SharedFolder old = new SharedFolder(parent, "n0");
         Path left = Files.createFile(parent.resolve("martenlatch-n0").resolve("serving-1-1"));
-        assertFalse(old.othersServe());
+        assertFalse(old.isAnotherProcessServing());
         assertFalse(Files.exists(left), "what the dead left is removed");
     }
 
