--- a/sidecar/src/main/java/martenlatch/admin/AdminOperations.java
+++ b/sidecar/src/main/java/martenlatch/admin/AdminOperations.java
@@ -22,7 +22,9 @@
  */
 public final class AdminOperations implements SharedFolderWorker.Listener {
 
-    /** Operators wait 1 s for a response, so a call whose change is not stored within this time gets an error response. */
+    /**
+     * Operators wait 1 s for a response, so a call whose change is not stored within this time gets an error response.
+     */
     private static final int STORE_TIMEOUT_MS = 600;
 
     private static final JsonFactory JSON = new JsonFactory();
@@ -60,8 +62,8 @@
 
     /**
      * Opens the folder through which the processes of one sidecar share the disabled endpoints, and applies those that
-     * are stored in it. Must be called before the sidecar serves. If the folder cannot be used, the sidecar runs without
-     * it.
+     * are stored in it. Must be called before the sidecar serves. If the folder cannot be used, the sidecar runs
+     * without it.
      *
      * @param parent the directory in which the folder is created, or null if there is no shared directory
      * @param sidecar the sidecar's name
@@ -217,8 +219,8 @@
     }
 
     /**
-     * Stores a change and responds once that is done. A change that cannot be stored is reported as an error, but remains
-     * in effect in this process.
+     * Stores a change and responds once that is done. A change that cannot be stored is reported as an error, but
+     * remains in effect in this process.
      */
     private void store(String id, boolean disabled, Consumer<AdminResponse> respond) {
         if (worker == null) {
--- a/sidecar/src/main/java/martenlatch/admin/AdminServer.java
+++ b/sidecar/src/main/java/martenlatch/admin/AdminServer.java
@@ -36,7 +36,9 @@
 
     /** The maximum number of connections; a new one beyond it closes the oldest one without a complete call. */
     public static final int MAX_CONNECTIONS = 16;
-    /** Operators expect a response within 1 s, so a call that is not complete within this time gets an error response. */
+    /**
+     * Operators expect a response within 1 s, so a call that is not complete within this time gets an error response.
+     */
     private static final int CALL_TIMEOUT_MS = 800;
 
     private static final int MAX_BODY_BYTES = 4096;
--- a/sidecar/src/main/java/martenlatch/admin/DisabledEndpoints.java
+++ b/sidecar/src/main/java/martenlatch/admin/DisabledEndpoints.java
@@ -12,9 +12,9 @@
 import martenlatch.policy.api.EndpointStatus;
 
 /**
- * The endpoints that operators have disabled, either by calls to this process or by calls to another process of the same
- * sidecar, which are read from the shared folder. This class does no I/O. It numbers its changes, and the reader of the
- * folder passes the number of the last change that had been written before the folder was read.
+ * The endpoints that operators have disabled, either by calls to this process or by calls to another process of the
+ * same sidecar, which are read from the shared folder. This class does no I/O. It numbers its changes, and the reader
+ * of the folder passes the number of the last change that had been written before the folder was read.
  */
 final class DisabledEndpoints {
 
@@ -93,7 +93,9 @@
         return latestChangeNumber;
     }
 
-    /** Called when a change could not be stored; it stays in effect in this process until that endpoint changes again. */
+    /**
+     * Called when a change could not be stored; it stays in effect in this process until that endpoint changes again.
+     */
     void onStoreFailed(String id, long changeNumber) {
         unwrittenChanges.computeIfPresent(
                 id, (k, change) -> change.number == changeNumber ? new Change(NEVER_STORED, change.disabled) : change);
--- a/sidecar/src/main/java/martenlatch/admin/SharedFolder.java
+++ b/sidecar/src/main/java/martenlatch/admin/SharedFolder.java
@@ -38,7 +38,9 @@
     private static final String UNFINISHED_PREFIX = "begun-";
 
     private final Path folder;
-    /** The file that marks this process as serving, and the channel that holds the lock on it; null while not serving. */
+    /**
+     * The file that marks this process as serving, and the channel that holds the lock on it; null while not serving.
+     */
     private Path ownMarkFile;
 
     private FileChannel ownMarkChannel;
--- a/sidecar/src/main/java/martenlatch/admin/SharedFolderWorker.java
+++ b/sidecar/src/main/java/martenlatch/admin/SharedFolderWorker.java
@@ -27,8 +27,8 @@
          * Called when the content of the folder, or the number of the last written change, has changed.
          *
          * @param disabledIds the disabled endpoints in the folder
-         * @param lastWrittenChange the number of the last change that was written, or failed to be, before the folder was
-         *     read
+         * @param lastWrittenChange the number of the last change that was written, or failed to be, before the folder
+         *     was read
          */
         void onFolderRead(Set<String> disabledIds, long lastWrittenChange);
 
--- a/sidecar/src/main/java/martenlatch/sidecar/ConfigurationReloader.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/ConfigurationReloader.java
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Reads the configuration file and applies it; an unusable file is logged and changes nothing. Must be called on the
-     * event loop.
+     * Reads the configuration file and applies it; an unusable file is logged and changes nothing. Must be called on
+     * the event loop.
      */
     void reload() {
         try {
--- a/sidecar/src/main/java/martenlatch/sidecar/CurrentConfiguration.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/CurrentConfiguration.java
@@ -4,8 +4,8 @@
 import martenlatch.site.SiteConfig;
 
 /**
- * Holds the configuration in force. It is read and replaced on the event loop; only {@link #maxDeadlineMs} may be called
- * from other threads.
+ * Holds the configuration in force. It is read and replaced on the event loop; only {@link #maxDeadlineMs} may be
+ * called from other threads.
  */
 final class CurrentConfiguration {
 
--- a/sidecar/src/main/java/martenlatch/sidecar/DescriptorBudget.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/DescriptorBudget.java
@@ -14,7 +14,9 @@
 
     /** Descriptors reserved for warm-up, discovery and one batch of accepted connections. */
     private static final int RESERVED_DESCRIPTORS = 32;
-    /** Descriptors reserved for the admin API: its connections and listener, and the shared folder's lock and listing. */
+    /**
+     * Descriptors reserved for the admin API: its connections and listener, and the shared folder's lock and listing.
+     */
     private static final int RESERVED_ADMIN_DESCRIPTORS = AdminServer.MAX_CONNECTIONS + 4;
     /** The number of files that a JVM typically has open, used where the system does not report it. */
     private static final int TYPICAL_OPEN_FILES = 32;
--- a/sidecar/src/main/java/martenlatch/sidecar/Warmup.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/Warmup.java
@@ -48,8 +48,8 @@
 
 /**
  * Sends synthetic requests through a temporary set of the sidecar's components, listening on ephemeral ports of the
- * sidecar's own address, so that the code is loaded and compiled before clients connect. The requests never reach a real
- * endpoint, and nothing of the warm-up outlives it.
+ * sidecar's own address, so that the code is loaded and compiled before clients connect. The requests never reach a
+ * real endpoint, and nothing of the warm-up outlives it.
  */
 final class Warmup {
 
