--- a/sidecar/src/test/java/martenlatch/ArchitectureTest.java
+++ b/sidecar/src/test/java/martenlatch/ArchitectureTest.java
@@ -7,12 +7,12 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Packages depend downwards only, as their package-info files say. */
+/** Checks that packages depend only on lower layers, as documented in their package-info files. */
 class ArchitectureTest {
 
     @Test
-    void dependenciesPointDownwardsOnly() {
-        JavaClasses program = new ClassFileImporter()
+    void packagesDependOnLowerLayersOnly() {
+        JavaClasses classes = new ClassFileImporter()
                 .withImportOption(new ImportOption.DoNotIncludeTests())
                 .importPackages("martenlatch");
         layeredArchitecture()
@@ -81,6 +81,6 @@
                 .mayOnlyBeAccessedByLayers("policy", "discovery")
                 .whereLayer("numeric")
                 .mayNotAccessAnyLayer()
-                .check(program);
+                .check(classes);
     }
 }
--- a/sidecar/src/test/java/martenlatch/admin/DisabledEndpointsTest.java
+++ b/sidecar/src/test/java/martenlatch/admin/DisabledEndpointsTest.java
@@ -16,54 +16,55 @@
 import martenlatch.policy.api.EndpointStatus;
 import org.junit.jupiter.api.Test;
 
-/** What is out by hand, as two processes and the folder they share see it. */
+/** Tests the endpoints disabled by operators, as seen by two processes and their shared folder. */
 class DisabledEndpointsTest {
 
-    private static Endpoint server(String id, EndpointStatus state) {
-        return new Endpoint(id, 0, 0, 0, 0, state, 1);
+    private static Endpoint endpoint(String id, EndpointStatus status) {
+        return new Endpoint(id, 0, 0, 0, 0, status, 1);
     }
 
-    private static DisabledEndpoints knowing(String... ids) {
-        DisabledEndpoints made = new DisabledEndpoints();
-        made.onEndpointList(
+    private static DisabledEndpoints withListedIds(String... ids) {
+        DisabledEndpoints disabledEndpoints = new DisabledEndpoints();
+        disabledEndpoints.onEndpointList(
                 true,
                 List.of(ids).stream()
-                        .map(id -> server(id, EndpointStatus.READY))
+                        .map(id -> endpoint(id, EndpointStatus.READY))
                         .toList());
-        return made;
+        return disabledEndpoints;
     }
 
     @Test
-    void onlyWhatAListHasNamedCanBeTakenOut() {
-        DisabledEndpoints endpoints = knowing("a", "b");
+    void onlyListedEndpointsCanBeDisabled() {
+        DisabledEndpoints endpoints = withListedIds("a", "b");
         assertEquals(Result.UNKNOWN, endpoints.set("c", true));
         assertEquals(Result.UNKNOWN, endpoints.set("c", false));
         assertEquals(Result.DONE, endpoints.set("a", true));
-        assertEquals(Result.DONE, endpoints.set("a", true), "again is no error");
-        assertEquals(Result.DONE, endpoints.set("b", false), "nor is putting back what is in");
+        assertEquals(Result.DONE, endpoints.set("a", true), "disabling an endpoint twice is not an error");
+        assertEquals(Result.DONE, endpoints.set("b", false), "enabling an enabled endpoint is not an error");
         assertEquals(Set.of("a"), endpoints.ids());
-        endpoints.onEndpointList(false, List.of(server("a", EndpointStatus.GONE), server("b", EndpointStatus.GONE)));
-        assertEquals(Result.DONE, endpoints.set("b", true), "it was listed once");
+        endpoints.onEndpointList(
+                false, List.of(endpoint("a", EndpointStatus.GONE), endpoint("b", EndpointStatus.GONE)));
+        assertEquals(Result.DONE, endpoints.set("b", true), "the endpoint was in an earlier list");
         endpoints.onEndpointList(true, List.of());
-        assertEquals(Result.DONE, endpoints.set("a", false), "one call back ends it, listed or not");
+        assertEquals(Result.DONE, endpoints.set("a", false), "a call enables an endpoint that is not in the list");
         assertEquals(Set.of("b"), endpoints.ids());
     }
 
-    /** Guards against a look into the folder from before a call, which would undo the call for a while. */
+    /** Guards against a folder read from before a call that temporarily reverts the call. */
     @Test
-    void anOldLookUndoesNoCall() {
-        DisabledEndpoints endpoints = knowing("a");
+    void staleFolderReadDoesNotRevertCall() {
+        DisabledEndpoints endpoints = withListedIds("a");
         endpoints.set("a", true);
-        assertFalse(endpoints.onFolderRead(Set.of(), 0), "looked at before the file was made");
+        assertFalse(endpoints.onFolderRead(Set.of(), 0), "the folder was read before the file was created");
         assertEquals(Set.of("a"), endpoints.ids());
         assertFalse(endpoints.onFolderRead(Set.of("a"), 1));
-        assertTrue(endpoints.onFolderRead(Set.of(), 1), "the other process has put it back since");
+        assertTrue(endpoints.onFolderRead(Set.of(), 1), "the other process has enabled it since");
         assertEquals(Set.of(), endpoints.ids());
     }
 
     @Test
-    void aCallThatCannotBeKeptHoldsInThisProcess() {
-        DisabledEndpoints endpoints = knowing("a", "b");
+    void changeThatCannotBeStoredStaysInEffectInThisProcess() {
+        DisabledEndpoints endpoints = withListedIds("a", "b");
         endpoints.set("a", true);
         endpoints.onStoreFailed("a", endpoints.latestChangeNumber());
         endpoints.onFolderRead(Set.of("b"), 9);
@@ -74,75 +75,73 @@
     }
 
     @Test
-    void tablesAreBounded() {
+    void numberOfRememberedIdsIsBounded() {
         DisabledEndpoints endpoints = new DisabledEndpoints();
         for (int i = 0; i < 30_000; i++) {
-            endpoints.onEndpointList(true, List.of(server("s" + i, EndpointStatus.READY)));
+            endpoints.onEndpointList(true, List.of(endpoint("s" + i, EndpointStatus.READY)));
         }
-        assertEquals(Result.UNKNOWN, endpoints.set("s0", true), "the oldest are forgotten");
+        assertEquals(Result.UNKNOWN, endpoints.set("s0", true), "the oldest ids are forgotten");
         assertEquals(Result.DONE, endpoints.set("s25000", true));
-        List<Endpoint> many = new ArrayList<>();
+        List<Endpoint> endpointList = new ArrayList<>();
         for (int i = 0; i <= DisabledEndpoints.MAX_DISABLED; i++) {
-            many.add(server("m" + i, EndpointStatus.READY));
+            endpointList.add(endpoint("m" + i, EndpointStatus.READY));
         }
-        endpoints.onEndpointList(true, many);
-        Result last = Result.DONE;
+        endpoints.onEndpointList(true, endpointList);
+        Result lastResult = Result.DONE;
         for (int i = 0; i <= DisabledEndpoints.MAX_DISABLED; i++) {
-            last = endpoints.set("m" + i, true);
+            lastResult = endpoints.set("m" + i, true);
         }
-        assertEquals(Result.FULL, last);
+        assertEquals(Result.FULL, lastResult);
         assertEquals(DisabledEndpoints.MAX_DISABLED, endpoints.ids().size());
     }
 
-    /**
-     * Two processes, calls to either, writes and looks at any time: in the end both agree with the folder.
-     */
+    /** Applies random calls, writes and folder reads to two processes; in the end both must agree with the folder. */
     @Test
-    void twoProcessesAgreeInTheEnd() {
+    void twoProcessesConverge() {
         for (int seed = 0; seed < 2000; seed++) {
             Random random = new Random(seed);
             Set<String> folder = new HashSet<>();
-            List<DisabledEndpoints> both = List.of(knowing("a", "b", "c"), knowing("a", "b", "c"));
-            List<Deque<Write>> waiting = List.of(new ArrayDeque<>(), new ArrayDeque<>());
-            long[] written = new long[2];
+            List<DisabledEndpoints> processes = List.of(withListedIds("a", "b", "c"), withListedIds("a", "b", "c"));
+            List<Deque<Write>> pendingWrites = List.of(new ArrayDeque<>(), new ArrayDeque<>());
+            long[] lastWrittenChanges = new long[2];
             for (int step = 0; step < 60; step++) {
-                int which = random.nextInt(2);
-                DisabledEndpoints one = both.get(which);
+                int processIndex = random.nextInt(2);
+                DisabledEndpoints process = processes.get(processIndex);
                 switch (random.nextInt(3)) {
                     case 0 -> {
                         String id = "" + (char) ('a' + random.nextInt(3));
-                        boolean out = random.nextBoolean();
-                        one.set(id, out);
-                        waiting.get(which).add(new Write(id, out, one.latestChangeNumber()));
-                        assertEquals(out, one.ids().contains(id), "a call holds at once");
+                        boolean disable = random.nextBoolean();
+                        process.set(id, disable);
+                        pendingWrites.get(processIndex).add(new Write(id, disable, process.latestChangeNumber()));
+                        assertEquals(disable, process.ids().contains(id), "a call takes effect at once");
                     }
-                    case 1 -> write(folder, waiting.get(which).poll(), which, written);
-                    default -> one.onFolderRead(folder, written[which]);
+                    case 1 -> write(folder, pendingWrites.get(processIndex).poll(), processIndex, lastWrittenChanges);
+                    default -> process.onFolderRead(folder, lastWrittenChanges[processIndex]);
                 }
             }
-            for (int which = 0; which < 2; which++) {
-                while (!waiting.get(which).isEmpty()) {
-                    write(folder, waiting.get(which).poll(), which, written);
+            for (int processIndex = 0; processIndex < 2; processIndex++) {
+                while (!pendingWrites.get(processIndex).isEmpty()) {
+                    write(folder, pendingWrites.get(processIndex).poll(), processIndex, lastWrittenChanges);
                 }
             }
-            for (int which = 0; which < 2; which++) {
-                both.get(which).onFolderRead(folder, written[which]);
-                assertEquals(folder, both.get(which).ids(), "seed " + seed);
+            for (int processIndex = 0; processIndex < 2; processIndex++) {
+                processes.get(processIndex).onFolderRead(folder, lastWrittenChanges[processIndex]);
+                assertEquals(folder, processes.get(processIndex).ids(), "seed " + seed);
             }
         }
     }
 
-    private record Write(String id, boolean out, long number) {}
+    private record Write(String id, boolean disable, long number) {}
 
-    private static void write(Set<String> folder, Write next, int which, long[] written) {
-        if (next == null) {
+    private static void write(Set<String> folder, Write write, int processIndex, long[] lastWrittenChanges) {
+        if (write == null) {
             return;
         }
-        if (next.out()) {
-            folder.add(next.id());
+        if (write.disable()) {
+            folder.add(write.id());
         } else {
-            folder.remove(next.id());
+            folder.remove(write.id());
         }
-        written[which] = next.number();
+        lastWrittenChanges[processIndex] = write.number();
     }
 }
--- a/sidecar/src/test/java/martenlatch/admin/SharedFolderTest.java
+++ b/sidecar/src/test/java/martenlatch/admin/SharedFolderTest.java
@@ -12,58 +12,58 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What two processes of one sidecar share on disk. */
+/** Tests the folder through which two processes of one sidecar share state. */
 class SharedFolderTest {
 
     @TempDir
     Path parent;
 
     @Test
-    void whatOneWritesTheOtherSees() throws Exception {
-        SharedFolder one = new SharedFolder(parent, "n0");
-        SharedFolder other = new SharedFolder(parent, "n0");
-        Set<String> odd = Set.of("s-1", "a/b", "../up", ".", "č%20 x", "S-1", "*");
-        for (String id : odd) {
-            one.set(id, true);
-            other.set(id, true);
+    void changesOfOneProcessAreVisibleToTheOther() throws Exception {
+        SharedFolder first = new SharedFolder(parent, "n0");
+        SharedFolder second = new SharedFolder(parent, "n0");
+        Set<String> unusualIds = Set.of("s-1", "a/b", "../up", ".", "č%20 x", "S-1", "*");
+        for (String id : unusualIds) {
+            first.set(id, true);
+            second.set(id, true);
         }
-        assertEquals(odd, other.disabledIds());
-        assertEquals(Set.of(), new SharedFolder(parent, "n1").disabledIds(), "another sidecar's is another");
-        for (String id : odd) {
-            other.set(id, false);
-            one.set(id, false);
+        assertEquals(unusualIds, second.disabledIds());
+        assertEquals(Set.of(), new SharedFolder(parent, "n1").disabledIds(), "another sidecar has its own folder");
+        for (String id : unusualIds) {
+            second.set(id, false);
+            first.set(id, false);
         }
-        assertEquals(Set.of(), one.disabledIds());
+        assertEquals(Set.of(), first.disabledIds());
     }
 
     @Test
-    void aProcessThatServesIsSeenUntilItLeaves() throws Exception {
-        SharedFolder old = new SharedFolder(parent, "n0");
-        SharedFolder heir = new SharedFolder(parent, "n0");
-        old.markServing();
-        assertFalse(old.isAnotherProcessServing(), "it is no other to itself");
-        assertTrue(heir.isAnotherProcessServing());
-        heir.markServing();
-        assertTrue(old.isAnotherProcessServing());
-        old.unmarkServing();
-        assertFalse(heir.isAnotherProcessServing());
-        heir.unmarkServing();
+    void servingProcessIsVisibleUntilItStops() throws Exception {
+        SharedFolder process = new SharedFolder(parent, "n0");
+        SharedFolder successor = new SharedFolder(parent, "n0");
+        process.markServing();
+        assertFalse(process.isAnotherProcessServing(), "a process does not count itself");
+        assertTrue(successor.isAnotherProcessServing());
+        successor.markServing();
+        assertTrue(process.isAnotherProcessServing());
+        process.unmarkServing();
+        assertFalse(successor.isAnotherProcessServing());
+        successor.unmarkServing();
         try (var files = Files.list(parent.resolve("martenlatch-n0"))) {
-            assertEquals(0, files.count(), "nothing is left behind");
+            assertEquals(0, files.count(), "no file is left behind");
         }
     }
 
-    /** Guards against an heir that died: its file stands, but no lock is on it. */
+    /** Guards against counting a dead process as serving: its file still exists, but is not locked. */
     @Test
-    void aDeadProcessIsNoHeir() throws Exception {
-        SharedFolder old = new SharedFolder(parent, "n0");
-        Path left = Files.createFile(parent.resolve("martenlatch-n0").resolve("serving-1-1"));
-        assertFalse(old.isAnotherProcessServing());
-        assertFalse(Files.exists(left), "what the dead left is removed");
+    void deadProcessDoesNotCountAsServing() throws Exception {
+        SharedFolder process = new SharedFolder(parent, "n0");
+        Path staleFile = Files.createFile(parent.resolve("martenlatch-n0").resolve("serving-1-1"));
+        assertFalse(process.isAnotherProcessServing());
+        assertFalse(Files.exists(staleFile), "the file of the dead process is deleted");
     }
 
     @Test
-    void aFolderThatCannotBeIsAnError() throws Exception {
+    void unusableFolderFails() throws Exception {
         Path file = Files.createFile(parent.resolve("file"));
         assertThrows(IOException.class, () -> new SharedFolder(file, "n0"));
         SharedFolder folder = new SharedFolder(parent, "n0");
--- a/sidecar/src/test/java/martenlatch/cli/MainTest.java
+++ b/sidecar/src/test/java/martenlatch/cli/MainTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as a process: how it starts and how it ends. */
+/** Tests start-up, signals and exit of the program as a separate process. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class MainTest {
 
@@ -35,8 +35,8 @@
         "classes":[{"name":"read","effect":"repeatable","slo-ms":500,"hard-limit-ms":1000}],
         "limits":{"dial-timeout-ms":200,"idle-close-ms":15000,"try-limit":3},"rules":{}}}""";
 
-    /** Descriptors for a process that is to run out of them: its start needs some fifty. */
-    private static final int FEW = 120;
+    /** The descriptor limit of a process that is meant to run out of them; its start-up needs about 50. */
+    private static final int DESCRIPTOR_LIMIT = 120;
 
     @TempDir
     Path folder;
@@ -55,13 +55,13 @@
         return builder.redirectErrorStream(true).start();
     }
 
-    /** Guards against a planned restart that counts as a crash: after SIGTERM it exits with 0. */
+    /** Guards against a planned restart that is reported as a crash: after SIGTERM the process exits with status 0. */
     @Test
-    void aStopBySignalIsACleanExit() throws Exception {
+    void sigtermCausesCleanExit() throws Exception {
         Process process = serve(CONFIG);
         try (BufferedReader log = process.inputReader()) {
             awaitLine(log, "serving on");
-            // This is SIGTERM; unlike Process.destroy it leaves the log readable.
+            // Sends SIGTERM; unlike Process.destroy() it keeps the log readable.
             process.toHandle().destroy();
             assertEquals(0, process.waitFor());
         } finally {
@@ -69,46 +69,45 @@
         }
     }
 
-    /**
-     * Guards against an upgrade that two processes can't make: the second listens beside the first, which
-     * leaves.
-     */
+    /** Guards against a failed upgrade: the new process listens on the same address, and then the old one stops. */
     @Test
-    void aSecondProcessTakesOver() throws Exception {
+    void newProcessTakesOverFromOldOne() throws Exception {
         String listen = "\"listen\":\"127.0.0.1:0\"";
         String config =
                 CONFIG.replace(listen, listen + ",\"admin\":\"127.0.0.1:0\"").replace("on_request", "pushed");
         Process old = serve(config);
         try (BufferedReader log = old.inputReader()) {
-            // Where lists are pushed: alone it listens at once; beside another one only when it is warm.
-            String told = awaitLine(log, "listening on");
+            // With pushed lists, a process listens at once if it is the only one, and otherwise only after its warm-up.
+            String listeningLine = awaitLine(log, "listening on");
             awaitLine(log, "warm-up finished after");
             awaitLine(log, "serving on");
-            // The system gave the port: one that the test had found free could be taken before the start.
-            Process heir = serve(config.replace("\"listen\":\"127.0.0.1:0", "\"listen\":\"127.0.0.1:" + port(told)));
-            try (BufferedReader heirLog = heir.inputReader()) {
-                awaitLine(heirLog, "warm-up finished after");
-                awaitLine(heirLog, "listening on");
-                awaitLine(heirLog, "serving on");
+            // Reuses the port that the system assigned, as a free port chosen by the test could be taken before the
+            // start.
+            Process successor =
+                    serve(config.replace("\"listen\":\"127.0.0.1:0", "\"listen\":\"127.0.0.1:" + port(listeningLine)));
+            try (BufferedReader successorLog = successor.inputReader()) {
+                awaitLine(successorLog, "warm-up finished after");
+                awaitLine(successorLog, "listening on");
+                awaitLine(successorLog, "serving on");
                 old.toHandle().destroy();
                 awaitLine(log, "another process serves this address");
                 assertEquals(0, old.waitFor());
-                heir.toHandle().destroy();
-                // The one that has left is no heir to it.
-                List<String> lines = heirLog.lines().toList();
+                successor.toHandle().destroy();
+                // The old process has stopped and must not count as a successor.
+                List<String> lines = successorLog.lines().toList();
                 assertTrue(lines.stream().noneMatch(line -> line.contains("another process")), lines.toString());
-                assertEquals(0, heir.waitFor());
+                assertEquals(0, successor.waitFor());
             } finally {
-                heir.destroyForcibly();
+                successor.destroyForcibly();
             }
         } finally {
             old.destroyForcibly();
         }
     }
 
-    /** Guards against a reload that ends the program: SIGHUP reads the configuration again, each time. */
+    /** Guards against a SIGHUP that terminates the process: each one reloads the configuration. */
     @Test
-    void aSighupReadsTheConfigurationAgain() throws Exception {
+    void sighupReloadsConfiguration() throws Exception {
         Process process = serve(CONFIG);
         try (BufferedReader log = process.inputReader()) {
             awaitLine(log, "serving on");
@@ -137,9 +136,9 @@
                         .waitFor());
     }
 
-    /** Guards against signals that come while the program is still starting: each is heard, in its turn. */
+    /** Guards against a SIGHUP that is lost during start-up: it is handled once the start-up has finished. */
     @Test
-    void aReloadBeforeTheStartIsOverIsMadeAfterIt() throws Exception {
+    void sighupDuringStartIsHandledAfterStart() throws Exception {
         Process process = serve(CONFIG);
         try (BufferedReader log = process.inputReader()) {
             awaitLine(log, "listening on");
@@ -153,9 +152,9 @@
         }
     }
 
-    /** Guards against a stop that is lost, or made twice, where it comes while the program warms up. */
+    /** Guards against a SIGTERM that is lost, or handled twice, if it arrives during the warm-up. */
     @Test
-    void aStopBeforeTheStartIsOverIsACleanExit() throws Exception {
+    void sigtermDuringWarmUpCausesCleanExit() throws Exception {
         Process process = serve(CONFIG);
         try (BufferedReader log = process.inputReader()) {
             awaitLine(log, "listening on");
@@ -173,26 +172,27 @@
     }
 
     /**
-     * Guards against signals that are lost, or end the program as a crash, while it has neither a list nor a
-     * listener: where lists are pushed it waits for the agent's first word.
+     * Guards against signals that are lost, or reported as a crash, before the process has an endpoint list and a
+     * listener: with pushed lists, the start-up waits for the first response of the agent.
      */
     @Test
-    void aStopBeforeTheFirstListIsACleanExit() throws Exception {
+    void sigtermBeforeFirstListCausesCleanExit() throws Exception {
         try (ServerSocket agent = new ServerSocket(0)) {
             Process process = serve(CONFIG.replace("on_request", "pushed")
                     .replace("127.0.0.1:1\"", "127.0.0.1:" + agent.getLocalPort() + "\""));
-            // It never answers. Who calls it has built its parts, and does not listen yet.
+            // The agent never responds. Once it is called, the process has created its components but is not listening
+            // yet.
             try (BufferedReader log = process.inputReader();
-                    Socket calls = agent.accept()) {
+                    Socket call = agent.accept()) {
                 signal(process, "HUP");
                 signal(process, "TERM");
                 signal(process, "TERM");
                 List<String> lines = log.lines().toList();
                 assertEquals(0, process.waitFor());
-                int listens = place(lines, "listening on");
-                int draining = place(lines, "draining");
-                assertTrue(0 <= listens && listens < draining, "" + lines);
-                assertTrue(draining < place(lines, "martenlatch: drained"), "" + lines);
+                int listening = indexOfLine(lines, "listening on");
+                int draining = indexOfLine(lines, "draining");
+                assertTrue(0 <= listening && listening < draining, "" + lines);
+                assertTrue(draining < indexOfLine(lines, "martenlatch: drained"), "" + lines);
                 assertEquals(
                         1,
                         lines.stream().filter(line -> line.contains("draining")).count());
@@ -202,7 +202,7 @@
         }
     }
 
-    private static int place(List<String> lines, String part) {
+    private static int indexOfLine(List<String> lines, String part) {
         for (int i = 0; i < lines.size(); i++) {
             if (lines.get(i).contains(part)) {
                 return i;
@@ -216,15 +216,13 @@
         while (line != null && !line.contains(part)) {
             line = log.readLine();
         }
-        assertNotEquals(null, line, "it goes on to say: " + part);
+        assertNotEquals(null, line, "the log ended without the line: " + part);
         return line;
     }
 
-    /**
-     * Guards against a reload that never comes, and nobody knows why: nohup has the JVM ignore the signal.
-     */
+    /** Guards against reloads that are silently ignored: under nohup the JVM does not handle SIGHUP. */
     @Test
-    void aStartThatIgnoresSighupSaysSo() throws Exception {
+    void ignoredSighupIsLogged() throws Exception {
         Path file = Files.writeString(folder.resolve("config.json"), CONFIG);
         ProcessBuilder builder = new ProcessBuilder(
                 "nohup",
@@ -243,9 +241,9 @@
         }
     }
 
-    /** Guards against help that counts as a failure. */
+    /** Guards against a request for help that is reported as a failure. */
     @Test
-    void helpIsNoError() throws Exception {
+    void helpExitsWithZero() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream errors = new ByteArrayOutputStream();
         PrintStream printed = new PrintStream(errors, true, StandardCharsets.UTF_8);
@@ -256,7 +254,7 @@
     }
 
     @Test
-    void aConfigurationThatIsBadIsOnePlainLine() throws Exception {
+    void invalidConfigurationIsReportedInOneLine() throws Exception {
         Process process = serve(CONFIG.replace("\"sockets\":1024", "\"sockets\":\"many\""));
         try (BufferedReader log = process.inputReader()) {
             List<String> lines = log.lines().toList();
@@ -268,11 +266,11 @@
     }
 
     /**
-     * Guards against descriptors that run out: the event loop goes on, and what had no connection never ran,
-     * so an unsafe request is refused and not failed.
+     * Guards against a process that fails when it runs out of descriptors: the event loop continues, and an unsafe
+     * request without a connection to an endpoint never ran, so it is rejected and does not count as failed.
      */
     @Test
-    void whatFindsNoDescriptorNeverRan() throws Exception {
+    void requestWithoutDescriptorIsRejected() throws Exception {
         try (ServerSocket endpoint = new ServerSocket(0)) {
             String list = "{\"version\":1,\"full\":true,\"servers\":[{\"id\":\"s0\",\"addr\":" + "\"127.0.0.1:"
                     + endpoint.getLocalPort() + "\",\"zone\":\"a\",\"state\":\"in_service\"}]}";
@@ -281,21 +279,21 @@
                     CONFIG.replace("{\"version\":0,\"full\":true,\"servers\":[]}", list)
                             .replace("repeatable", "once"));
             Process process = serveWithFewDescriptors(file);
-            List<Socket> clients = new ArrayList<>();
+            List<Socket> connections = new ArrayList<>();
             try (BufferedReader log = process.inputReader()) {
                 int port = port(awaitLine(log, "listening on"));
                 awaitLine(log, "serving on");
-                Socket asks = new Socket("127.0.0.1", port);
-                clients.add(asks);
-                assertTrue(ask(asks, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+                Socket client = new Socket("127.0.0.1", port);
+                connections.add(client);
+                assertTrue(sendRequest(client, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
                         .contains(" 200 "));
-                // More connections than the process may hold: those beyond wait with the system.
-                for (int i = 0; i < FEW; i++) {
-                    clients.add(new Socket("127.0.0.1", port));
+                // More connections than the process may hold: the others wait in the accept queue.
+                for (int i = 0; i < DESCRIPTOR_LIMIT; i++) {
+                    connections.add(new Socket("127.0.0.1", port));
                 }
                 awaitLine(log, "no connection is taken in");
-                String answer = ask(
-                        asks,
+                String answer = sendRequest(
+                        client,
                         "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: r0\r\n"
                                 + "X-Class: read\r\nX-Deadline-Ms: 900\r\nContent-Length: 0\r\n\r\n");
                 assertTrue(answer.contains(" 503 "), answer);
@@ -303,29 +301,29 @@
                 process.toHandle().destroy();
                 assertEquals(0, process.waitFor());
             } finally {
-                end(process, clients);
+                cleanUp(process, connections);
             }
         }
     }
 
-    /** Guards against the same for discovery, which it asks on a connection of its own each time here. */
+    /** Guards against discovery polls that stop when descriptors run out; here each poll needs a new connection. */
     @Test
-    void discoveryThatFindsNoDescriptorIsAskedAgain() throws Exception {
+    void pollWithoutDescriptorIsRetried() throws Exception {
         Process process = serveWithFewDescriptors(Files.writeString(
                 folder.resolve("config.json"), CONFIG.replace("\"rules\":{}", "\"rules\":{\"ask-within-ms\":50}")));
-        List<Socket> clients = new ArrayList<>();
+        List<Socket> connections = new ArrayList<>();
         try (BufferedReader log = process.inputReader()) {
             int port = port(awaitLine(log, "listening on"));
             awaitLine(log, "serving on");
             awaitLine(log, "discovery failed: ");
-            for (int i = 0; i < FEW; i++) {
-                clients.add(new Socket("127.0.0.1", port));
+            for (int i = 0; i < DESCRIPTOR_LIMIT; i++) {
+                connections.add(new Socket("127.0.0.1", port));
             }
             for (String failed = "refused"; failed.contains("refused"); ) {
                 failed = awaitLine(log, "discovery failed: ");
             }
-            for (Socket client : clients) {
-                client.close();
+            for (Socket connection : connections) {
+                connection.close();
             }
             for (String failed = ""; !failed.contains("refused"); ) {
                 failed = awaitLine(log, "discovery failed: ");
@@ -333,14 +331,14 @@
             process.toHandle().destroy();
             assertEquals(0, process.waitFor());
         } finally {
-            end(process, clients);
+            cleanUp(process, connections);
         }
     }
 
-    private static void end(Process process, List<Socket> clients) throws IOException {
+    private static void cleanUp(Process process, List<Socket> connections) throws IOException {
         process.destroyForcibly();
-        for (Socket client : clients) {
-            client.close();
+        for (Socket connection : connections) {
+            connection.close();
         }
     }
 
@@ -348,7 +346,7 @@
         ProcessBuilder builder = new ProcessBuilder(
                 "sh",
                 "-c",
-                "ulimit -n " + FEW + " && exec \"$@\"",
+                "ulimit -n " + DESCRIPTOR_LIMIT + " && exec \"$@\"",
                 "sh",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
@@ -364,7 +362,10 @@
         return Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
     }
 
-    /** The program in one file, as it is delivered: it is open, so that classes need no descriptor. */
+    /**
+     * Returns the program as a single JAR, as it is released: the JAR stays open, so loading classes needs no
+     * descriptor.
+     */
     private Path jar() throws Exception {
         Path classes = Path.of(
                 Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
@@ -382,12 +383,12 @@
         return jar;
     }
 
-    private static String ask(Socket socket, String request) throws IOException {
+    private static String sendRequest(Socket socket, String request) throws IOException {
         socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int next = socket.getInputStream().read();
-            assertTrue(next >= 0, "it ended after " + head);
+            assertTrue(next >= 0, "the connection ended after " + head);
             head.append((char) next);
         }
         int length = Integer.parseInt(head.toString().replaceAll("(?s).*content-length: (\\d+).*", "$1"));
