--- a/sidecar/src/test/java/martenlatch/sidecar/ChurnTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ChurnTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Endpoints that come and go under ever new ids. */
+/** Tests endpoints that are replaced again and again under new ids. */
 @Timeout(60)
 class ChurnTest {
 
     private static final int DEADLINE_MS = 8000;
     private static final int ROUNDS = 200;
-    private static final int IDS_A_ROUND = 50;
+    private static final int IDS_PER_ROUND = 50;
 
     private final FakeEndpoint endpoint = FakeEndpoint.answering(200, "", "served");
     private final SidecarFixture fixture = new SidecarFixture(endpoint);
@@ -24,7 +24,7 @@
 
     ChurnTest() throws IOException {
         fixture.pollIntervalMs = 20;
-        fixture.discovery.script = (wire, request) -> FakeEndpoint.answer(wire, 200, "", lists.take());
+        fixture.discovery.script = (connection, request) -> FakeEndpoint.answer(connection, 200, "", lists.take());
     }
 
     @AfterEach
@@ -32,25 +32,25 @@
         fixture.close();
     }
 
-    private void tell(String list) throws InterruptedException {
+    private void publish(String list) throws InterruptedException {
         int before = fixture.discovery.requests.size();
         lists.add(list);
-        SidecarFixture.await("the list is taken in", () -> fixture.discovery.requests.size() > before);
+        SidecarFixture.await("the sidecar has received the list", () -> fixture.discovery.requests.size() > before);
     }
 
-    /** Guards against tables that grow with each id: after thousands only those that serve are known. */
+    /** Guards against tables that grow with each id: after thousands of ids only the current endpoint is known. */
     @Test
-    void nothingIsKeptOfIdsThatAreGone() throws Exception {
+    void removedIdsAreForgotten() throws Exception {
         fixture.start();
-        SidecarFixture.await("a watch is on", () -> fixture.discovery.requests.size() == 1);
-        int last = 0;
+        SidecarFixture.await("a watch is open", () -> fixture.discovery.requests.size() == 1);
+        int lastId = 0;
         for (int round = 0; round < ROUNDS; round++) {
-            List<String> lines = new ArrayList<>();
-            for (int i = 0; i < IDS_A_ROUND; i++) {
-                lines.add(SidecarFixture.line(last, endpoint.address(), "terminated", 0));
-                lines.add(SidecarFixture.line(++last, endpoint.address(), "in_service", 1000 + last));
+            List<String> entries = new ArrayList<>();
+            for (int i = 0; i < IDS_PER_ROUND; i++) {
+                entries.add(SidecarFixture.line(lastId, endpoint.address(), "terminated", 0));
+                entries.add(SidecarFixture.line(++lastId, endpoint.address(), "in_service", 1000 + lastId));
             }
-            tell(SidecarFixture.list(round + 2, false, lines.toArray(String[]::new)));
+            publish(SidecarFixture.list(round + 2, false, entries.toArray(String[]::new)));
             if (round % 20 == 0) {
                 assertEquals(200, fixture.sendRequest("read", DEADLINE_MS).status());
             }
@@ -64,20 +64,20 @@
                         .get());
     }
 
-    /** Guards against calls meant for a process that is gone and made to the cold one at its address. */
+    /** Guards against requests for a terminated endpoint that are sent to its cold successor at the same address. */
     @Test
-    void anEndpointAtAnotherOnesAddressTakesItsPlace() throws Exception {
+    void endpointAtSameAddressReplacesFormerOne() throws Exception {
         FakeEndpoint other = FakeEndpoint.answering(200, "", "other");
         try {
             fixture.endpoints.add(other);
             fixture.start();
-            SidecarFixture.await("a watch is on", () -> fixture.discovery.requests.size() == 1);
+            SidecarFixture.await("a watch is open", () -> fixture.discovery.requests.size() == 1);
             for (int i = 0; i < 4; i++) {
                 assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             }
-            // The new one drains, so nothing may go to its address, whoever had it before.
-            tell(SidecarFixture.list(2, false, SidecarFixture.line(7, endpoint.address(), "terminating", 1000)));
-            SidecarFixture.await("connections to the former are closed", () -> endpoint.open.get() == 0);
+            // The new endpoint drains, so no request may be sent to its address, not even for the former endpoint.
+            publish(SidecarFixture.list(2, false, SidecarFixture.line(7, endpoint.address(), "terminating", 1000)));
+            SidecarFixture.await("connections to the former endpoint are closed", () -> endpoint.open.get() == 0);
             int before = endpoint.requests.size();
             for (int i = 0; i < 20; i++) {
                 assertEquals("other", fixture.sendRequest("order", DEADLINE_MS).body());
--- a/sidecar/src/test/java/martenlatch/sidecar/FakeEndpoint.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/FakeEndpoint.java
@@ -9,59 +9,66 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A server on loopback that does with each request what the test says. */
+/** A server on a loopback address that handles each request by a script of the test. */
 final class FakeEndpoint implements Closeable {
 
-    /** What to do with a request. */
+    /** Handles a request that arrived on a connection. */
     interface Script {
-        void on(RawHttpClient wire, RawHttpClient.Message request) throws Exception;
+        void on(RawHttpClient connection, RawHttpClient.Message request) throws Exception;
     }
 
+    /** The length of the accept queue. */
     private static final int BACKLOG = 50;
 
     final ServerSocket listener;
     final List<RawHttpClient.Message> requests = new CopyOnWriteArrayList<>();
+    /** The number of connections that have been accepted so far. */
     final AtomicInteger connections = new AtomicInteger();
+    /** The number of connections that are open now. */
     final AtomicInteger open = new AtomicInteger();
-    /** Checks that failed in scripts, on threads of their own: whoever closes the endpoint hears of them. */
-    private final List<AssertionError> failedChecks = new CopyOnWriteArrayList<>();
+    /** Assertions that failed in scripts, which run on other threads; {@link #close} throws the first one. */
+    private final List<AssertionError> failedAssertions = new CopyOnWriteArrayList<>();
 
     volatile Script script;
-    private Thread acceptor;
+    private Thread acceptThread;
 
     FakeEndpoint(Script script) throws IOException {
         this(new InetSocketAddress("127.0.0.1", 0), script);
     }
 
-    /** One that listens at a certain address. */
+    /** Creates an endpoint that listens on the given address. */
     FakeEndpoint(InetSocketAddress address, Script script) throws IOException {
         this(address);
         this.script = script;
-        acceptor = start(this::accept);
+        acceptThread = start(this::accept);
     }
 
     private FakeEndpoint(InetSocketAddress address) throws IOException {
         listener = new ServerSocket(address.getPort(), BACKLOG, address.getAddress());
     }
 
-    /** A place that listens, for whoever takes the connections there himself. */
+    /** Returns an endpoint that listens but leaves it to the test to accept connections. */
     static FakeEndpoint listeningOnly() throws IOException {
         return new FakeEndpoint(new InetSocketAddress("127.0.0.1", 0));
     }
 
-    /** An endpoint that serves every request. */
+    /** Returns an endpoint that serves every request. */
     static FakeEndpoint serving() throws IOException {
         return answering(200, "", "served");
     }
 
+    /** Returns an endpoint that sends the same response to every request. */
     static FakeEndpoint answering(int status, String headers, String body) throws IOException {
-        return new FakeEndpoint((wire, request) -> answer(wire, status, headers, body));
+        return new FakeEndpoint((connection, request) -> answer(connection, status, headers, body));
     }
 
-    static void answer(RawHttpClient wire, int status, String headers, String body) throws IOException {
-        wire.send("HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
+    /** Sends a response; {@code headers} are complete lines. */
+    static void answer(RawHttpClient connection, int status, String headers, String body) throws IOException {
+        connection.send(
+                "HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
+    /** Returns the address as host and port. */
     String address() {
         return listener.getInetAddress().getHostAddress() + ":" + listener.getLocalPort();
     }
@@ -75,23 +82,23 @@
                 start(() -> serve(socket));
             }
         } catch (IOException e) {
-            // The test is over.
+            // The listener was closed at the end of the test.
             return;
         }
     }
 
     private void serve(Socket socket) {
-        try (RawHttpClient wire = new RawHttpClient(socket)) {
+        try (RawHttpClient connection = new RawHttpClient(socket)) {
             while (true) {
-                RawHttpClient.Message request = wire.read();
+                RawHttpClient.Message request = connection.read();
                 requests.add(request);
-                script.on(wire, request);
+                script.on(connection, request);
             }
         } catch (Exception e) {
-            // The connection is over, which the counter below tells.
+            // The connection has ended, which the counter below reflects.
             return;
         } catch (AssertionError e) {
-            failedChecks.add(e);
+            failedAssertions.add(e);
         } finally {
             open.decrementAndGet();
         }
@@ -104,19 +111,22 @@
         return thread;
     }
 
-    /** While a thread waits on it the system keeps a closed listener, and takes one more connection. */
+    /**
+     * Closes the listener and waits for the thread that accepts connections: while that thread blocks in accept(), the
+     * system keeps the closed listener and accepts one more connection.
+     */
     @Override
     public void close() throws IOException {
         listener.close();
         try {
-            if (acceptor != null) {
-                acceptor.join(SidecarFixture.AWAIT_TIMEOUT_MS);
+            if (acceptThread != null) {
+                acceptThread.join(SidecarFixture.AWAIT_TIMEOUT_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        if (!failedChecks.isEmpty()) {
-            throw failedChecks.get(0);
+        if (!failedAssertions.isEmpty()) {
+            throw failedAssertions.get(0);
         }
     }
 }
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
@@ -17,9 +17,10 @@
 import java.util.function.BooleanSupplier;
 import martenlatch.discovery.EndpointListGate;
 
-/** A sidecar before fake endpoints, with a fake discovery; all on loopback. */
+/** A sidecar with fake endpoints and a fake discovery, all on loopback addresses. */
 final class SidecarFixture implements Closeable {
 
+    /** How long a test waits for a condition before it fails. */
     static final long AWAIT_TIMEOUT_MS = 20_000;
 
     final List<FakeEndpoint> endpoints = new ArrayList<>();
@@ -32,51 +33,54 @@
     int sockets = 1024;
     int latencyObjectiveMs = 9000;
     int connectTimeoutMs = 2000;
-    /** For so long endpoints drop repeats of the class "move". */
+    /** The deduplication window of the request class "move". */
     int deduplicationWindowMs = 9000;
 
     boolean cancel = true;
+    /** How endpoint lists arrive: {@code on_request} for polled or {@code pushed} by an agent. */
     String membership = "on_request";
-    /** Where the sidecar looks for discovery; the fake one above where the test says none. */
+    /** The address of the discovery; null for that of the fake {@link #discovery}. */
     String discoveryAddress;
-    /** Most tests have a discovery that never answers; those on the wait for a current list set it. */
+    /** Zero for most tests, as their discovery never responds; tests of the wait for a current list set it. */
     long maxListWaitMs = 0;
-    /** Where lists are pushed, the time after which a start goes on without its agent. */
+    /** The time after which a start with pushed lists continues without its agent. */
     long maxAgentWaitMs = EndpointListGate.DEFAULT_MAX_WAIT_MS;
-    /** The folder that outlives the sidecar, and where it takes operators' calls; none at first. */
-    Path shared;
+    /** The parent of the shared folder, or null for none. */
+    Path sharedFolder;
+
+    /** The address of the admin API, or null for none. */
+    String adminAddress;
 
-    String admin;
     String listen = "127.0.0.1:0";
-    /** The sidecars' addresses by number, this one's first; none where it is alone. */
+    /** The gossip addresses of the sidecars by index, starting with this one; empty without gossip. */
     List<String> peers = List.of();
-    /** The list in the configuration's file; the endpoints above where the test says none. */
+    /** The entries of the endpoint list in the configuration file; null for those of {@link #endpoints}. */
     List<String> known;
 
-    private int requests;
+    private int requestCounter;
 
     SidecarFixture(FakeEndpoint... endpoints) throws IOException {
         this.endpoints.addAll(List.of(endpoints));
-        // Discovery holds its answer back until the test has one.
-        discovery = new FakeEndpoint((wire, request) -> wire.awaitEnd());
+        // Discovery does not respond until the test sets another script.
+        discovery = new FakeEndpoint((client, request) -> client.awaitEnd());
     }
 
-    /** A fixture with one endpoint in its list, at an address of the test's. */
+    /** Returns a fixture with a single endpoint in its list, at the given address. */
     static SidecarFixture withEndpointAt(String address) throws IOException {
         SidecarFixture fixture = new SidecarFixture(FakeEndpoint.listeningOnly());
         fixture.known = List.of(line(0, address, "in_service", 0));
         return fixture;
     }
 
-    /** Starts a sidecar before one place, whose connections the test accepts itself. */
-    static SidecarFixture startedBefore(ServerSocket place, boolean cancel) throws IOException {
-        SidecarFixture fixture = withEndpointAt("127.0.0.1:" + place.getLocalPort());
+    /** Starts a sidecar with a single endpoint, whose connections the test accepts itself. */
+    static SidecarFixture startedBefore(ServerSocket listener, boolean cancel) throws IOException {
+        SidecarFixture fixture = withEndpointAt("127.0.0.1:" + listener.getLocalPort());
         fixture.cancel = cancel;
         fixture.connectTimeoutMs = 30_000;
         return fixture.start();
     }
 
-    /** Starts a sidecar before one endpoint for each script. */
+    /** Starts a sidecar with one endpoint per script. */
     static SidecarFixture startedWith(FakeEndpoint.Script... scripts) throws IOException {
         FakeEndpoint[] endpoints = new FakeEndpoint[scripts.length];
         for (int i = 0; i < endpoints.length; i++) {
@@ -85,20 +89,23 @@
         return new SidecarFixture(endpoints).start();
     }
 
+    /** Returns an entry of an endpoint list. */
     static String line(int number, String address, String state, long startedMs) {
         return "{\"id\":\"s" + number + "\",\"addr\":\"" + address
                 + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":0,"
                 + "\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":" + startedMs + "}";
     }
 
-    static String list(int version, boolean full, String... lines) {
-        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", lines) + "]}";
+    /** Returns an endpoint list as JSON. */
+    static String list(int version, boolean full, String... entries) {
+        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", entries) + "]}";
     }
 
+    /** Returns the content of the configuration file. */
     String config() {
-        List<String> lines = new ArrayList<>(known == null ? List.of() : known);
+        List<String> entries = new ArrayList<>(known == null ? List.of() : known);
         for (int i = 0; known == null && i < endpoints.size(); i++) {
-            lines.add(line(i, endpoints.get(i).address(), "in_service", 0));
+            entries.add(line(i, endpoints.get(i).address(), "in_service", 0));
         }
         return """
             {"name":"n0","listen":"%s",%s"discovery":"%s","seed":"8c1f30d27a5be964",
@@ -114,14 +121,14 @@
             "rules":{"cold-share":0.5,"cold-ms":1000,"tip-multiple":3,"fall-ms":1000,"drain-grace-ms":500,
             "ask-within-ms":%d}}}""".formatted(
                         listen,
-                        (admin == null ? "" : "\"admin\":\"" + admin + "\",")
+                        (adminAddress == null ? "" : "\"admin\":\"" + adminAddress + "\",")
                                 + (peers.isEmpty()
                                         ? ""
                                         : "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"" + String.join("\",\"", peers)
                                                 + "\"],"),
                         discoveryAddress == null ? discovery.address() : discoveryAddress,
                         sockets,
-                        list(1, true, lines.toArray(String[]::new)),
+                        list(1, true, entries.toArray(String[]::new)),
                         membership,
                         latencyObjectiveMs,
                         latencyObjectiveMs,
@@ -138,7 +145,7 @@
         sidecar = Sidecar.start(
                 new StartOptions(
                         configFile,
-                        shared,
+                        sharedFolder,
                         !peers.isEmpty(),
                         membership.equals("pushed") ? maxAgentWaitMs : maxListWaitMs),
                 new PrintStream(log, true, StandardCharsets.UTF_8));
@@ -149,35 +156,36 @@
         return RawHttpClient.to(sidecar.address());
     }
 
-    /** A request of a class, GET for one that may be repeated and else POST with a body. */
-    String request(String kind, int deadlineMs) {
-        String head = "X-Request-Id: r" + requests++ + "\r\nX-Class: " + kind + "\r\nX-Deadline-Ms: " + deadlineMs
-                + "\r\nHost: app.svc\r\n";
-        return kind.equals("read")
-                ? "GET /api?q=1 HTTP/1.1\r\n" + head + "\r\n"
-                : "POST /api?q=1 HTTP/1.1\r\n" + head + "Idempotency-Key: k1\r\nContent-Length: 5\r\n\r\nhello";
+    /** Returns a request: GET for the idempotent class "read", otherwise POST with a body. */
+    String request(String requestClass, int deadlineMs) {
+        String headers = "X-Request-Id: r" + requestCounter++ + "\r\nX-Class: " + requestClass + "\r\nX-Deadline-Ms: "
+                + deadlineMs + "\r\nHost: app.svc\r\n";
+        return requestClass.equals("read")
+                ? "GET /api?q=1 HTTP/1.1\r\n" + headers + "\r\n"
+                : "POST /api?q=1 HTTP/1.1\r\n" + headers + "Idempotency-Key: k1\r\nContent-Length: 5\r\n\r\nhello";
     }
 
-    RawHttpClient.Message sendRequest(String kind, int deadlineMs) throws IOException {
-        try (RawHttpClient wire = client()) {
-            return wire.send(request(kind, deadlineMs)).read();
+    /** Sends a request on a new connection and returns the response. */
+    RawHttpClient.Message sendRequest(String requestClass, int deadlineMs) throws IOException {
+        try (RawHttpClient client = client()) {
+            return client.send(request(requestClass, deadlineMs)).read();
         }
     }
 
-    /** Lets a connection to an endpoint, on which an answer has come, stand for as long as it must. */
+    /** Waits until a connection to an endpoint may be reused after its last response. */
     static void awaitReuseDelay() throws InterruptedException {
         Thread.sleep(15);
     }
 
-    /** A call of an operator's; answers are {@code {"..."}} with a status. */
-    RawHttpClient.Message operate(String call, String body) throws IOException {
-        try (RawHttpClient wire = RawHttpClient.to(sidecar.adminAddress())) {
-            return wire.send(call + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+    /** Calls the admin API on a new connection and returns the response. */
+    RawHttpClient.Message callAdminApi(String call, String body) throws IOException {
+        try (RawHttpClient client = RawHttpClient.to(sidecar.adminAddress())) {
+            return client.send(call + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                     .read();
         }
     }
 
-    /** What its tables hold, told on its own thread: open requests and known endpoints. */
+    /** Returns the numbers of pending requests and of known endpoints, read on the event loop. */
     List<Integer> tableSizes() {
         try {
             return sidecar.loop().submit(sidecar::tableSizes).get();
@@ -186,7 +194,7 @@
         }
     }
 
-    /** What collected bodies hold, in bytes. */
+    /** Returns the memory held by request bodies, in bytes. */
     long bodyBytesHeld() {
         try {
             return sidecar.loop().submit(sidecar::bodyBytesHeld).get();
@@ -195,42 +203,43 @@
         }
     }
 
-    /** Waits until so many requests are pending. */
+    /** Waits until exactly {@code requestCount} requests are pending. */
     void awaitPending(int requestCount) throws InterruptedException {
         await(requestCount + " requests are pending", () -> tableSizes().get(0) == requestCount);
     }
 
-    /** As above, and within a time in which the requests would not time out. */
+    /** Waits as above, and checks that it took less than the time after which the requests would have timed out. */
     void awaitPending(int requestCount, double withinMs) throws InterruptedException {
         long startedNanos = System.nanoTime();
         awaitPending(requestCount);
-        assertTrue(elapsedMs(startedNanos) < withinMs, "and not when they have timed out");
+        assertTrue(elapsedMs(startedNanos) < withinMs, "the requests were pending only after " + withinMs + " ms");
     }
 
     static double elapsedMs(long sinceNanos) {
         return (System.nanoTime() - sinceNanos) / 1e6;
     }
 
-    /** What a test does while the sidecar hears nothing. */
+    /** An action of a test while the event loop is blocked. */
     interface Action {
         void run() throws Exception;
     }
 
-    /** Does all of this in one turn of the sidecar's loop, which is held up meanwhile. */
-    void whileEventLoopBlocked(Action... deeds) throws Exception {
-        // The system tells first of what it has told before, until it has found that quiet: by two turns.
+    /** Runs the actions while the event loop is blocked, so that it sees their effects in a single iteration. */
+    void whileEventLoopBlocked(Action... actions) throws Exception {
+        // The system first reports descriptors that it reported before, until a poll finds them idle. Two iterations of
+        // the event loop ensure that, so that events are reported in the order of the actions.
         tableSizes();
         tableSizes();
-        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         sidecar.loop().execute(() -> {
-            held.countDown();
+            blocked.countDown();
             await(release);
         });
-        await(held);
+        await(blocked);
         try {
-            for (Action deed : deeds) {
-                deed.run();
+            for (Action action : actions) {
+                action.run();
             }
         } finally {
             release.countDown();
@@ -245,6 +254,7 @@
         }
     }
 
+    /** Returns the number of attempts that all endpoints have received. */
     int attempts() {
         return endpoints.stream().mapToInt(endpoint -> endpoint.requests.size()).sum();
     }
@@ -253,10 +263,11 @@
         return log.toString(StandardCharsets.UTF_8);
     }
 
-    static void await(String what, BooleanSupplier condition) throws InterruptedException {
+    /** Waits until a condition holds; fails with {@code expectation} after {@link #AWAIT_TIMEOUT_MS}. */
+    static void await(String expectation, BooleanSupplier condition) throws InterruptedException {
         long until = System.nanoTime() + AWAIT_TIMEOUT_MS * 1_000_000;
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < until, what);
+            assertTrue(System.nanoTime() < until, expectation);
             Thread.sleep(2);
         }
     }
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The whole sidecar on loopback sockets. */
+/** Tests the whole sidecar on loopback sockets. */
 @Timeout(60)
 class SidecarTest {
 
@@ -39,31 +39,31 @@
         fixture.close();
     }
 
-    private static FakeEndpoint good() throws IOException {
+    private static FakeEndpoint servingEndpoint() throws IOException {
         return FakeEndpoint.answering(200, "Content-Type: text/x\r\n", "served");
     }
 
-    // ---- a request and its answer ----
+    // ---- requests and responses ----
 
     @Test
-    void aRequestAndItsAnswerGoThroughUnchanged() throws Exception {
-        start(good());
-        RawHttpClient.Message answer = fixture.sendRequest("order", DEADLINE_MS);
-        assertEquals(200, answer.status());
-        assertEquals("served", answer.body());
-        assertEquals("text/x", answer.headers().get("content-type"));
-        RawHttpClient.Message seen = fixture.endpoints.get(0).requests.get(0);
-        assertEquals("POST /api?q=1 HTTP/1.1", seen.line());
-        assertEquals("hello", seen.body());
-        assertEquals("r0", seen.headers().get("x-request-id"));
-        assertEquals("k1", seen.headers().get("idempotency-key"));
-        int deadline = Integer.parseInt(seen.headers().get("x-deadline-ms"));
-        assertTrue(deadline > 0 && deadline <= DEADLINE_MS, "what the sidecar waits: " + deadline);
+    void requestAndResponseAreForwardedUnchanged() throws Exception {
+        start(servingEndpoint());
+        RawHttpClient.Message response = fixture.sendRequest("order", DEADLINE_MS);
+        assertEquals(200, response.status());
+        assertEquals("served", response.body());
+        assertEquals("text/x", response.headers().get("content-type"));
+        RawHttpClient.Message forwarded = fixture.endpoints.get(0).requests.get(0);
+        assertEquals("POST /api?q=1 HTTP/1.1", forwarded.line());
+        assertEquals("hello", forwarded.body());
+        assertEquals("r0", forwarded.headers().get("x-request-id"));
+        assertEquals("k1", forwarded.headers().get("idempotency-key"));
+        int deadline = Integer.parseInt(forwarded.headers().get("x-deadline-ms"));
+        assertTrue(deadline > 0 && deadline <= DEADLINE_MS, "remaining time: " + deadline);
     }
 
     @Test
-    void connectionsAreKeptOnBothSides() throws Exception {
-        start(good());
+    void connectionsAreReusedOnBothSides() throws Exception {
+        start(servingEndpoint());
         try (RawHttpClient client = fixture.client()) {
             for (int i = 0; i < 5; i++) {
                 assertEquals(
@@ -75,17 +75,17 @@
         assertEquals(1, fixture.endpoints.get(0).connections.get());
     }
 
-    /** Guards against answers that overtake: a client that sends ahead takes them by their order. */
+    /** Guards against reordered responses: a client that pipelines requests matches responses by their order. */
     @Test
-    void answersKeepTheOrderOfTheRequests() throws Exception {
-        CountDownLatch second = new CountDownLatch(1);
-        start(new FakeEndpoint((wire, request) -> {
+    void responsesKeepTheOrderOfRequests() throws Exception {
+        CountDownLatch secondArrived = new CountDownLatch(1);
+        start(new FakeEndpoint((connection, request) -> {
             if (request.headers().get("x-request-id").equals("r0")) {
-                second.await();
+                secondArrived.await();
             } else {
-                second.countDown();
+                secondArrived.countDown();
             }
-            FakeEndpoint.answer(wire, 200, "", request.headers().get("x-request-id"));
+            FakeEndpoint.answer(connection, 200, "", request.headers().get("x-request-id"));
         }));
         try (RawHttpClient client = fixture.client()) {
             client.send(fixture.request("read", DEADLINE_MS) + fixture.request("read", DEADLINE_MS));
@@ -94,16 +94,16 @@
         }
     }
 
-    // ---- what may have run, and what never did ----
+    // ---- retries and failed attempts ----
 
-    /** Guards against attempts that share what they send: each has all of it, and its own time. */
+    /** Guards against attempts that share state: each carries the complete request and its own remaining time. */
     @Test
-    void eachAttemptCarriesTheSameRequestAndItsOwnTime() throws Exception {
-        FakeEndpoint.Script turnsAway = (wire, request) -> {
+    void eachAttemptCarriesTheSameRequestAndItsOwnTimeout() throws Exception {
+        FakeEndpoint.Script rejects = (connection, request) -> {
             Thread.sleep(20);
-            FakeEndpoint.answer(wire, 503, "X-Not-Run: 1\r\n", "full");
+            FakeEndpoint.answer(connection, 503, "X-Not-Run: 1\r\n", "full");
         };
-        start(new FakeEndpoint(turnsAway), new FakeEndpoint(turnsAway), new FakeEndpoint(turnsAway));
+        start(new FakeEndpoint(rejects), new FakeEndpoint(rejects), new FakeEndpoint(rejects));
         try (RawHttpClient client = fixture.client()) {
             String request = fixture.request("order", DEADLINE_MS)
                     .replace(
@@ -112,131 +112,133 @@
             assertEquals(503, client.send(request).read().status());
         }
         assertEquals(3, fixture.attempts());
-        List<Map<String, String>> heads = new ArrayList<>();
-        List<Integer> times = new ArrayList<>();
+        List<Map<String, String>> headersByAttempt = new ArrayList<>();
+        List<Integer> timeoutsMs = new ArrayList<>();
         for (FakeEndpoint endpoint : fixture.endpoints) {
             RawHttpClient.Message attempt = endpoint.requests.get(0);
             assertEquals("hello", attempt.body());
-            Map<String, String> head = new HashMap<>(attempt.headers());
-            times.add(Integer.parseInt(head.remove("x-deadline-ms")));
-            heads.add(head);
+            Map<String, String> headers = new HashMap<>(attempt.headers());
+            timeoutsMs.add(Integer.parseInt(headers.remove("x-deadline-ms")));
+            headersByAttempt.add(headers);
         }
-        assertEquals(heads.get(0), heads.get(1));
-        assertEquals(heads.get(0), heads.get(2));
-        assertEquals("a=1", heads.get(0).get("cookie"));
-        assertFalse(heads.get(0).containsKey("te"), "that concerned the client's connection");
-        Collections.sort(times);
-        assertTrue(times.get(0) <= times.get(1) - 15 && times.get(1) <= times.get(2) - 15, times.toString());
+        assertEquals(headersByAttempt.get(0), headersByAttempt.get(1));
+        assertEquals(headersByAttempt.get(0), headersByAttempt.get(2));
+        assertEquals("a=1", headersByAttempt.get(0).get("cookie"));
+        assertFalse(headersByAttempt.get(0).containsKey("te"), "TE applies to the client's connection only");
+        Collections.sort(timeoutsMs);
+        assertTrue(
+                timeoutsMs.get(0) <= timeoutsMs.get(1) - 15 && timeoutsMs.get(1) <= timeoutsMs.get(2) - 15,
+                timeoutsMs.toString());
     }
 
-    /** Guards against effects that happen twice: an unsafe request that may have run is not sent again. */
+    /** Guards against effects that happen twice: an unsafe request that may have run is not retried. */
     @ParameterizedTest
     @ValueSource(strings = {"reset", "half", "unframed", "garbage", "503", "504", "500", "201"})
-    void anUnsafeRequestThatMayHaveRunFailsAtOnce(String how) throws Exception {
-        FakeEndpoint.Script script = (wire, request) -> {
-            switch (how) {
-                case "reset" -> wire.reset();
+    void unsafeRequestThatMayHaveRunFailsAtOnce(String failureKind) throws Exception {
+        FakeEndpoint.Script script = (connection, request) -> {
+            switch (failureKind) {
+                case "reset" -> connection.reset();
                 case "half" -> {
-                    wire.send("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
-                    wire.close();
+                    connection.send("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
+                    connection.close();
                 }
                 case "unframed" -> {
-                    wire.send("HTTP/1.1 200 OK\r\n\r\nwho knows whether this is all");
-                    wire.close();
+                    connection.send("HTTP/1.1 200 OK\r\n\r\nwho knows whether this is all");
+                    connection.close();
                 }
-                case "garbage" -> wire.send("what?\r\n\r\n");
-                default -> FakeEndpoint.answer(wire, Integer.parseInt(how), "", "mine");
+                case "garbage" -> connection.send("what?\r\n\r\n");
+                default -> FakeEndpoint.answer(connection, Integer.parseInt(failureKind), "", "mine");
             }
         };
         start(new FakeEndpoint(script), new FakeEndpoint(script));
-        RawHttpClient.Message answer = fixture.sendRequest("order", DEADLINE_MS);
-        assertEquals(502, answer.status());
-        assertFalse(answer.body().contains("mine"), "an endpoint's refusal or error is not passed on");
+        RawHttpClient.Message response = fixture.sendRequest("order", DEADLINE_MS);
+        assertEquals(502, response.status());
+        assertFalse(response.body().contains("mine"), "the response of a failed attempt is not forwarded");
         assertEquals(1, fixture.attempts());
     }
 
-    /** Guards against giving up too early: what surely never ran may be tried elsewhere, unsafe or not. */
+    /** Guards against giving up too early: an attempt that never ran may be retried elsewhere, even if it is unsafe. */
     @ParameterizedTest
     @CsvSource({"order,503", "order,504", "order,refused", "read,500", "read,reset"})
-    void whatIsKnownToBeHarmlessIsTriedElsewhere(String kind, String how) throws Exception {
-        FakeEndpoint bad = new FakeEndpoint((wire, request) -> {
-            if (how.equals("reset")) {
-                wire.reset();
+    void attemptThatIsSafeToRetryIsRetriedElsewhere(String requestClass, String failureKind) throws Exception {
+        FakeEndpoint failing = new FakeEndpoint((connection, request) -> {
+            if (failureKind.equals("reset")) {
+                connection.reset();
             } else {
-                FakeEndpoint.answer(wire, Integer.parseInt(how), "X-Not-Run: 1\r\n", "");
+                FakeEndpoint.answer(connection, Integer.parseInt(failureKind), "X-Not-Run: 1\r\n", "");
             }
         });
-        FakeEndpoint other = new FakeEndpoint(bad.script);
-        start(bad, other);
-        FakeEndpoint.Script good = (wire, request) -> FakeEndpoint.answer(wire, 200, "", "served");
-        // Whichever is asked first fails, and the other one serves.
-        if (how.equals("refused")) {
-            bad.close();
-            other.script = good;
+        FakeEndpoint other = new FakeEndpoint(failing.script);
+        start(failing, other);
+        FakeEndpoint.Script serves = (connection, request) -> FakeEndpoint.answer(connection, 200, "", "served");
+        // Whichever endpoint is tried first fails, and the other one serves.
+        if (failureKind.equals("refused")) {
+            failing.close();
+            other.script = serves;
         } else {
-            FakeEndpoint.Script first = bad.script;
-            FakeEndpoint.Script once = (wire, request) -> {
-                bad.script = good;
-                other.script = good;
-                first.on(wire, request);
+            FakeEndpoint.Script firstScript = failing.script;
+            FakeEndpoint.Script once = (connection, request) -> {
+                failing.script = serves;
+                other.script = serves;
+                firstScript.on(connection, request);
             };
-            bad.script = once;
+            failing.script = once;
             other.script = once;
         }
         for (int i = 0; i < 3; i++) {
-            assertEquals(200, fixture.sendRequest(kind, DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest(requestClass, DEADLINE_MS).status());
         }
     }
 
-    /** Guards against a hang that holds everything: the attempt is given up and its connection closed. */
+    /** Guards against attempts that occupy a connection forever: on a timeout the connection is closed. */
     @Test
-    void anAttemptThatIsGivenUpClosesItsConnection() throws Exception {
-        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitEnd());
-        start(hung);
-        RawHttpClient.Message answer = fixture.sendRequest("order", 300);
-        assertEquals(502, answer.status(), "it may have run");
-        SidecarFixture.await("the connection is closed", () -> hung.open.get() == 0);
+    void timedOutAttemptClosesItsConnection() throws Exception {
+        FakeEndpoint unresponsive = new FakeEndpoint((connection, request) -> connection.awaitEnd());
+        start(unresponsive);
+        RawHttpClient.Message response = fixture.sendRequest("order", 300);
+        assertEquals(502, response.status(), "the request may have run");
+        SidecarFixture.await("the connection is closed", () -> unresponsive.open.get() == 0);
         assertEquals(1, fixture.attempts());
     }
 
     @Test
-    void aClientThatGoesAwayTakesItsAttemptsAlong() throws Exception {
-        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitEnd());
-        start(hung);
+    void clientDisconnectCancelsItsAttempts() throws Exception {
+        FakeEndpoint unresponsive = new FakeEndpoint((connection, request) -> connection.awaitEnd());
+        start(unresponsive);
         try (RawHttpClient client = fixture.client()) {
             client.send(fixture.request("order", DEADLINE_MS));
-            SidecarFixture.await("the attempt is out", () -> hung.requests.size() == 1);
+            SidecarFixture.await("the attempt is at the endpoint", () -> unresponsive.requests.size() == 1);
         }
-        SidecarFixture.await("the attempt is called off", () -> hung.open.get() == 0);
+        SidecarFixture.await("the attempt is cancelled", () -> unresponsive.open.get() == 0);
     }
 
-    /** Guards against clients that come straight back: a refusal is given at once and says when. */
+    /** Guards against clients that retry immediately: a rejection is sent at once, with the time to wait. */
     @Test
-    void aRefusalComesAtOnceAndTellsWhenToComeBack() throws Exception {
+    void rejectionIsImmediateAndCarriesRetryAfter() throws Exception {
         start();
-        long began = System.nanoTime();
-        RawHttpClient.Message answer = fixture.sendRequest("order", DEADLINE_MS);
-        assertEquals(503, answer.status());
-        assertEquals(0.5, Double.parseDouble(answer.headers().get("retry-after")));
-        assertTrue((System.nanoTime() - began) / 1e6 < DEADLINE_MS / 2.0, "long before the deadline");
+        long startedNanos = System.nanoTime();
+        RawHttpClient.Message response = fixture.sendRequest("order", DEADLINE_MS);
+        assertEquals(503, response.status());
+        assertEquals(0.5, Double.parseDouble(response.headers().get("retry-after")));
+        assertTrue((System.nanoTime() - startedNanos) / 1e6 < DEADLINE_MS / 2.0, "long before the deadline");
     }
 
     /**
-     * Guards against events inside the module's own call: with all connections busy an attempt ends within
-     * send. Also against more sockets than there are.
+     * Guards against errors caused by reentrant events: with all connections busy, an attempt ends before send()
+     * returns. Also guards against opening more sockets than configured.
      */
     @Test
-    void attemptsBeyondTheLastConnectionEndInOrder() throws Exception {
-        FakeEndpoint[] hung = new FakeEndpoint[4];
-        for (int i = 0; i < hung.length; i++) {
-            hung[i] = new FakeEndpoint((wire, request) -> wire.awaitEnd());
+    void attemptsBeyondTheConnectionLimitAreRejected() throws Exception {
+        FakeEndpoint[] unresponsive = new FakeEndpoint[4];
+        for (int i = 0; i < unresponsive.length; i++) {
+            unresponsive[i] = new FakeEndpoint((connection, request) -> connection.awaitEnd());
         }
-        fixture = new SidecarFixture(hung);
+        fixture = new SidecarFixture(unresponsive);
         fixture.sockets = 1;
         fixture.start();
-        try (RawHttpClient ahead = fixture.client()) {
+        try (RawHttpClient pipelining = fixture.client()) {
             for (int i = 0; i < 8; i++) {
-                ahead.send(fixture.request("order", DEADLINE_MS));
+                pipelining.send(fixture.request("order", DEADLINE_MS));
             }
             SidecarFixture.await("all connections are busy", () -> fixture.attempts() == 8);
             assertEquals(503, fixture.sendRequest("order", DEADLINE_MS).status());
@@ -246,18 +248,18 @@
         }
     }
 
-    /** Guards against running out of descriptors: beyond the bound clients are refused in good order. */
+    /** Guards against running out of descriptors: connections beyond the limit are rejected in an orderly way. */
     @Test
-    void clientsBeyondTheBoundAreRefused() throws Exception {
-        fixture = new SidecarFixture(new FakeEndpoint((wire, request) -> wire.awaitEnd()));
+    void clientsBeyondTheConnectionLimitAreRejected() throws Exception {
+        fixture = new SidecarFixture(new FakeEndpoint((connection, request) -> connection.awaitEnd()));
         fixture.sockets = 1;
         fixture.start();
         List<RawHttpClient> clients = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             clients.add(fixture.client().send(fixture.request("order", DEADLINE_MS)));
         }
-        SidecarFixture.await("some are in hand", () -> fixture.attempts() == 4);
-        // Idle ones make room for those that come after; busy ones stay.
+        SidecarFixture.await("four requests are at the endpoint", () -> fixture.attempts() == 4);
+        // Idle connections are closed to make room for new ones; busy ones stay open.
         for (int i = 0; i < 12; i++) {
             clients.add(fixture.client());
         }
@@ -270,12 +272,13 @@
             client.close();
         }
         SidecarFixture.await(
-                "the endpoint is let go", () -> fixture.endpoints.get(0).open.get() == 0);
-        fixture.endpoints.get(0).script = (wire, request) -> FakeEndpoint.answer(wire, 200, "", "served");
+                "the connections to the endpoint are closed",
+                () -> fixture.endpoints.get(0).open.get() == 0);
+        fixture.endpoints.get(0).script = (connection, request) -> FakeEndpoint.answer(connection, 200, "", "served");
         assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
     }
 
-    // ---- what is no request ----
+    // ---- invalid requests ----
 
     @ParameterizedTest
     @CsvSource(
@@ -291,50 +294,51 @@
                 "HTTP/1.1|HTTP|400",
                 "Host: app.svc|Content-Length: 33554433|413"
             })
-    void whatIsNoRequestGetsAPlainAnswer(String part, String instead, int status) throws Exception {
+    void invalidRequestGetsAnErrorResponse(String part, String replacement, int status) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        start(new FakeEndpoint((wire, request) -> {
+        start(new FakeEndpoint((connection, request) -> {
             release.await();
-            FakeEndpoint.answer(wire, 200, "", "served");
+            FakeEndpoint.answer(connection, 200, "", "served");
         }));
-        try (RawHttpClient other = fixture.client();
+        try (RawHttpClient otherClient = fixture.client();
                 RawHttpClient client = fixture.client()) {
             String request = fixture.request("read", DEADLINE_MS);
-            other.send(fixture.request("read", DEADLINE_MS));
-            SidecarFixture.await("another request is in hand", () -> fixture.attempts() == 1);
+            otherClient.send(fixture.request("read", DEADLINE_MS));
+            SidecarFixture.await("another request is at the endpoint", () -> fixture.attempts() == 1);
             assertTrue(request.contains(part), part);
             assertEquals(
-                    status, client.send(request.replace(part, instead)).read().status());
+                    status,
+                    client.send(request.replace(part, replacement)).read().status());
             release.countDown();
-            assertEquals(200, other.read().status());
+            assertEquals(200, otherClient.read().status());
         }
         assertEquals(1, fixture.attempts());
     }
 
     @Test
-    void anIdThatIsInHandIsNotTakenTwice() throws Exception {
+    void requestIdInFlightIsRejectedAsDuplicate() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        start(new FakeEndpoint((wire, request) -> {
+        start(new FakeEndpoint((connection, request) -> {
             release.await();
-            FakeEndpoint.answer(wire, 200, "", "served");
+            FakeEndpoint.answer(connection, 200, "", "served");
         }));
-        try (RawHttpClient one = fixture.client();
-                RawHttpClient two = fixture.client()) {
+        try (RawHttpClient firstClient = fixture.client();
+                RawHttpClient secondClient = fixture.client()) {
             String request = fixture.request("read", DEADLINE_MS);
-            one.send(request);
-            SidecarFixture.await("it is in hand", () -> fixture.attempts() == 1);
-            assertEquals(409, two.send(request).read().status());
+            firstClient.send(request);
+            SidecarFixture.await("the request is at the endpoint", () -> fixture.attempts() == 1);
+            assertEquals(409, secondClient.send(request).read().status());
             release.countDown();
-            assertEquals(200, one.read().status());
+            assertEquals(200, firstClient.read().status());
         }
     }
 
     // ---- connections to endpoints ----
 
-    /** Guards against writing on a connection that the endpoint is closing, which would be a reset. */
+    /** Guards against writing to a connection that the endpoint is closing, which would cause a reset. */
     @Test
-    void idleConnectionsAreClosedBeforeTheEndpointDoes() throws Exception {
-        fixture = new SidecarFixture(good());
+    void idleConnectionsAreClosedBeforeTheEndpointClosesThem() throws Exception {
+        fixture = new SidecarFixture(servingEndpoint());
         fixture.idleCloseMs = 400;
         fixture.start();
         assertEquals(200, fixture.sendRequest("read", DEADLINE_MS).status());
@@ -345,34 +349,34 @@
 
     // ---- discovery ----
 
-    /** A discovery that answers calls with what the test puts in, one after another. */
-    private LinkedBlockingQueue<String> discovering() {
-        LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
-        fixture.discovery.script = (wire, request) -> {
-            String answer = answers.take();
-            if (answer.equals("reset")) {
-                wire.reset();
+    /** Makes discovery respond to polls with the entries of the returned queue, one after another. */
+    private LinkedBlockingQueue<String> scriptDiscovery() {
+        LinkedBlockingQueue<String> responses = new LinkedBlockingQueue<>();
+        fixture.discovery.script = (connection, request) -> {
+            String response = responses.take();
+            if (response.equals("reset")) {
+                connection.reset();
             } else {
-                FakeEndpoint.answer(wire, answer.isEmpty() ? 503 : 200, "", answer);
+                FakeEndpoint.answer(connection, response.isEmpty() ? 503 : 200, "", response);
             }
         };
-        return answers;
+        return responses;
     }
 
     @Test
-    void theWatchGoesOnFromTheVersionOfItsLastAnswer() throws Exception {
-        FakeEndpoint before = good();
-        FakeEndpoint after = good();
+    void watchContinuesFromTheVersionOfTheLastResponse() throws Exception {
+        FakeEndpoint before = servingEndpoint();
+        FakeEndpoint after = servingEndpoint();
         fixture = new SidecarFixture(before);
         fixture.pollIntervalMs = 20;
-        LinkedBlockingQueue<String> answers = discovering();
+        LinkedBlockingQueue<String> responses = scriptDiscovery();
         fixture.start();
-        answers.add(SidecarFixture.list(
+        responses.add(SidecarFixture.list(
                 7,
                 false,
                 SidecarFixture.line(0, before.address(), "terminating", 0),
                 SidecarFixture.line(1, after.address(), "in_service", 0)));
-        SidecarFixture.await("the next call is made", () -> fixture.discovery.requests.size() == 2);
+        SidecarFixture.await("the next poll is sent", () -> fixture.discovery.requests.size() == 2);
         assertEquals(
                 List.of(
                         "GET /registry/instances?index=1&wait=1 HTTP/1.1",
@@ -381,138 +385,145 @@
                         .map(RawHttpClient.Message::line)
                         .toList());
         assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
-        assertEquals(0, before.requests.size(), "it drains");
+        assertEquals(0, before.requests.size(), "the endpoint drains");
         assertEquals(1, after.requests.size());
         after.close();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "reset", "{\"version\":", "{\"version\":1}"})
-    void aCallThatFailedIsMadeAgain(String failure) throws Exception {
-        fixture = new SidecarFixture(good());
+    void failedPollIsRetried(String failure) throws Exception {
+        fixture = new SidecarFixture(servingEndpoint());
         fixture.pollIntervalMs = 20;
-        LinkedBlockingQueue<String> answers = discovering();
+        LinkedBlockingQueue<String> responses = scriptDiscovery();
         fixture.start();
-        answers.add(failure);
-        answers.add(failure);
-        SidecarFixture.await("it asks again", () -> fixture.discovery.requests.size() >= 3);
+        responses.add(failure);
+        responses.add(failure);
+        SidecarFixture.await("the poll is repeated", () -> fixture.discovery.requests.size() >= 3);
         assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertTrue(fixture.logged().contains("discovery failed"), fixture.logged());
     }
 
-    /** Guards against connections to a process that is no more, on which a request would be reset. */
+    /** Guards against reusing connections to a terminated process, on which a request would be reset. */
     @ParameterizedTest
     @CsvSource({"true,0", "false,1000"})
-    void anEndpointThatMovesOrRestartsGetsNewConnections(boolean moves, long started) throws Exception {
-        FakeEndpoint old = good();
+    void endpointThatMovesOrRestartsGetsNewConnections(boolean moves, long startedMs) throws Exception {
+        FakeEndpoint old = servingEndpoint();
         fixture = new SidecarFixture(old);
         fixture.pollIntervalMs = 20;
-        LinkedBlockingQueue<String> answers = discovering();
+        LinkedBlockingQueue<String> responses = scriptDiscovery();
         fixture.start();
         assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
-        FakeEndpoint now = moves ? good() : old;
-        answers.add(SidecarFixture.list(2, false, SidecarFixture.line(0, now.address(), "in_service", started)));
+        FakeEndpoint current = moves ? servingEndpoint() : old;
+        responses.add(
+                SidecarFixture.list(2, false, SidecarFixture.line(0, current.address(), "in_service", startedMs)));
         SidecarFixture.await("the old connection is closed", () -> old.open.get() == 0);
         assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(moves ? 1 : 2, old.connections.get());
-        now.close();
+        current.close();
     }
 
-    // ---- start and end ----
+    // ---- start-up and shutdown ----
 
     @Test
-    void itIsReadyOnlyWithAnEndpointToServeFrom() throws Exception {
+    void sidecarIsReadyOnlyWithAnEndpoint() throws Exception {
         start();
-        String ask = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
+        String readinessRequest = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
         try (RawHttpClient client = fixture.client()) {
-            assertEquals(503, client.send(ask).read().status());
+            assertEquals(503, client.send(readinessRequest).read().status());
         }
         stop();
-        start(good());
-        SidecarFixture.await("it is ready once it is warm", () -> {
+        start(servingEndpoint());
+        SidecarFixture.await("the sidecar is ready after its warm-up", () -> {
             try (RawHttpClient client = fixture.client()) {
-                return client.send(ask).read().status() == 200;
+                return client.send(readinessRequest).read().status() == 200;
             } catch (IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
         });
     }
 
-    /** Guards against requests lost at a planned restart: those in hand and those still coming are served. */
+    /** Guards against requests lost in a planned restart: those in flight and those that still arrive are served. */
     @Test
-    void aDrainAnswersWhatIsInHandAndWhatStillComes() throws Exception {
+    void drainAnswersRequestsInFlightAndNewOnes() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        start(new FakeEndpoint((wire, request) -> {
+        start(new FakeEndpoint((connection, request) -> {
             if (request.headers().get("x-request-id").equals("r0")) {
                 release.await();
             }
-            FakeEndpoint.answer(wire, 200, "", "served");
+            FakeEndpoint.answer(connection, 200, "", "served");
         }));
-        RawHttpClient inHand = fixture.client().send(fixture.request("order", DEADLINE_MS));
+        RawHttpClient inFlight = fixture.client().send(fixture.request("order", DEADLINE_MS));
         RawHttpClient idle = fixture.client();
-        RawHttpClient kept = fixture.client();
+        RawHttpClient keptAlive = fixture.client();
         assertEquals(
                 200, idle.send(fixture.request("order", DEADLINE_MS)).read().status());
         assertEquals(
-                200, kept.send(fixture.request("order", DEADLINE_MS)).read().status());
+                200,
+                keptAlive.send(fixture.request("order", DEADLINE_MS)).read().status());
         Thread drain = new Thread(fixture.sidecar::drain);
         drain.start();
-        int served = 0;
+        int servedCount = 0;
         try {
             while (true) {
                 assertEquals(
                         200,
-                        kept.send(fixture.request("order", DEADLINE_MS)).read().status());
-                served++;
+                        keptAlive
+                                .send(fixture.request("order", DEADLINE_MS))
+                                .read()
+                                .status());
+                servedCount++;
             }
         } catch (IOException e) {
-            assertTrue(served > 1, "a connection that stands goes on for a while");
+            assertTrue(servedCount > 1, "an open connection is served for a while");
         }
         idle.awaitEnd();
-        assertTrue(drain.isAlive(), "it waits for what is in hand");
+        assertTrue(drain.isAlive(), "the drain waits for the request in flight");
         release.countDown();
-        RawHttpClient.Message answer = inHand.read();
-        assertEquals(200, answer.status());
-        assertEquals("close", answer.headers().get("connection"));
+        RawHttpClient.Message response = inFlight.read();
+        assertEquals(200, response.status());
+        assertEquals("close", response.headers().get("connection"));
         drain.join();
         assertThrows(IOException.class, () -> fixture.client());
     }
 
     /**
-     * Guards against requests lost at a planned restart: a client that would wait for longer than the process
-     * lives has its answer before its end.
+     * Guards against requests lost in a planned restart: a client with a deadline after the end of the process gets
+     * its response before the process ends.
      */
     @Test
-    void aDrainAnswersInTimeWhatNoEndpointAnswers() throws Exception {
-        start(new FakeEndpoint((wire, request) -> wire.awaitEnd()));
+    void drainAnswersRequestsThatNoEndpointAnswers() throws Exception {
+        start(new FakeEndpoint((connection, request) -> connection.awaitEnd()));
         RawHttpClient unsafe = fixture.client().send(fixture.request("order", DEADLINE_MS));
         RawHttpClient safe = fixture.client().send(fixture.request("read", DEADLINE_MS));
-        SidecarFixture.await("both are at the endpoint", () -> fixture.attempts() == 2);
+        SidecarFixture.await("both requests are at the endpoint", () -> fixture.attempts() == 2);
         Thread drain = new Thread(fixture.sidecar::drain);
         drain.start();
-        assertEquals(502, unsafe.read().status(), "it may have run");
-        assertEquals(503, safe.read().status(), "it may be tried elsewhere");
+        assertEquals(502, unsafe.read().status(), "the request may have run");
+        assertEquals(503, safe.read().status(), "the client may retry the request elsewhere");
         unsafe.close();
         safe.close();
         drain.join();
         assertTrue(fixture.logged().contains("martenlatch: drained"), fixture.logged());
     }
 
-    /** Guards against a warm-up that leaks: endpoints see nothing of it, discovery the sidecar's own watch alone. */
+    /** Guards against a warm-up that reaches endpoints or discovery, which sees only the sidecar's own watch. */
     @Test
-    void theWarmUpStaysWithinTheSidecar() throws Exception {
-        start(good());
-        SidecarFixture.await("it is warm", () -> fixture.logged().contains("warm-up finished after"));
-        SidecarFixture.await("the watch is on", () -> !fixture.discovery.requests.isEmpty());
+    void warmUpDoesNotReachEndpointsOrDiscovery() throws Exception {
+        start(servingEndpoint());
+        SidecarFixture.await("the warm-up has finished", () -> fixture.logged().contains("warm-up finished after"));
+        SidecarFixture.await("the watch is open", () -> !fixture.discovery.requests.isEmpty());
         assertEquals(0, fixture.endpoints.get(0).connections.get());
         assertEquals(1, fixture.discovery.requests.size());
-        assertTrue(fixture.discovery.requests.get(0).line().contains("?index=1&"), "the version of its own list");
+        assertTrue(
+                fixture.discovery.requests.get(0).line().contains("?index=1&"),
+                "the poll carries the version of the sidecar's own list");
     }
 
-    /** Guards against one bad peer that harms the rest. */
+    /** Guards against malformed requests and resets that affect other clients. */
     @Test
-    void rudePeersHarmNobody() throws Exception {
-        start(good());
+    void malformedRequestsDoNotAffectOtherClients() throws Exception {
+        start(servingEndpoint());
         for (int i = 0; i < 20; i++) {
             fixture.client().send("GET /api HT").reset();
             fixture.client().send("\0\0\0\r\n\r\n").reset();
