--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
@@ -212,7 +212,7 @@
     void awaitPending(int requestCount, double withinMs) throws InterruptedException {
         long startedNanos = System.nanoTime();
         awaitPending(requestCount);
-        assertTrue(elapsedMs(startedNanos) < withinMs, "the requests were pending only after " + withinMs + " ms");
+        assertTrue(elapsedMs(startedNanos) < withinMs, "the requests became pending too late");
     }
 
     static double elapsedMs(long sinceNanos) {
