--- a/sidecar/src/main/java/martenlatch/sidecar/DescriptorBudget.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/DescriptorBudget.java
@@ -27,7 +27,7 @@
     static DescriptorBudget of(int descriptors, boolean hasAdminApi) {
         int reserved = RESERVED_DESCRIPTORS + (hasAdminApi ? RESERVED_ADMIN_DESCRIPTORS : 0);
         int perSide = Math.max(MIN_CONNECTIONS, (descriptors - openFiles() - reserved) / 2);
-        return new DescriptorBudget(Math.max(MIN_CONNECTIONS, perSide - Frontend.OVERFLOW), perSide);
+        return new DescriptorBudget(Math.max(MIN_CONNECTIONS, perSide - Frontend.OVERFLOW_CONNECTIONS), perSide);
     }
 
     private static int openFiles() {
--- a/sidecar/src/main/java/martenlatch/sidecar/GossipTransport.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/GossipTransport.java
@@ -58,12 +58,12 @@
         membership = new GossipMembership(
                 GossipSettings.withDefaults(
                         settings.ownIndex(),
-                        peerAddresses.each().size(),
+                        peerAddresses.addresses().size(),
                         settings.tier(),
                         Math.min(MAX_ZONE, settings.ownZone())),
                 seed,
                 this);
-        applyAddresses(peerAddresses.each());
+        applyAddresses(peerAddresses.addresses());
     }
 
     /** Replaces the addresses of the peers; the number of peers cannot change while the sidecar runs. */
--- a/sidecar/src/main/java/martenlatch/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/Sidecar.java
@@ -49,8 +49,8 @@
         // descriptor is left under load, and that error would terminate the event loop. So the rules are read now.
         TimeZone.getDefault();
         log.println("martenlatch: " + System.currentTimeMillis() + " starting with version "
-                + config.known().version() + " of the endpoint list, "
-                + config.known().entries().size() + " endpoints, discovery at " + config.discovery());
+                + config.cachedEndpointList().version() + " of the endpoint list, "
+                + config.cachedEndpointList().entries().size() + " endpoints, discovery at " + config.discovery());
         Sidecar sidecar = new Sidecar(options, log);
         try {
             sidecar.startParts(config);
--- a/sidecar/src/main/java/martenlatch/sidecar/Warmup.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/Warmup.java
@@ -119,7 +119,7 @@
                         new Endpoint("warm-up", config.settings().ownZone(), 0, 0, 0, EndpointStatus.READY, 1),
                         endpointAddress)));
         pool = new EndpointPool(
-                loop, scheduler, discardingLogger, MAX_DURATION_MS, config.idleCloseMs(), config.sockets());
+                loop, scheduler, discardingLogger, MAX_DURATION_MS, config.idleCloseMs(), config.maxDescriptors());
         RequestTracker requestTracker = new RequestTracker(
                 scheduler,
                 discardingLogger,
@@ -130,7 +130,7 @@
                 list,
                 RequestObserver.NONE);
         frontend = new Frontend(
-                loop, scheduler, discardingLogger, requestTracker, pool, config.settings(), config.sockets());
+                loop, scheduler, discardingLogger, requestTracker, pool, config.settings(), config.maxDescriptors());
         ChannelFuture binding = frontend.listen(ephemeralAddress());
         binding.addListener(future -> {
             if (future.isSuccess() && !finished) {
@@ -180,7 +180,7 @@
         request.headers()
                 .set("X-Request-Id", "warm-up-" + responseCount)
                 .set("X-Class", requestClass.name())
-                .set(RequestParser.DEADLINE, MAX_DURATION_MS)
+                .set(RequestParser.DEADLINE_HEADER, MAX_DURATION_MS)
                 .set("Host", "warm-up")
                 .set("Cookie", "key=0")
                 .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
--- a/sidecar/src/main/java/martenlatch/site/SiteConfig.java
+++ b/sidecar/src/main/java/martenlatch/site/SiteConfig.java
@@ -32,10 +32,10 @@
  * @param admin the address for operators, or null
  * @param discovery the address of discovery
  * @param seed makes random choices repeatable
- * @param sockets the number of descriptors that the process may hold
+ * @param maxDescriptors the number of descriptors that the process may hold
  * @param idleCloseMs after how long at most an endpoint closes an idle connection, in milliseconds
  * @param names the zones and machine kinds that lists refer to
- * @param known the endpoint list known so far
+ * @param cachedEndpointList the endpoint list known so far
  * @param settings the load balancer's settings
  * @param fields the {@link FieldPaths} of the file
  * @param peerListen the gossip address as in the file, checked only where gossip is on
@@ -47,10 +47,10 @@
         InetSocketAddress admin,
         InetSocketAddress discovery,
         long seed,
-        int sockets,
+        int maxDescriptors,
         double idleCloseMs,
         EndpointListDecoder.Names names,
-        EndpointList known,
+        EndpointList cachedEndpointList,
         BalancerSettings settings,
         Set<String> fields,
         Object peerListen,
@@ -90,7 +90,7 @@
      *
      * @throws ConfigurationException if the file cannot be used as a whole
      */
-    public SiteConfig readAgain(Path file) throws IOException {
+    public SiteConfig reload(Path file) throws IOException {
         SiteConfig next = read(file);
         FieldPaths.requireNoneMissing(fields, next.fields);
         if (!next.names.equals(names)) {
--- a/sidecar/src/test/java/martenlatch/sidecar/AdminOperationsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/AdminOperationsTest.java
@@ -98,7 +98,7 @@
         SidecarFixture fixture = fixture(servingEndpoint()).start();
         List<RawHttpClient> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            silent.add(RawHttpClient.to(fixture.sidecar.adminAddress())
+            silent.add(RawHttpClient.connect(fixture.sidecar.adminAddress())
                     .send(i % 2 == 0 ? "" : "POST /drain HTTP/1.1\r\nHo"));
         }
         assertEquals(200, fixture.callAdminApi("GET /ready", "").status());
@@ -109,7 +109,7 @@
         RawHttpClient.Message lateResponse = silent.get(59).read();
         assertEquals(408, lateResponse.status());
         for (RawHttpClient connection : silent) {
-            connection.awaitEnd();
+            connection.awaitClose();
         }
         assertEquals(200, fixture.callAdminApi("GET /ready", "").status(), "a partial call has no effect");
     }
@@ -313,7 +313,7 @@
         assertEquals(200, lastResponse.status(), "a connected client is served");
         assertEquals("close", lastResponse.headers().get("connection"));
         assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status(), "a client that connects late is served");
-        idle.awaitEnd();
+        idle.awaitClose();
         assertTrue(
                 (System.nanoTime() - drainStartNanos) / 1e6 < 4000,
                 "the idle connection is closed earlier than after 5 s");
@@ -391,7 +391,7 @@
         releaseLoop.countDown();
         for (RawHttpClient connection : queued) {
             RawHttpClient.Message response = connection.read();
-            assertTrue(response.status() == 200 || response.status() == 503, response.line());
+            assertTrue(response.status() == 200 || response.status() == 503, response.startLine());
             assertEquals("close", response.headers().get("connection"));
         }
         SidecarFixture.await(
--- a/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ClientDisconnectRaceTest.java
@@ -96,7 +96,7 @@
         FakeEndpoint.Script script = (wire, request) -> {
             if (request.headers().get("x-request-id").equals("r2")) {
                 held.add(wire);
-                wire.awaitEnd();
+                wire.awaitClose();
                 return;
             }
             both.countDown();
@@ -133,7 +133,7 @@
     @ValueSource(strings = {"order, cancel", "order", "read, cancel", "read"})
     void nothingIsSentForAClientThatLeftBeforeTheConnectionWasUp(String how) throws Exception {
         String kind = how.split(",", 2)[0];
-        try (LateEndpoint late = new LateEndpoint()) {
+        try (DelayedAcceptEndpoint late = new DelayedAcceptEndpoint()) {
             fixture = SidecarFixture.withEndpointAt(late.address());
             fixture.cancel = how.endsWith("cancel");
             fixture.connectTimeoutMs = 30_000;
@@ -146,7 +146,7 @@
             leaves.close();
             fixture.awaitPending(1);
             assertTrue(SidecarFixture.elapsedMs(began) < NOTICED_MS, "withdrawn, and not timed out");
-            late.open();
+            late.startAccepting();
             assertEquals("late", stays.read().body());
             stays.close();
             assertEquals(
@@ -166,7 +166,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"fin", "reset", "fin behind more than is held", "fin behind a flood"})
     void theEndOfAClientFarAheadOfItsAnswersIsSeen(String how) throws Exception {
-        fixture = new SidecarFixture(new FakeEndpoint((wire, request) -> wire.awaitEnd())).start();
+        fixture = new SidecarFixture(new FakeEndpoint((wire, request) -> wire.awaitClose())).start();
         RawHttpClient client = fixture.client();
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 8; i++) {
@@ -232,7 +232,7 @@
     /** A client that ends its side has left, as one that closes: nobody can tell them apart. */
     @Test
     void aClientThatEndsItsSideHasLeft() throws Exception {
-        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitEnd());
+        FakeEndpoint hung = new FakeEndpoint((wire, request) -> wire.awaitClose());
         fixture = new SidecarFixture(hung).start();
         try (RawHttpClient client = fixture.client()) {
             client.send(fixture.request("order", DEADLINE_MS));
@@ -251,18 +251,18 @@
     @ParameterizedTest
     @CsvSource({"true, true", "true, false", "false, true", "false, false"})
     void aRepeatIsNotSentForAClientWhoseEndComesWithItsCause(boolean causeFirst, boolean cancel) throws Exception {
-        try (ServerSocket place = startBefore(LateEndpoint.queue(), cancel)) {
+        try (ServerSocket place = startBefore(DelayedAcceptEndpoint.listenWithShortBacklog(), cancel)) {
             RawHttpClient client = fixture.client().send(fixture.request("read", DEADLINE_MS));
             RawHttpClient first = new RawHttpClient(place.accept());
             first.read();
-            try (LateEndpoint late = new LateEndpoint(place)) {
+            try (DelayedAcceptEndpoint late = new DelayedAcceptEndpoint(place)) {
                 if (causeFirst) {
                     fixture.whileEventLoopBlocked(first::reset, client::close);
                 } else {
                     fixture.whileEventLoopBlocked(client::close, first::reset);
                 }
                 fixture.awaitPending(0, NOTICED_MS);
-                late.open();
+                late.startAccepting();
                 assertEquals("late", fixture.sendRequest("order", DEADLINE_MS).body());
                 assertEquals(
                         List.of("r1"),
@@ -277,7 +277,7 @@
     @ParameterizedTest
     @CsvSource({"true, true", "true, false", "false, true", "false, false"})
     void anAnswerAndTheEndOfItsClient(boolean answerFirst, boolean cancel) throws Exception {
-        try (ServerSocket place = startBefore(LateEndpoint.queue(), cancel)) {
+        try (ServerSocket place = startBefore(DelayedAcceptEndpoint.listenWithShortBacklog(), cancel)) {
             RawHttpClient client = fixture.client().send(fixture.request("order", DEADLINE_MS));
             RawHttpClient endpoint = new RawHttpClient(place.accept());
             endpoint.read();
--- a/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
@@ -63,7 +63,7 @@
                                     SidecarFixture.line(0, good, "terminating", 0),
                                     SidecarFixture.line(1, other.address(), "in_service", 0)));
                 } else {
-                    wire.awaitEnd();
+                    wire.awaitClose();
                 }
             };
             fixture.start();
@@ -87,7 +87,7 @@
         fixture.discovery.script = (wire, request) -> {
             int version = fixture.discovery.requests.size();
             if (version > 5) {
-                wire.awaitEnd();
+                wire.awaitClose();
             }
             FakeEndpoint.answer(
                     wire,
@@ -121,7 +121,7 @@
         int rejected = 4;
         List<Long> pollNanos = Collections.synchronizedList(new ArrayList<>());
         try (FakeEndpoint other = FakeEndpoint.serving();
-                FakeEndpoint moved = new FakeEndpoint((wire, request) -> wire.awaitEnd())) {
+                FakeEndpoint moved = new FakeEndpoint((wire, request) -> wire.awaitClose())) {
             fixture = new SidecarFixture(FakeEndpoint.serving()).start();
             moved.script = (wire, request) -> {
                 pollNanos.add(System.nanoTime());
@@ -133,7 +133,7 @@
                     String ready = SidecarFixture.line(1, other.address(), "in_service", 0);
                     FakeEndpoint.answer(wire, 200, "", SidecarFixture.list(2, true, drained, ready));
                 } else {
-                    wire.awaitEnd();
+                    wire.awaitClose();
                 }
             };
             Files.writeString(
@@ -157,7 +157,7 @@
             })
     void anAnswerThatBreaksOffIsNotWaitedFor(String half) throws Exception {
         try (FakeEndpoint other = FakeEndpoint.serving();
-                FakeEndpoint moved = new FakeEndpoint((wire, request) -> wire.awaitEnd())) {
+                FakeEndpoint moved = new FakeEndpoint((wire, request) -> wire.awaitClose())) {
             fixture = new SidecarFixture(FakeEndpoint.serving()).start();
             moved.script = (wire, request) -> {
                 switch (moved.requests.size()) {
@@ -178,7 +178,7 @@
                                 200,
                                 "",
                                 SidecarFixture.list(2, true, SidecarFixture.line(1, other.address(), "in_service", 0)));
-                    default -> wire.awaitEnd();
+                    default -> wire.awaitClose();
                 }
             };
             Files.writeString(
@@ -186,7 +186,7 @@
             long began = System.nanoTime();
             fixture.sidecar.reload();
             SidecarFixture.await("it asks anew, and goes on", () -> moved.requests.size() == 4);
-            assertTrue(moved.requests.get(1).line().contains("wait=20000"), "the usual wait is much longer");
+            assertTrue(moved.requests.get(1).startLine().contains("wait=20000"), "the usual wait is much longer");
             assertTrue(SidecarFixture.elapsedMs(began) < 10_000, "and is not waited for");
             assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size());
@@ -220,7 +220,7 @@
             assertEquals(
                     List.of("index=1&", "index=7&", "index=7&", "index=3&"),
                     fixture.discovery.requests.stream()
-                            .map(request -> request.line().replaceAll(".*(index=\\d+&).*", "$1"))
+                            .map(request -> request.startLine().replaceAll(".*(index=\\d+&).*", "$1"))
                             .toList());
         }
     }
@@ -233,7 +233,7 @@
     @ValueSource(strings = {"terminating", "terminated", "left out", "restarted"})
     void anAttemptThatWaitsForItsConnectionLeavesAnEndpointThatDrains(String how) throws Exception {
         LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
-        try (LateEndpoint late = new LateEndpoint();
+        try (DelayedAcceptEndpoint late = new DelayedAcceptEndpoint();
                 FakeEndpoint other = FakeEndpoint.serving();
                 FakeEndpoint again = FakeEndpoint.serving()) {
             fixture = SidecarFixture.withEndpointAt(late.address());
@@ -258,7 +258,7 @@
                     });
             assertEquals("served", unsafe.read().body(), "it never ran, so another one may have it");
             unsafe.close();
-            late.open();
+            late.startAccepting();
             assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(List.of(), late.requests);
         }
@@ -321,7 +321,7 @@
                     String ready = SidecarFixture.line(1, other.address(), "in_service", 0);
                     FakeEndpoint.answer(wire, 200, "", SidecarFixture.list(2, false, drained, ready));
                 } else {
-                    wire.awaitEnd();
+                    wire.awaitClose();
                 }
             };
             fixture.start();
@@ -354,7 +354,7 @@
                     String ready = SidecarFixture.line(1, other.address(), "in_service", 0);
                     FakeEndpoint.answer(wire, 200, "", SidecarFixture.list(2, false, drained, ready));
                 } else {
-                    wire.awaitEnd();
+                    wire.awaitClose();
                 }
             };
             fixture.start();
@@ -373,15 +373,15 @@
         fixture = new SidecarFixture(FakeEndpoint.serving());
         fixture.maxListWaitMs = SidecarFixture.AWAIT_TIMEOUT_MS;
         fixture.discovery.script = (wire, request) -> {
-            if (request.line().endsWith("wait=1 HTTP/1.1")) {
+            if (request.startLine().endsWith("wait=1 HTTP/1.1")) {
                 FakeEndpoint.answer(wire, 200, "", SidecarFixture.list(1, false));
             } else {
-                wire.awaitEnd();
+                wire.awaitClose();
             }
         };
         fixture.start();
         SidecarFixture.await("a watch is started", () -> fixture.discovery.requests.size() == 2);
-        assertTrue(fixture.discovery.requests.get(1).line().contains("index=1&wait=20000"));
+        assertTrue(fixture.discovery.requests.get(1).startLine().contains("index=1&wait=20000"));
         assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertFalse(fixture.logged().contains("from the configuration's endpoint list"), fixture.logged());
     }
@@ -448,7 +448,7 @@
 
     private static void breakOff(RawHttpClient wire, String half) throws Exception {
         if (!half.equals("trickle")) {
-            wire.send(half).awaitEnd();
+            wire.send(half).awaitClose();
         }
         wire.send("HTTP/1.1 200 OK\r\nContent-Length: 3000\r\n\r\n{");
         while (true) {
--- a/sidecar/src/test/java/martenlatch/sidecar/RawHttpClient.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/RawHttpClient.java
@@ -20,9 +20,9 @@
     private static final int PATIENCE_MS = 20_000;
 
     /** A message: its first line, its headers in lower case and its body. */
-    record Message(String line, Map<String, String> headers, String body) {
+    record Message(String startLine, Map<String, String> headers, String body) {
         int status() {
-            return Integer.parseInt(line.split(" ", 3)[1]);
+            return Integer.parseInt(startLine.split(" ", 3)[1]);
         }
     }
 
@@ -36,7 +36,7 @@
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    static RawHttpClient to(InetSocketAddress address) throws IOException {
+    static RawHttpClient connect(InetSocketAddress address) throws IOException {
         return new RawHttpClient(new Socket(address.getAddress(), address.getPort()));
     }
 
@@ -46,7 +46,7 @@
     }
 
     /** Connects with a small buffer for what is received, as on a poor link. */
-    static RawHttpClient to(InetSocketAddress address, int receiveBuffer) throws IOException {
+    static RawHttpClient connect(InetSocketAddress address, int receiveBuffer) throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(receiveBuffer);
         socket.connect(address);
@@ -116,7 +116,7 @@
     Message read() throws IOException {
         Message head = readHead();
         byte[] body = in.readNBytes(Integer.parseInt(head.headers().getOrDefault("content-length", "0")));
-        return new Message(head.line(), head.headers(), new String(body, StandardCharsets.ISO_8859_1));
+        return new Message(head.startLine(), head.headers(), new String(body, StandardCharsets.ISO_8859_1));
     }
 
     Message readHead() throws IOException {
@@ -145,7 +145,7 @@
     }
 
     /** Waits until the other side has closed or reset the connection. */
-    void awaitEnd() throws IOException {
+    void awaitClose() throws IOException {
         try {
             in.transferTo(OutputStream.nullOutputStream());
         } catch (java.net.SocketTimeoutException e) {
--- a/sidecar/src/test/java/martenlatch/sidecar/ShutdownRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ShutdownRaceTest.java
@@ -55,7 +55,7 @@
             // A response on the other connection shows that the partial request was read before idle connections close.
             assertEquals(
                     200, idle.send(fixture.request("order", DEADLINE_MS)).read().status());
-            idle.awaitEnd();
+            idle.awaitClose();
             long idleClosedNanos = System.nanoTime();
             try {
                 partial.send(request.substring(sentLength));
@@ -95,7 +95,7 @@
             SidecarFixture.await("the request is at the endpoint", () -> fixture.attempts() == 1);
             Thread drain = new Thread(fixture.sidecar::drain);
             drain.start();
-            idle.awaitEnd();
+            idle.awaitClose();
             long idleClosedNanos = System.nanoTime();
             responseReleased.countDown();
             // Longer than the sidecar waits for any other client.
@@ -116,7 +116,7 @@
     }
 
     private static boolean accepts(InetSocketAddress address) {
-        try (RawHttpClient connection = RawHttpClient.to(address)) {
+        try (RawHttpClient connection = RawHttpClient.connect(address)) {
             return true;
         } catch (IOException e) {
             return false;
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
@@ -62,7 +62,7 @@
     SidecarFixture(FakeEndpoint... endpoints) throws IOException {
         this.endpoints.addAll(List.of(endpoints));
         // Discovery does not respond until the test sets another script.
-        discovery = new FakeEndpoint((client, request) -> client.awaitEnd());
+        discovery = new FakeEndpoint((client, request) -> client.awaitClose());
     }
 
     /** Returns a fixture with a single endpoint in its list, at the given address. */
@@ -153,7 +153,7 @@
     }
 
     RawHttpClient client() throws IOException {
-        return RawHttpClient.to(sidecar.address());
+        return RawHttpClient.connect(sidecar.address());
     }
 
     /** Returns a request: GET for the idempotent class "read", otherwise POST with a body. */
@@ -179,7 +179,7 @@
 
     /** Calls the admin API on a new connection and returns the response. */
     RawHttpClient.Message callAdminApi(String call, String body) throws IOException {
-        try (RawHttpClient client = RawHttpClient.to(sidecar.adminAddress())) {
+        try (RawHttpClient client = RawHttpClient.connect(sidecar.adminAddress())) {
             return client.send(call + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                     .read();
         }
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarTest.java
@@ -53,7 +53,7 @@
         assertEquals("served", response.body());
         assertEquals("text/x", response.headers().get("content-type"));
         RawHttpClient.Message forwarded = fixture.endpoints.get(0).requests.get(0);
-        assertEquals("POST /api?q=1 HTTP/1.1", forwarded.line());
+        assertEquals("POST /api?q=1 HTTP/1.1", forwarded.startLine());
         assertEquals("hello", forwarded.body());
         assertEquals("r0", forwarded.headers().get("x-request-id"));
         assertEquals("k1", forwarded.headers().get("idempotency-key"));
@@ -193,7 +193,7 @@
     /** Guards against attempts that occupy a connection forever: on a timeout the connection is closed. */
     @Test
     void timedOutAttemptClosesItsConnection() throws Exception {
-        FakeEndpoint unresponsive = new FakeEndpoint((connection, request) -> connection.awaitEnd());
+        FakeEndpoint unresponsive = new FakeEndpoint((connection, request) -> connection.awaitClose());
         start(unresponsive);
         RawHttpClient.Message response = fixture.sendRequest("order", 300);
         assertEquals(502, response.status(), "the request may have run");
@@ -203,7 +203,7 @@
 
     @Test
     void clientDisconnectCancelsItsAttempts() throws Exception {
-        FakeEndpoint unresponsive = new FakeEndpoint((connection, request) -> connection.awaitEnd());
+        FakeEndpoint unresponsive = new FakeEndpoint((connection, request) -> connection.awaitClose());
         start(unresponsive);
         try (RawHttpClient client = fixture.client()) {
             client.send(fixture.request("order", DEADLINE_MS));
@@ -231,7 +231,7 @@
     void attemptsBeyondTheConnectionLimitAreRejected() throws Exception {
         FakeEndpoint[] unresponsive = new FakeEndpoint[4];
         for (int i = 0; i < unresponsive.length; i++) {
-            unresponsive[i] = new FakeEndpoint((connection, request) -> connection.awaitEnd());
+            unresponsive[i] = new FakeEndpoint((connection, request) -> connection.awaitClose());
         }
         fixture = new SidecarFixture(unresponsive);
         fixture.sockets = 1;
@@ -251,7 +251,7 @@
     /** Guards against running out of descriptors: connections beyond the limit are rejected in an orderly way. */
     @Test
     void clientsBeyondTheConnectionLimitAreRejected() throws Exception {
-        fixture = new SidecarFixture(new FakeEndpoint((connection, request) -> connection.awaitEnd()));
+        fixture = new SidecarFixture(new FakeEndpoint((connection, request) -> connection.awaitClose()));
         fixture.sockets = 1;
         fixture.start();
         List<RawHttpClient> clients = new ArrayList<>();
@@ -263,7 +263,7 @@
         for (int i = 0; i < 12; i++) {
             clients.add(fixture.client());
         }
-        clients.get(4).awaitEnd();
+        clients.get(4).awaitClose();
         for (int i = 12; i < 16; i++) {
             clients.get(i).send("POST /api HTTP/1.1\r\n");
         }
@@ -382,7 +382,7 @@
                         "GET /registry/instances?index=1&wait=1 HTTP/1.1",
                         "GET /registry/instances?index=7&wait=4000 HTTP/1.1"),
                 fixture.discovery.requests.stream()
-                        .map(RawHttpClient.Message::line)
+                        .map(RawHttpClient.Message::startLine)
                         .toList());
         assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(0, before.requests.size(), "the endpoint drains");
@@ -477,7 +477,7 @@
         } catch (IOException e) {
             assertTrue(servedCount > 1, "an open connection is served for a while");
         }
-        idle.awaitEnd();
+        idle.awaitClose();
         assertTrue(drain.isAlive(), "the drain waits for the request in flight");
         release.countDown();
         RawHttpClient.Message response = inFlight.read();
@@ -493,7 +493,7 @@
      */
     @Test
     void drainAnswersRequestsThatNoEndpointAnswers() throws Exception {
-        start(new FakeEndpoint((connection, request) -> connection.awaitEnd()));
+        start(new FakeEndpoint((connection, request) -> connection.awaitClose()));
         RawHttpClient unsafe = fixture.client().send(fixture.request("order", DEADLINE_MS));
         RawHttpClient safe = fixture.client().send(fixture.request("read", DEADLINE_MS));
         SidecarFixture.await("both requests are at the endpoint", () -> fixture.attempts() == 2);
@@ -516,7 +516,7 @@
         assertEquals(0, fixture.endpoints.get(0).connections.get());
         assertEquals(1, fixture.discovery.requests.size());
         assertTrue(
-                fixture.discovery.requests.get(0).line().contains("?index=1&"),
+                fixture.discovery.requests.get(0).startLine().contains("?index=1&"),
                 "the poll carries the version of the sidecar's own list");
     }
 
