--- a/sidecar/src/main/java/martenlatch/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/Sidecar.java
@@ -80,7 +80,7 @@
             startWithAgent(config);
         }
         log.println("martenlatch: serving on " + address);
-        // Done only after the listener is open: with a fraction of a core, clients would have to wait for it.
+        // Deferred until the sidecar serves: on a fraction of a core it would otherwise make clients wait.
         ConfigurationReloader.warmUp(options.configFile(), config);
     }
 
@@ -157,7 +157,7 @@
 
     /**
      * Reads the configuration file again, switches to the discovery that it names and applies its settings. Addresses,
-     * limits and the known endpoint list take effect at the next start. A file that is invalid in any part changes
+     * limits and the cached endpoint list take effect at the next start. A file that is invalid in any part changes
      * nothing.
      */
     public void reload() {
