--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
@@ -23,6 +23,9 @@
     /** How long a test waits for a condition before it fails. */
     static final long AWAIT_TIMEOUT_MS = 20_000;
 
+    /** Longer than the 10 ms after a response within which the sidecar does not reuse a connection. */
+    private static final int REUSE_WAIT_MS = 15;
+
     final List<FakeEndpoint> endpoints = new ArrayList<>();
     final FakeEndpoint discovery;
     final ByteArrayOutputStream log = new ByteArrayOutputStream();
@@ -174,7 +177,7 @@
 
     /** Waits until a connection to an endpoint may be reused after its last response. */
     static void awaitReuseDelay() throws InterruptedException {
-        Thread.sleep(15);
+        Thread.sleep(REUSE_WAIT_MS);
     }
 
     /** Calls the admin API on a new connection and returns the response. */
@@ -246,6 +249,7 @@
         }
     }
 
+    /** Waits for a latch; fails after {@link #AWAIT_TIMEOUT_MS}. */
     static void await(CountDownLatch latch) {
         try {
             assertTrue(latch.await(AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS));
