--- a/sidecar/src/main/java/martenlatch/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/martenlatch/discovery/DiscoveryClient.java
@@ -10,8 +10,8 @@
 import martenlatch.request.Scheduler;
 
 /**
- * Polls discovery at its present address. A poll that was sent before discovery moved keeps a connection of its own to
- * the address before, until the watcher ends it.
+ * Polls discovery at its current address. A poll that was sent before discovery moved keeps its own connection to the
+ * previous address until the watcher ends it.
  */
 public final class DiscoveryClient implements DiscoveryTransport {
 
@@ -19,13 +19,13 @@
     private final Scheduler scheduler;
     private final EndpointListDecoder.Names names;
     private final EndpointListWatcher watcher;
-    private final DiscoveryConnection.Listener results = new Results();
+    private final DiscoveryConnection.Listener results = new ResultForwarder();
     private InetSocketAddress address;
     private DiscoveryConnection connection;
-    /** Connections to addresses before, by the polls that are outstanding on them; the watcher bounds them. */
+    /** The connections to previous addresses by the number of their outstanding poll; the watcher limits them. */
     private final Map<Long, DiscoveryConnection> superseded = new HashMap<>();
 
-    /** Creates a client that polls nothing yet; {@code timing} is asked before each poll. */
+    /** Creates a client that sends nothing yet; {@code timing} supplies the timing of each poll. */
     public DiscoveryClient(
             EventLoop loop,
             Scheduler scheduler,
@@ -38,24 +38,24 @@
         this.address = address;
         this.names = names;
         watcher = new EndpointListWatcher(scheduler, this, logger, timing);
-        connection = connectionTo(address);
+        connection = newConnection(address);
     }
 
-    private DiscoveryConnection connectionTo(InetSocketAddress target) {
-        return new DiscoveryConnection(loop, scheduler, target, names, results);
+    private DiscoveryConnection newConnection(InetSocketAddress remoteAddress) {
+        return new DiscoveryConnection(loop, scheduler, remoteAddress, names, results);
     }
 
-    /** Sets who hears of lists, and the version that is known already. */
+    /** Sets the listener for lists and failures, and the version of the list that the process starts with. */
     public void setListener(EndpointList.Listener listener, long knownVersion) {
         watcher.setListener(listener, knownVersion);
     }
 
-    /** Starts to poll; an outstanding poll goes on. */
+    /** Starts polling; does nothing if a poll is outstanding at the current address. */
     public void start() {
         watcher.start();
     }
 
-    /** Goes on at another address, when the listener starts it there; nothing changes where the address is the same. */
+    /** Switches to another address, where polling begins when the listener starts it. Ignores the current address. */
     public void moveTo(InetSocketAddress next) {
         if (!next.equals(address)) {
             address = next;
@@ -80,7 +80,7 @@
         } else {
             connection.close();
         }
-        connection = connectionTo(address);
+        connection = newConnection(address);
     }
 
     @Override
@@ -91,8 +91,8 @@
         }
     }
 
-    /** Hands what comes of polls to the watcher. */
-    private final class Results implements DiscoveryConnection.Listener {
+    /** Forwards the results of polls to the watcher. */
+    private final class ResultForwarder implements DiscoveryConnection.Listener {
         @Override
         public void onResponseStarted(long poll) {
             watcher.onResponseStarted(poll);
--- a/sidecar/src/main/java/martenlatch/discovery/DiscoveryConnection.java
+++ b/sidecar/src/main/java/martenlatch/discovery/DiscoveryConnection.java
@@ -28,28 +28,29 @@
 import martenlatch.request.EndpointList;
 import martenlatch.request.Scheduler;
 
-/** Polls at one address of discovery, over HTTP/1.1: one poll at a time, on one connection at a time. */
+/** Sends polls to one discovery address over HTTP/1.1, one poll at a time on one connection at a time. */
 final class DiscoveryConnection {
 
-    /** Hears what comes of polls, by their numbers. */
+    /** Receives the results of polls, identified by their numbers. */
     interface Listener {
-        /** The first bytes of a response have come. */
+        /** Called when the first bytes of a response arrive; may be called again for the same response. */
         void onResponseStarted(long poll);
 
-        /** A list has come. */
+        /** Called when a complete endpoint list has arrived; the poll is finished. */
         void onList(long poll, EndpointList list);
 
-        /** A poll has failed; its connection is closed. */
+        /** Called when a poll has failed; its connection is closed. */
         void onFailure(long poll, Object cause);
     }
 
     private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
     /**
-     * Discovery may close a connection just after its response, and the next poll may cross that: within this time it
-     * is sent again at once, while the watch continues by the protocol. Later the end of a connection is discovery's
-     * doing, and those who see it must not come back together.
+     * The time after writing a poll to a reused connection during which the end of that connection does not fail the
+     * poll. Discovery may close a connection just after its response, so the next poll can race with the close; it is
+     * then resent at once on a new connection. After this time the poll fails and the caller waits before it polls
+     * again, because all clients whose connections ended together would otherwise reconnect together.
      */
-    private static final double CONNECTION_RACE_MS = 200;
+    private static final double CLOSE_RACE_MS = 200;
 
     private final EventLoop loop;
     private final Scheduler scheduler;
@@ -58,10 +59,10 @@
     private final Listener listener;
     private final Bootstrap bootstrap;
     private Channel channel;
-    /** Null while no poll is outstanding. */
+    /** The outstanding poll, or null if there is none. */
     private Poll outstanding;
-    /** Until then the end of the connection says nothing about the poll that was written to it. */
-    private double raceUntilMs;
+    /** Until this time the end of the connection causes the outstanding poll to be resent; 0 for none. */
+    private double closeRaceUntilMs;
 
     DiscoveryConnection(
             EventLoop loop,
@@ -82,8 +83,9 @@
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, PollTiming.CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel fresh) {
-                        fresh.pipeline()
+                    protected void initChannel(SocketChannel newChannel) {
+                        newChannel
+                                .pipeline()
                                 .addLast(
                                         new ResponseStartHandler(),
                                         new HttpClientCodec(),
@@ -93,11 +95,11 @@
                 });
     }
 
-    /** Sends a poll, on the connection that stands, or on a new one. */
+    /** Sends a poll on the open connection, or on a new one if there is none. */
     void send(Poll poll) {
         outstanding = poll;
         if (channel != null && channel.isActive()) {
-            raceUntilMs = scheduler.now() + CONNECTION_RACE_MS;
+            closeRaceUntilMs = scheduler.now() + CLOSE_RACE_MS;
             write();
             return;
         }
@@ -105,20 +107,22 @@
     }
 
     private void connect(Poll poll) {
-        raceUntilMs = 0;
-        ChannelFuture connecting = bootstrap.connect(address);
-        if (connecting.isDone() && !connecting.isSuccess()) {
-            // No descriptor is left: no event loop would report it, and it must not be reported from within this call.
+        closeRaceUntilMs = 0;
+        ChannelFuture connectFuture = bootstrap.connect(address);
+        if (connectFuture.isDone() && !connectFuture.isSuccess()) {
+            // The process has no file descriptor left, so no channel was registered and the listener below would not be
+            // notified on the event loop. The failure is reported later because send() must not call back
+            // synchronously.
             loop.execute(() -> {
                 if (outstanding != null && outstanding.number() == poll.number()) {
-                    fail(connecting.cause());
+                    fail(connectFuture.cause());
                 }
             });
             return;
         }
-        channel = connecting.channel();
-        connecting.addListener(connected -> {
-            if (connecting.channel() != channel) {
+        channel = connectFuture.channel();
+        connectFuture.addListener(connected -> {
+            if (connectFuture.channel() != channel) {
                 return;
             }
             if (connected.isSuccess()) {
@@ -136,9 +140,9 @@
         channel.writeAndFlush(request);
     }
 
-    /** The connection has ended under an outstanding poll. */
+    /** Resends the outstanding poll if the connection ended in a close race; otherwise fails the poll. */
     private void onConnectionEnded(Object cause) {
-        if (outstanding != null && scheduler.now() < raceUntilMs) {
+        if (outstanding != null && scheduler.now() < closeRaceUntilMs) {
             channel = null;
             connect(outstanding);
         } else {
@@ -154,7 +158,7 @@
         }
     }
 
-    /** Gives up the outstanding poll, if there is one, and the connection. */
+    /** Aborts the outstanding poll, if there is one, and closes the connection. */
     void close() {
         outstanding = null;
         if (channel != null) {
@@ -164,18 +168,19 @@
         }
     }
 
-    /** Sees the first bytes of a response, long before it is complete. */
+    /** Reports the first bytes of a response, which may arrive long before the aggregated response. */
     private final class ResponseStartHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
             if (ctx.channel() == channel && outstanding != null) {
-                raceUntilMs = 0;
+                closeRaceUntilMs = 0;
                 listener.onResponseStarted(outstanding.number());
             }
             ctx.fireChannelRead(bytes);
         }
     }
 
+    /** Decodes complete responses and reports failures of the connection. */
     private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
 
         @Override
--- a/sidecar/src/main/java/martenlatch/discovery/DiscoveryTransport.java
+++ b/sidecar/src/main/java/martenlatch/discovery/DiscoveryTransport.java
@@ -1,24 +1,24 @@
 package martenlatch.discovery;
 
-/** Carries polls to discovery: one at a time at its present address, and those that were sent before it moved. */
+/** Sends polls to discovery: one at a time at its current address, besides those that were sent before it moved. */
 public interface DiscoveryTransport {
 
     /**
-     * Sends a poll. Its end is told by {@link EndpointListWatcher#onList} or {@link EndpointListWatcher#onFailure}, or
-     * not at all.
+     * Sends a poll. Its result is reported to {@link EndpointListWatcher#onList} or {@link
+     * EndpointListWatcher#onFailure}, or not at all if no response arrives; the watcher has its own timeout.
      */
     void send(Poll poll);
 
-    /** Gives up the outstanding poll at the present address, if there is one, and its connection. */
+    /** Aborts the outstanding poll at the current address, if there is one, and closes the connection. */
     void abort();
 
     /**
-     * Discovery is at another address: polls go there from now on, while this one goes on at the address before.
+     * Sends further polls to the new address of discovery, while the outstanding poll continues at the previous one.
      *
-     * @param outstanding the poll that goes on until {@link #endSuperseded}, or null
+     * @param outstanding the poll that continues until {@link #endSuperseded}, or null if there is none
      */
     void switchAddress(Poll outstanding);
 
-    /** Gives up a poll that was sent before discovery moved, and its connection. */
+    /** Aborts a poll that was sent before discovery moved, and closes its connection. */
     void endSuperseded(long poll);
 }
--- a/sidecar/src/main/java/martenlatch/discovery/EndpointListDecoder.java
+++ b/sidecar/src/main/java/martenlatch/discovery/EndpointListDecoder.java
@@ -21,29 +21,29 @@
 
     private EndpointListDecoder() {}
 
-    /** The names of zones and machine types; their indexes stand for them everywhere else. */
-    public record Names(List<String> zones, List<String> kinds) {}
+    /** The names of zones and machine types; everywhere else they are referred to by their index in these lists. */
+    public record Names(List<String> zones, List<String> machineTypes) {}
 
     /**
-     * Decodes a list.
+     * Decodes an endpoint list from JSON text.
      *
-     * @throws IOException if it is not JSON, or not an object
-     * @throws IllegalArgumentException naming the field and the value that cannot be used
+     * @throws IOException if the text is not JSON or not a JSON object
+     * @throws IllegalArgumentException if a field is missing or invalid; the message names the field and the value
      */
     public static EndpointList parse(byte[] json, Names names) throws IOException {
         try (JsonParser in = JSON.createParser(json)) {
             in.nextToken();
             if (!(in.currentToken() != null && JsonValues.read(in) instanceof Map<?, ?> list)) {
-                throw new IOException("the list of endpoints is no object");
+                throw new IOException("the endpoint list is not a JSON object");
             }
             return of(list, names);
         }
     }
 
     /**
-     * Takes a list from JSON that was parsed already.
+     * Decodes an endpoint list from a JSON object that has been parsed already.
      *
-     * @throws IllegalArgumentException naming the field and the value that cannot be used
+     * @throws IllegalArgumentException if a field is missing or invalid; the message names the field and the value
      */
     public static EndpointList of(Map<?, ?> list, Names names) {
         if (!(list.get("version") instanceof Double version)) {
@@ -52,13 +52,13 @@
         if (!(list.get("full") instanceof Boolean full)) {
             throw ConfigurationException.unusable("full", list.get("full"));
         }
-        if (!(list.get("servers") instanceof List<?> lines)) {
+        if (!(list.get("servers") instanceof List<?> endpoints)) {
             throw ConfigurationException.unusable("servers", list.get("servers"));
         }
         List<EndpointList.Entry> entries = new ArrayList<>();
-        for (Object line : lines) {
-            if (!(line instanceof Map<?, ?> fields)) {
-                throw ConfigurationException.unusable("servers[]", line);
+        for (Object endpoint : endpoints) {
+            if (!(endpoint instanceof Map<?, ?> fields)) {
+                throw ConfigurationException.unusable("servers[]", endpoint);
             }
             entries.add(entry(fields, names));
         }
@@ -76,14 +76,14 @@
                     case "terminated" -> EndpointStatus.GONE;
                     default -> throw ConfigurationException.unusable("servers[].state", fields.get("state"));
                 };
-        // Of an endpoint that is gone nothing but its id need be told.
+        // Discovery need not send the address or any other field but the id of an endpoint that is gone.
         InetSocketAddress address =
                 state == EndpointStatus.GONE ? null : SocketAddresses.parse("servers[].addr", fields.get("addr"));
         return new EndpointList.Entry(
                 new Endpoint(
                         id,
                         names.zones().indexOf(fields.get("zone")),
-                        names.kinds().indexOf(fields.get("kind")),
+                        names.machineTypes().indexOf(fields.get("kind")),
                         (int) number(fields, "cell", 0),
                         number(fields, "started_ms", 0),
                         state,
@@ -91,10 +91,10 @@
                 address);
     }
 
-    private static double number(Map<?, ?> fields, String name, double absent) {
+    private static double number(Map<?, ?> fields, String name, double defaultValue) {
         Object value = fields.get(name);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (value instanceof Double number) {
             return number;
--- a/sidecar/src/main/java/martenlatch/discovery/EndpointListGate.java
+++ b/sidecar/src/main/java/martenlatch/discovery/EndpointListGate.java
@@ -6,37 +6,39 @@
 import martenlatch.request.Scheduler;
 
 /**
- * Holds a starting process back until its endpoint list is current: the list in its configuration may be of any age.
- * Only an answer of discovery shows that; a poll that is still open may be rejected yet. An outage must not keep
- * sidecars from serving, so the wait is bounded, and where lists are polled it ends with the first poll that finds no
- * connection, as no change counts as notified then. A local agent that refuses connections has not started yet, and
- * what it has counts as notified already: it is waited for. No I/O; called on the event loop.
+ * Delays serving at startup until the endpoint list is current, because the list in the configuration may be of any
+ * age. Only a response from discovery shows that the list is current; an open poll may still be rejected.
+ *
+ * <p>The wait is bounded so that an outage of discovery does not keep sidecars from serving. If lists are polled, the
+ * wait also ends with the first poll that cannot connect, as no change counts as notified while discovery is
+ * unreachable. If lists are pushed, a local agent that refuses connections has not started yet, and its changes count
+ * as notified already, so the wait goes on. This class does no I/O and is called on the event loop.
  */
 public final class EndpointListGate {
 
-    /** Why the wait has ended. */
+    /** The reason why the wait has ended. */
     public enum Reason {
-        /** Discovery has answered. */
+        /** Discovery has sent a list. */
         LIST_CURRENT,
-        /** There is no connection to discovery. */
+        /** No connection to discovery could be established. */
         DISCOVERY_UNREACHABLE,
-        /** The time is over, and the list in use is still the configuration's. */
+        /** The maximum wait has passed, and the list in use is still that of the configuration. */
         TIMED_OUT
     }
 
-    /** Hears once of the end of the wait. */
+    /** Notified once when the wait ends. */
     public interface Listener {
-        /** Clients may be served from now on. */
+        /** Called when the process may start to serve clients. */
         void onOpen(Reason reason);
     }
 
     /**
-     * Enough for two polls that a crowded discovery rejects and a third one; with the rest of the start it is less than
-     * the 10 s within which a restarted sidecar has to be ready.
+     * The default maximum wait. It is long enough for two polls that an overloaded discovery rejects and a third one.
+     * Together with the rest of the startup it stays below the 10 s within which a restarted sidecar has to be ready.
      */
     public static final long DEFAULT_MAX_WAIT_MS = 7_000;
 
-    /** An agent answers at once; one that is silent for so long has lost its discovery. */
+    /** The local agent responds at once; if it is silent for this long, it has lost its connection to discovery. */
     private static final double MAX_AGENT_SILENCE_MS = 2000;
 
     private final Listener listener;
@@ -45,10 +47,11 @@
     private boolean unreachable;
 
     /**
-     * Creates a gate.
+     * Creates a closed gate and starts its timers.
      *
-     * @param settings tell whether lists are polled or pushed
-     * @param maxWaitMs the time after which it opens in any case, in milliseconds
+     * @param settings specify whether lists are polled or pushed
+     * @param maxWaitMs the time after which the gate opens in any case, in milliseconds
+     * @param listener notified when the gate opens
      */
     public EndpointListGate(Scheduler scheduler, BalancerSettings settings, double maxWaitMs, Listener listener) {
         this.listener = listener;
@@ -65,7 +68,7 @@
         }
     }
 
-    /** A listener that passes everything on, and has the gate open once a list has been passed on. */
+    /** Returns a listener that forwards every call to {@code next} and opens the gate after the first list. */
     public EndpointList.Listener wrap(EndpointList.Listener next) {
         return new EndpointList.Listener() {
             @Override
--- a/sidecar/src/main/java/martenlatch/discovery/EndpointListWatcher.java
+++ b/sidecar/src/main/java/martenlatch/discovery/EndpointListWatcher.java
@@ -11,25 +11,26 @@
 import martenlatch.request.Scheduler;
 
 /**
- * Decides when discovery is polled, for what, and how long a response is waited for: poll after poll, until one fails.
- * The listener then decides how to go on, and calls {@link #start} again. No I/O: the transport reports what comes of
- * each poll by its number, and a report on a poll that is over changes nothing.
+ * Decides when discovery is polled, which version is requested and how long to wait for the response. Each completed
+ * watch starts the next one until a poll fails; the listener then decides when to call {@link #start} again. This class
+ * does no I/O: the transport reports the result of each poll by its number, and reports on finished polls are ignored.
  *
- * <p>When discovery moves, polls that are under way go on at the addresses before until a later one has answered: a
- * poll may have waited in a crowded queue, or its response may be on its way and counts as notified. Aborted, moves in
- * a row would leave the list without an answer for as long as they come.
+ * <p>When discovery moves to another address, outstanding polls continue at the previous addresses until a later
+ * address has responded. Such a poll may already have waited in the queue of an overloaded discovery, or its response
+ * may be in transit, in which case its changes count as notified. If every move aborted the outstanding poll, a series
+ * of moves would leave the process without any list.
  */
 public final class EndpointListWatcher {
 
-    /** Addresses before the present one at which a poll goes on; with quick moves the oldest are given up. */
+    /** The maximum number of previous addresses at which a poll continues; beyond it the oldest poll is aborted. */
     private static final int MAX_SUPERSEDED_POLLS = 2;
 
-    /** A poll that is under way. */
+    /** A poll that has been sent and is not finished, with its timeout. */
     private final class OutstandingPoll {
         private final Poll poll;
         private Scheduler.Timer timeoutTimer;
         private double timesOutAtMs;
-        /** The response has begun to come. */
+        /** Whether the first bytes of the response have arrived. */
         private boolean responseStarted;
 
         OutstandingPoll(Poll poll) {
@@ -42,7 +43,7 @@
             timeoutTimer = scheduler.after(delayMs, () -> onTimeout(this));
         }
 
-        /** The rest of a response that has begun is due soon. */
+        /** Reduces the remaining time to {@code delayMs} if it is longer. */
         void shortenTimeout(double delayMs) {
             if (timesOutAtMs - scheduler.now() > delayMs) {
                 timeoutTimer.cancel();
@@ -57,22 +58,25 @@
     private final PollLog pollLog;
     private final Supplier<PollTiming> timing;
     private EndpointList.Listener listener;
-    /** The version known of discovery at the present address; empty calls for the whole list. */
+    /** The last version received from discovery at the current address; if empty, the whole list is requested. */
     private OptionalLong knownVersion = OptionalLong.empty();
-    /** Discovery has answered this process: before that, its list may be of any age. */
-    private boolean answered;
+    /** Whether discovery has sent this process a list; until then the list in use may be of any age. */
+    private boolean hasReceivedList;
 
-    private long polls;
-    /** At the present address; null while no poll is under way there. */
+    private long lastPollNumber;
+    /** The poll at the current address, or null if there is none. */
     private OutstandingPoll outstanding;
-    /** At addresses before, the oldest first. */
+    /** The polls that continue at previous addresses, oldest first. */
     private final Deque<OutstandingPoll> superseded = new ArrayDeque<>();
-    /** A poll at the present address is due once those at addresses before that are no watches have ended. */
-    private boolean startIsDue;
-    /** The last response broke off: a discovery whose responses always do is left alone for a while. */
-    private boolean lastResponseBrokeOff;
+    /** Whether {@link #start} was deferred until the polls at previous addresses that are not watches have ended. */
+    private boolean startDeferred;
+    /**
+     * Whether the last response was truncated. A second truncated response in a row fails the poll instead of being
+     * retried at once, so that a discovery which truncates every response is not polled in a tight loop.
+     */
+    private boolean lastResponseTruncated;
 
-    /** Creates a watcher; {@code timing} is asked before each poll. */
+    /** Creates a watcher that sends nothing yet; {@code timing} supplies the timing of each poll. */
     public EndpointListWatcher(
             Scheduler scheduler, DiscoveryTransport transport, RateLimitedLogger logger, Supplier<PollTiming> timing) {
         this.scheduler = scheduler;
@@ -82,34 +86,35 @@
         this.timing = timing;
     }
 
-    /** Sets who hears of lists, and the version that is known already. */
+    /** Sets the listener for lists and failures, and the version of the list that the process starts with. */
     public void setListener(EndpointList.Listener next, long version) {
         listener = next;
         knownVersion = OptionalLong.of(version);
     }
 
     /**
-     * Starts to poll; an outstanding poll at the present address goes on, and its response serves for both. One at an
-     * address before that is not a watch is about to end, and is waited for: moves in a row must not multiply polls.
+     * Starts polling. Does nothing if a poll is outstanding at the current address, as its response serves both calls.
+     * If a poll at a previous address is not a watch, the new poll is deferred until that one ends, which is soon:
+     * otherwise a series of moves would multiply the polls.
      */
     public void start() {
         if (outstanding != null) {
             return;
         }
-        startIsDue = isAnswerDueFromAddressBefore();
-        if (startIsDue) {
+        startDeferred = isResponseDueFromPreviousAddress();
+        if (startDeferred) {
             return;
         }
-        polls++;
-        PollTiming next = answered ? timing.get() : timing.get().withoutWait();
-        outstanding = new OutstandingPoll(new Poll(polls, knownVersion, next));
+        lastPollNumber++;
+        PollTiming next = hasReceivedList ? timing.get() : timing.get().withoutWait();
+        outstanding = new OutstandingPoll(new Poll(lastPollNumber, knownVersion, next));
         pollLog.onSent(outstanding.poll);
         transport.send(outstanding.poll);
     }
 
     /**
-     * Discovery is at another address from now on. Versions differ there, so the whole list is polled; the listener
-     * decides when, and calls {@link #start}.
+     * Called when discovery has moved to another address. Versions of different addresses are not comparable, so the
+     * next poll requests the whole list. The listener decides when, and calls {@link #start}.
      */
     public void onMoved() {
         knownVersion = OptionalLong.empty();
@@ -125,9 +130,9 @@
         listener.onDiscoveryMoved();
     }
 
-    /** The first bytes of a response have come: from then on the rest of it is due. */
+    /** Called when the first bytes of a response arrive; shortens the timeout for the rest of the response. */
     public void onResponseStarted(long poll) {
-        OutstandingPoll started = find(poll);
+        OutstandingPoll started = findOutstanding(poll);
         if (started == null || started.responseStarted) {
             return;
         }
@@ -137,38 +142,39 @@
     }
 
     /**
-     * A list has come. Where that continues a watch the next poll is sent first, as it has to come soon; where the poll
-     * was one without a wait, the listener decides when a watch is started. A list from an address before is applied,
-     * and the next poll goes to the present address when the listener says.
+     * Called when an endpoint list arrives. If the poll was a watch with a wait, the next watch is sent before the
+     * listener is called, so that the gap between the two is short. If the poll was sent without a wait, the listener
+     * decides when a watch is started. A list from a previous address is passed on too; the listener then decides when
+     * to poll the current address.
      */
     public void onList(long poll, EndpointList list) {
-        OutstandingPoll found = find(poll);
+        OutstandingPoll found = findOutstanding(poll);
         if (found == null) {
             return;
         }
         pollLog.onList(poll, list);
-        answered = true;
+        hasReceivedList = true;
         if (found == outstanding) {
-            onPresentList(list);
+            onListFromCurrentAddress(list);
             return;
         }
         while (superseded.contains(found)) {
             endSuperseded(superseded.getFirst());
         }
         listener.onEndpointList(list);
-        if (outstanding == null && !isAnswerDueFromAddressBefore()) {
-            startIsDue = false;
+        if (outstanding == null && !isResponseDueFromPreviousAddress()) {
+            startDeferred = false;
             listener.onPollCompleted();
         }
     }
 
-    private void onPresentList(EndpointList list) {
+    private void onListFromCurrentAddress(EndpointList list) {
         boolean wasWatch = !outstanding.poll.timing().isWithoutWait();
         endOutstanding();
         while (!superseded.isEmpty()) {
             endSuperseded(superseded.getFirst());
         }
-        lastResponseBrokeOff = false;
+        lastResponseTruncated = false;
         knownVersion = OptionalLong.of(list.version());
         if (wasWatch) {
             start();
@@ -179,50 +185,50 @@
         }
     }
 
-    /** A poll has failed. */
+    /** Called when a poll fails; the cause appears in the log. */
     public void onFailure(long poll, Object cause) {
-        OutstandingPoll failed = find(poll);
+        OutstandingPoll failed = findOutstanding(poll);
         if (failed == null) {
             return;
         }
         pollLog.onFailure(poll, cause);
         if (failed != outstanding) {
             endSuperseded(failed);
-            if (startIsDue) {
+            if (startDeferred) {
                 start();
             }
             return;
         }
         endOutstanding();
-        lastResponseBrokeOff = false;
+        lastResponseTruncated = false;
         transport.abort();
         logger.log("discovery failed", cause);
         listener.onPollFailed(cause instanceof ConnectException ? PollFailure.UNREACHABLE : PollFailure.REJECTED);
     }
 
     /**
-     * No response, or not a complete one. What a broken watch has missed counts as notified soon, and that it was
-     * started long ago is of no use: it is started again at once.
+     * Called when a response is missing or incomplete at its timeout. A timed-out watch is restarted at once without
+     * calling the listener, because the changes that it has missed soon count as notified.
      */
     private void onTimeout(OutstandingPoll timedOut) {
         Poll poll = timedOut.poll;
-        boolean brokeOff = timedOut.responseStarted;
-        if (timedOut != outstanding || !poll.isWatch() || (brokeOff && lastResponseBrokeOff)) {
+        boolean truncated = timedOut.responseStarted;
+        if (timedOut != outstanding || !poll.isWatch() || (truncated && lastResponseTruncated)) {
             onFailure(poll.number(), "no answer in time");
             return;
         }
         endOutstanding();
         transport.abort();
-        lastResponseBrokeOff = brokeOff;
+        lastResponseTruncated = truncated;
         String detail =
-                brokeOff ? "in the middle of a response" : "no response after " + Math.round(poll.timeoutMs()) + " ms";
+                truncated ? "in the middle of a response" : "no response after " + Math.round(poll.timeoutMs()) + " ms";
         logger.log("discovery watch timed out", detail);
         pollLog.onFailure(poll.number(), detail);
         start();
     }
 
-    /** The poll with this number, or null if it is over. */
-    private OutstandingPoll find(long number) {
+    /** Returns the outstanding poll with this number, or null if it has finished. */
+    private OutstandingPoll findOutstanding(long number) {
         if (outstanding != null && outstanding.poll.number() == number) {
             return outstanding;
         }
@@ -234,7 +240,7 @@
         return null;
     }
 
-    private boolean isAnswerDueFromAddressBefore() {
+    private boolean isResponseDueFromPreviousAddress() {
         return superseded.stream()
                 .anyMatch(each -> !each.poll.isWatch() || each.poll.timing().isWithoutWait());
     }
--- a/sidecar/src/main/java/martenlatch/discovery/Poll.java
+++ b/sidecar/src/main/java/martenlatch/discovery/Poll.java
@@ -3,29 +3,30 @@
 import java.util.OptionalLong;
 
 /**
- * One poll of the endpoint list.
+ * One poll of the endpoint list. A poll for changes to a known version is also called a watch: discovery may hold its
+ * response back until there is a newer version.
  *
- * @param number differs from that of every other poll of the same watcher
- * @param knownVersion wanted is what is newer than this version; empty for the whole list
- * @param timing how long discovery may wait for something newer, and for how long a response is waited for
+ * @param number unique among the polls of one watcher
+ * @param knownVersion the version to which changes are requested, or empty to request the whole list
+ * @param timing how long discovery may hold the response, and the timeouts of the response
  */
 public record Poll(long number, OptionalLong knownVersion, PollTiming timing) {
 
     private static final String PATH = "/registry/instances";
 
-    /** Path and query of the request. */
+    /** Returns the path and query of the HTTP request. */
     public String path() {
         return knownVersion.isPresent()
                 ? PATH + "?index=" + knownVersion.getAsLong() + "&wait=" + timing.waitMs()
                 : PATH;
     }
 
-    /** Whether discovery may hold the response back until there is something newer. */
+    /** Returns whether this is a watch, a poll for changes to a known version. */
     boolean isWatch() {
         return knownVersion.isPresent();
     }
 
-    /** The time after which the poll has failed without a response, in milliseconds from its start. */
+    /** Returns the time after sending at which the poll times out without a response, in milliseconds. */
     double timeoutMs() {
         return isWatch() ? timing.waitMs() + timing.responseTimeoutMs() : timing.fullListTimeoutMs();
     }
--- a/sidecar/src/main/java/martenlatch/discovery/PollLog.java
+++ b/sidecar/src/main/java/martenlatch/discovery/PollLog.java
@@ -9,14 +9,14 @@
 import martenlatch.request.Scheduler;
 
 /**
- * Logs every poll of discovery and what came of it, with Unix times in milliseconds, so that the age of the endpoint
- * list at any moment can be told afterwards. A token bucket bounds the lines; those left out are counted.
+ * Logs every poll of discovery and its result with Unix times in milliseconds, so that the age of the endpoint list at
+ * any time can be determined from the log. A token bucket limits the rate of lines; suppressed lines are counted.
  */
 final class PollLog {
 
     private static final double LINES_PER_MS = 5 / 1000.0;
     private static final double BURST_LINES = 50;
-    /** Of a list so many endpoints of each status are named. */
+    /** The maximum number of endpoints of each status whose ids are logged for one list. */
     private static final int MAX_NAMED_ENDPOINTS = 12;
 
     private final Scheduler scheduler;
@@ -31,11 +31,11 @@
 
     void onSent(Poll poll) {
         OptionalLong version = poll.knownVersion();
-        String wanted = version.isPresent()
+        String requested = version.isPresent()
                 ? "watch from version " + version.getAsLong() + ", wait "
                         + poll.timing().waitMs() + " ms"
                 : "whole list";
-        log("discovery poll " + poll.number() + " sent: " + wanted);
+        log("discovery poll " + poll.number() + " sent: " + requested);
     }
 
     void onMoved() {
@@ -48,16 +48,16 @@
 
     void onList(long poll, EndpointList list) {
         log("discovery poll " + poll + ": version " + list.version() + (list.full() ? ", whole list" : ", changes")
-                + named(list, EndpointStatus.READY)
-                + named(list, EndpointStatus.DRAINING)
-                + named(list, EndpointStatus.GONE));
+                + describe(list, EndpointStatus.READY)
+                + describe(list, EndpointStatus.DRAINING)
+                + describe(list, EndpointStatus.GONE));
     }
 
     void onFailure(long poll, Object cause) {
         log("discovery poll " + poll + " failed: " + cause);
     }
 
-    private static String named(EndpointList list, EndpointStatus status) {
+    private static String describe(EndpointList list, EndpointStatus status) {
         StringBuilder ids = new StringBuilder();
         int count = 0;
         for (EndpointList.Entry entry : list.entries()) {
@@ -81,8 +81,8 @@
             suppressed++;
             return;
         }
-        String leftOut = suppressed == 0 ? "" : " (and " + suppressed + " lines left out before)";
+        String suppressedNote = suppressed == 0 ? "" : " (and " + suppressed + " lines left out before)";
         suppressed = 0;
-        logger.info(Math.round(now) + " " + line + leftOut);
+        logger.info(Math.round(now) + " " + line + suppressedNote);
     }
 }
--- a/sidecar/src/main/java/martenlatch/discovery/PollTiming.java
+++ b/sidecar/src/main/java/martenlatch/discovery/PollTiming.java
@@ -4,50 +4,52 @@
 import martenlatch.policy.api.BalancerSettings;
 
 /**
- * How long discovery is asked to wait for changes, and for how long a response is waited for, in milliseconds.
+ * The timing of a poll: how long discovery may hold the response, and the timeouts of the response.
  *
- * @param waitMs how long discovery may wait for something newer
- * @param responseTimeoutMs the time after that within which a response is complete, and the time within which a
- *     response is complete that has begun
- * @param fullListTimeoutMs the time within which the whole list is complete
+ * @param waitMs how long discovery may hold the response back until there is a newer version
+ * @param responseTimeoutMs the time after {@code waitMs} by which the response must be complete; also the time from the
+ *     first byte of a response to its last
+ * @param fullListTimeoutMs the timeout of a poll for the whole list
  */
 public record PollTiming(long waitMs, double responseTimeoutMs, double fullListTimeoutMs) {
 
-    /** The time within which the whole list is complete: a crowded discovery rejects what has waited for 2 s. */
+    /** The timeout of a poll for the whole list; an overloaded discovery rejects polls that have waited for 2 s. */
     public static final int FULL_LIST_TIMEOUT_MS = 3_000;
 
-    /** The time within which a connection is established. */
+    /** The timeout for establishing a connection to discovery. */
     static final int CONNECT_TIMEOUT_MS = 2_000;
 
-    /** How long discovery waits for changes where it is to tell at once whether there are any. */
+    /** The wait of a poll that discovery answers at once, whether or not there is a newer version. */
     private static final int NO_WAIT_MS = 1;
 
-    /** The time within which a poll for the state of now is answered; a discovery rejects one that waited for 2 s. */
-    private static final int CURRENT_STATE_TIMEOUT_MS = 3_000;
+    /** The timeout of a poll without a wait; an overloaded discovery rejects polls that have waited for 2 s. */
+    private static final int NO_WAIT_TIMEOUT_MS = 3_000;
 
-    /**
-     * Bounds of the wait. A longer wait would show late that a watch is broken; a shorter one would not show it sooner
-     * to the operators' check, which counts a missed change as notified 6 s after the watch broke at the earliest.
-     */
+    /** The maximum wait of a watch. A longer wait would delay the detection of a broken watch. */
     static final int MAX_WAIT_MS = 20_000;
 
+    /**
+     * The minimum wait of a watch. A shorter wait would have no benefit: the operators' check counts a change that a
+     * broken watch misses as notified 6 s after the watch broke at the earliest.
+     */
     static final int MIN_WAIT_MS = 4_000;
     /**
-     * A change that a broken watch misses counts as notified 2 s after its wait: half of that is for noticing, the
-     * other half for polling again and for the response.
+     * The response timeout of a watch. A change that a broken watch misses counts as notified 2 s after the end of the
+     * wait: one half of that is for detecting the broken watch, the other half for the next poll and its response.
      */
     static final int RESPONSE_TIMEOUT_MS = 1_000;
     /**
-     * A local agent responds at once and at no cost, and what it has counts as notified: after an outage it has to be
-     * heard well within the grace of a drain.
+     * The wait of a poll of the local agent. The agent responds at once and polls of it are cheap. Its changes count as
+     * notified, so after an outage its list has to arrive well within the grace period of a drain.
      */
     private static final int AGENT_WAIT_MS = 300;
 
     private static final int AGENT_RESPONSE_TIMEOUT_MS = 100;
 
     /**
-     * The timing of the next poll. Where the list is polled, discovery waits one to two poll intervals, at random:
-     * watches that broke or ended together must not come back together. It costs no more polls than the settings allow.
+     * Returns the timing of the next poll. If lists are polled, the wait is one to two poll intervals at random, so
+     * that watches that broke or ended together do not restart together. This needs no more polls than the settings
+     * allow.
      */
     public static PollTiming next(BalancerSettings settings, SplittableRandom random) {
         if (!settings.pollsEndpointList()) {
@@ -58,17 +60,18 @@
         return new PollTiming(boundedMs, RESPONSE_TIMEOUT_MS, FULL_LIST_TIMEOUT_MS);
     }
 
-    /** Whether discovery answers at once, whatever there is to tell. */
+    /** Returns whether discovery answers at once, whether or not there is a newer version. */
     boolean isWithoutWait() {
         return waitMs == NO_WAIT_MS;
     }
 
     /**
-     * The timing of a poll that discovery answers at once, also where nothing is newer: until one has been answered it
-     * is unknown whether the list is current. A poll that is given up while it waits for its turn has to wait anew.
+     * Returns the timing of a poll that discovery answers at once, even if there is no newer version. Until such a poll
+     * has been answered it is unknown whether the list is current. The timeout exceeds the time that a poll may spend
+     * in the queue of discovery, because a poll that is aborted there has to queue again.
      */
     PollTiming withoutWait() {
         boolean isAgent = waitMs < MIN_WAIT_MS;
-        return isAgent ? this : new PollTiming(NO_WAIT_MS, CURRENT_STATE_TIMEOUT_MS, fullListTimeoutMs);
+        return isAgent ? this : new PollTiming(NO_WAIT_MS, NO_WAIT_TIMEOUT_MS, fullListTimeoutMs);
     }
 }
--- a/sidecar/src/main/java/martenlatch/discovery/package-info.java
+++ b/sidecar/src/main/java/martenlatch/discovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Polling and watching the endpoint list of discovery, and decoding it.
- * May depend on the request package's types, the policy's contract, the configuration's checks, numeric and Netty.
+ * Polls, watches and decodes the endpoint list of discovery.
+ * May depend on {@code request}, {@code policy.api}, {@code config}, {@code net}, {@code numeric} and Netty.
  */
 package martenlatch.discovery;
