--- a/sidecar/src/main/java/martenlatch/request/BalancerEventQueue.java
+++ b/sidecar/src/main/java/martenlatch/request/BalancerEventQueue.java
@@ -5,13 +5,14 @@
 import java.util.function.Consumer;
 
 /**
- * The events of a load balancer, in order. What is raised while the balancer handles an event waits until it has
- * returned: the balancer is never called from within its own call.
+ * Dispatches events to a load balancer in order. Events that are enqueued while the balancer handles another event wait
+ * until it has returned, so that the balancer is never called re-entrantly.
  */
 final class BalancerEventQueue {
 
-    /** An event, told the time at which the balancer hears of it. */
+    /** An event for the load balancer. */
     interface Event {
+        /** Passes the event to the balancer; {@code nowMs} is the time of dispatch, not of {@link #enqueue}. */
         void dispatch(double nowMs);
     }
 
@@ -27,9 +28,9 @@
     /**
      * Creates an empty queue.
      *
-     * @param onException hears of each exception that the balancer throws
-     * @param onFailure hears of each request whose event it failed to handle
-     * @param afterDispatch hears of each request after its event
+     * @param onException called with each exception that the balancer throws
+     * @param onFailure called with each request whose event the balancer failed to handle
+     * @param afterDispatch called with each request after its event was dispatched
      */
     BalancerEventQueue(
             Scheduler scheduler,
@@ -42,12 +43,12 @@
         this.afterDispatch = afterDispatch;
     }
 
-    /** Adds an event that concerns no single request. */
+    /** Enqueues an event that does not belong to a request. */
     void enqueue(Event event) {
         enqueue(null, event);
     }
 
-    /** Adds an event of a request; it is dispatched before this returns, unless another one is being dispatched. */
+    /** Enqueues an event of a request; dispatches it before returning unless another one is being dispatched. */
     void enqueue(PendingRequest request, Event event) {
         events.add(new QueuedEvent(request, event));
         if (dispatching) {
--- a/sidecar/src/main/java/martenlatch/request/EndpointConnections.java
+++ b/sidecar/src/main/java/martenlatch/request/EndpointConnections.java
@@ -1,14 +1,14 @@
 package martenlatch.request;
 
-/** What knows where endpoints listen and keeps connections to them. */
+/** Knows the addresses of endpoints and keeps connections to them. */
 public interface EndpointConnections {
 
-    /** Takes over an endpoint list, before the load balancer hears of it. */
+    /** Applies an endpoint list; called before the load balancer is notified of it. */
     void update(EndpointList list);
 
     /**
-     * The load balancer has heard of the list: attempts that still wait for a connection to an endpoint that takes
-     * nothing new any more, or is another process now, end as {@code NOT_EXECUTED}.
+     * Ends attempts as {@code NOT_EXECUTED} that still wait for a connection to an endpoint which accepts no new
+     * requests or was replaced by another process. Called after the load balancer was notified of the list.
      */
     void withdrawAttempts();
 
--- a/sidecar/src/main/java/martenlatch/request/EndpointList.java
+++ b/sidecar/src/main/java/martenlatch/request/EndpointList.java
@@ -5,38 +5,38 @@
 import martenlatch.policy.api.Endpoint;
 
 /**
- * A list of endpoints, or changes to one.
+ * The whole list of endpoints, or changes to it.
  *
- * @param version the version that discovery gave it
- * @param full whether it is a whole list: what it does not name is gone
- * @param entries the endpoints
+ * @param version the version that discovery assigned
+ * @param full whether this is the whole list, in which case endpoints that are not in it are gone
+ * @param entries the endpoints, or those that have changed
  */
 public record EndpointList(long version, boolean full, List<Entry> entries) {
 
     /**
-     * An endpoint and where it listens.
+     * An endpoint and its address.
      *
      * @param endpoint the endpoint
-     * @param address null for one that is gone
+     * @param address the address on which it listens, or null if it is gone
      */
     public record Entry(Endpoint endpoint, InetSocketAddress address) {}
 
-    /** Hears what comes of polls for such lists. */
+    /** Receives the results of polls for endpoint lists. */
     public interface Listener {
-        /** A list has come. */
+        /** Called when a list arrives. */
         void onEndpointList(EndpointList list);
 
-        /** The list that has come was all that was polled for, and the next poll is to be started by the listener. */
+        /** Called when a poll is complete and no further one was sent; the listener has to start the next poll. */
         void onPollCompleted();
 
-        /** The poll has failed, and is to be started again by the listener. */
+        /** Called when a poll fails; the listener has to start the next poll. */
         void onPollFailed(PollFailure failure);
 
-        /** Discovery is at another address, and polling is to be started there by the listener. */
+        /** Called when discovery has moved to another address; the listener has to start polling there. */
         void onDiscoveryMoved();
     }
 
-    /** The endpoints without their addresses, as the load balancer takes them. */
+    /** Returns the endpoints without their addresses, for the load balancer. */
     public List<Endpoint> endpoints() {
         return entries.stream().map(Entry::endpoint).toList();
     }
--- a/sidecar/src/main/java/martenlatch/request/EndpointResponse.java
+++ b/sidecar/src/main/java/martenlatch/request/EndpointResponse.java
@@ -5,14 +5,14 @@
 /**
  * A final response of an endpoint.
  *
- * @param status the HTTP status
- * @param notExecuted whether it says that the request was never begun
- * @param keepAlive whether its connection may be used again
- * @param contentType null where it has none
- * @param body empty where a proxy passes it on by itself, or where there is a remaining body
- * @param remainingBody what is passed on as it comes, or null where the body is complete
+ * @param status the HTTP status code
+ * @param notExecuted whether the response says that the endpoint did not begin to execute the request
+ * @param keepAlive whether the connection can be reused
+ * @param contentType the content type, or null if the response has none
+ * @param body the complete body; empty if a proxy forwards the body by itself or if there is a remaining body
+ * @param remainingBody the body that is forwarded while it arrives, or null if the body is complete
  */
-@SuppressWarnings("ArrayRecordComponent") // bodies are passed on without a copy, and responses are not compared
+@SuppressWarnings("ArrayRecordComponent") // bodies are forwarded without a copy, and responses are never compared
 public record EndpointResponse(
         int status,
         boolean notExecuted,
@@ -31,12 +31,12 @@
         this(status, notExecuted, keepAlive, contentType, body, null);
     }
 
-    /** How an attempt ended that got this response. */
+    /** Returns the outcome of an attempt that got this response. */
     public AttemptOutcome outcome() {
         return outcome(status, notExecuted);
     }
 
-    /** How an attempt ended that got a response with this status and word on execution. */
+    /** Returns the outcome of an attempt whose response has this status and execution flag. */
     public static AttemptOutcome outcome(int status, boolean notExecuted) {
         if (status == OK) {
             return AttemptOutcome.OK;
@@ -44,8 +44,8 @@
         if ((status == SERVICE_UNAVAILABLE || status == GATEWAY_TIMEOUT) && notExecuted) {
             return AttemptOutcome.REJECTED_QUEUE_FULL;
         }
-        // A 4xx rejects the request for what it is, which says nothing about the endpoint. But 429 passed on would
-        // tell the client that the request was not executed, and nothing here says so.
+        // A 4xx status means that the request itself is invalid, which says nothing about the endpoint. 429 counts as a
+        // failure: passing it on would tell the client that the request was not executed, which is not known here.
         boolean invalidRequest = status >= 400 && status < 500 && status != TOO_MANY_REQUESTS;
         return invalidRequest ? AttemptOutcome.NOT_EXECUTED : AttemptOutcome.FAILED;
     }
--- a/sidecar/src/main/java/martenlatch/request/PendingAttempt.java
+++ b/sidecar/src/main/java/martenlatch/request/PendingAttempt.java
@@ -6,15 +6,15 @@
     final int number;
     final String endpointId;
     final double timeoutMs;
-    /** When its time began: when it was sent, or when its request was complete, if that was later. */
+    /** The time at which the attempt was sent or its request was complete, whichever was later. */
     double startedAtMs;
-    /** Null until the transport has taken it. */
+    /** The attempt as the transport knows it; null until {@link Transport#send} has returned. */
     Transport.Attempt transportAttempt;
-    /** Null where no time of it passes yet. */
+    /** Null until the timeout of the attempt starts to run. */
     Scheduler.Timer timeoutTimer;
 
     boolean ended;
-    /** It is known that it was not executed and never will be. */
+    /** Whether it is known that the attempt was not and never will be executed. */
     boolean neverExecuted;
 
     PendingAttempt(int number, String endpointId, double startedAtMs, double timeoutMs) {
@@ -24,7 +24,10 @@
         this.timeoutMs = timeoutMs;
     }
 
-    /** Ends it if it is not written yet; true if so. While the transport takes it, the transport has to end it. */
+    /**
+     * Withdraws the attempt if it is not written completely yet, and returns whether it did. Returns false during
+     * {@link Transport#send}, as the transport has to end the attempt then.
+     */
     boolean withdraw() {
         return !ended && transportAttempt != null && transportAttempt.withdraw();
     }
--- a/sidecar/src/main/java/martenlatch/request/PendingRequest.java
+++ b/sidecar/src/main/java/martenlatch/request/PendingRequest.java
@@ -6,30 +6,33 @@
 import martenlatch.policy.api.Request;
 import martenlatch.policy.api.RequestClass;
 
-/** A request that has no final answer yet, or still has attempts that the load balancer was not told the end of. */
+/** A request that has no final answer yet, or has attempts whose end was not reported to the load balancer yet. */
 final class PendingRequest {
 
-    /** The rest of a deduplication window is reserved for the way to the endpoint. */
-    private static final double WINDOW_SHARE = 0.95;
+    /**
+     * The share of a deduplication window within which attempts are written; the rest is reserved for the transfer to
+     * the endpoint.
+     */
+    private static final double DEDUPLICATION_WINDOW_SHARE = 0.95;
 
     final Request request;
     final Transport transport;
     final ResponseListener listener;
-    /** As the settings were when the request came. */
+    /** The request class according to the settings at the arrival of the request. */
     final RequestClass requestClass;
 
     final int maxAttempts;
     final List<PendingAttempt> attempts = new ArrayList<>(2);
     final double acceptedAtMs;
-    /** When the client stops waiting; its time does not begin before the last byte of the request has come. */
+    /** The time at which the client stops waiting; moves while the body is incomplete. */
     double deadlineMs;
 
     Scheduler.Timer deadlineTimer;
-    /** The last byte of the request has not come yet. */
+    /** Whether the last byte of the request is still to arrive. */
     boolean bodyIncomplete;
-    /** It has its final answer, or its client has disconnected. */
+    /** Whether the request got its final answer or its client disconnected. */
     boolean concluded;
-    /** Attempts whose end the load balancer was not told yet. */
+    /** The number of attempts whose end was not reported to the load balancer yet. */
     int attemptsInFlight;
 
     PendingRequest(
@@ -51,27 +54,28 @@
         return request.id();
     }
 
-    /** Whether nothing more can come of it. */
-    boolean isOver() {
+    /** Returns whether the request is concluded and all its attempts have been reported. */
+    boolean isFinished() {
         return concluded && attemptsInFlight == 0;
     }
 
     /**
-     * The time after which no further attempt may be written. The decision is made in time, but a connection that is
-     * established late would carry it out when the endpoints have forgotten the first execution.
+     * Returns the time after which no further attempt may be written; infinite if the request has no deduplication
+     * window or no attempt that may have been executed. The balancer decides within the window, but if a connection is
+     * established late, the attempt could be written when the endpoints no longer remember the first execution.
      */
     double notAfterMs() {
         if (requestClass.usesIdempotencyKey()) {
             for (PendingAttempt attempt : attempts) {
                 if (!attempt.neverExecuted) {
-                    return attempt.startedAtMs + requestClass.deduplicationWindowMs() * WINDOW_SHARE;
+                    return attempt.startedAtMs + requestClass.deduplicationWindowMs() * DEDUPLICATION_WINDOW_SHARE;
                 }
             }
         }
         return Double.POSITIVE_INFINITY;
     }
 
-    /** How long an attempt will still be waited for; no time of it passes while the request is incomplete. */
+    /** Returns the time until the attempt times out; its full timeout while the body is incomplete. */
     double remainingMs(PendingAttempt attempt, double nowMs) {
         return bodyIncomplete
                 ? attempt.timeoutMs
--- a/sidecar/src/main/java/martenlatch/request/PollFailure.java
+++ b/sidecar/src/main/java/martenlatch/request/PollFailure.java
@@ -1,9 +1,9 @@
 package martenlatch.request;
 
-/** How a poll of discovery failed. */
+/** The reason why a poll of discovery failed. */
 public enum PollFailure {
-    /** No connection to discovery was established. */
+    /** No connection to discovery could be established. */
     UNREACHABLE,
-    /** Discovery rejected the poll, did not answer in time, or ended the connection. */
+    /** Discovery rejected the poll, did not respond in time, or closed the connection. */
     REJECTED
 }
--- a/sidecar/src/main/java/martenlatch/request/RateLimitedLogger.java
+++ b/sidecar/src/main/java/martenlatch/request/RateLimitedLogger.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A log that writes at most one line a second of each category, as failures come by the thousand. */
+/** Logs at most one line per second for each category, as an outage can cause thousands of failures. */
 public final class RateLimitedLogger {
 
     private static final double INTERVAL_MS = 1000;
@@ -19,13 +19,13 @@
     private final PrintStream out;
     private final Map<String, Category> categories = new HashMap<>();
 
-    /** Creates a log on a stream. */
+    /** Creates a logger that writes to a stream. */
     public RateLimitedLogger(Scheduler scheduler, PrintStream out) {
         this.scheduler = scheduler;
         this.out = out;
     }
 
-    /** Logs what happened, unless a line of this category was written within the last second. */
+    /** Logs a line, or counts it as suppressed if one of this category was written within the last second. */
     public void log(String category, Object detail) {
         Category state = categories.computeIfAbsent(category, name -> new Category());
         double now = scheduler.now();
@@ -39,15 +39,15 @@
         state.suppressed = 0;
     }
 
-    /** Logs an exception that shows a fault of this program, with the place where it was thrown. */
+    /** Logs an exception that indicates a bug in this program, with the two innermost stack frames. */
     public void logException(String category, Throwable exception) {
         StackTraceElement[] trace = exception.getStackTrace();
-        String place = trace.length == 0 ? "" : " at " + trace[0];
+        String thrownAt = trace.length == 0 ? "" : " at " + trace[0];
         String caller = trace.length <= 1 ? "" : ", " + trace[1];
-        log(category, exception + place + caller);
+        log(category, exception + thrownAt + caller);
     }
 
-    /** Logs a line without a limit; the caller sees to its rate. */
+    /** Logs a line without a rate limit; the caller limits the rate. */
     public void info(Object line) {
         out.println(PREFIX + line);
     }
--- a/sidecar/src/main/java/martenlatch/request/RemainingBody.java
+++ b/sidecar/src/main/java/martenlatch/request/RemainingBody.java
@@ -1,26 +1,26 @@
 package martenlatch.request;
 
-/** The part of a response body that is still to come, and is passed on as it comes. */
+/** The part of a response body that is still to arrive and is forwarded while it arrives. */
 public interface RemainingBody {
 
-    /** Receives the parts of a body, in order, and its end, once. */
+    /** Receives the parts of a body in order, then its end once. */
     interface Receiver {
-        /** The next part; it belongs to the receiver from now on. */
+        /** Called with the next part; the receiver owns the array from now on. */
         void onPart(byte[] bytes);
 
-        /** The body has ended, complete or cut short; a client must be able to tell which. */
+        /** Called when the body has ended, complete or truncated; the client must be able to tell the difference. */
         void onEnd(boolean complete);
     }
 
-    /** The length of the whole body in bytes, or -1 where only its end tells. */
+    /** Returns the length of the whole body in bytes, or -1 if it is not known before the end. */
     long length();
 
-    /** From now on parts go to {@code receiver}, those first that have come already; to be called once. */
+    /** Passes the parts that have arrived and all further ones to {@code receiver}; must be called only once. */
     void transferTo(Receiver receiver);
 
-    /** Stops the body from coming, or lets it come again. */
+    /** Pauses or resumes reading the body. */
     void pause(boolean paused);
 
-    /** Nobody waits for it any more; no end is told. */
+    /** Discards the rest of the body; the receiver is not called any more. */
     void abandon();
 }
--- a/sidecar/src/main/java/martenlatch/request/RequestObserver.java
+++ b/sidecar/src/main/java/martenlatch/request/RequestObserver.java
@@ -3,35 +3,35 @@
 import martenlatch.policy.api.AttemptOutcome;
 import martenlatch.policy.api.Request;
 
-/** Hears of every decision and how it ended, in order; it must not act on what it hears. */
+/** Notified of every decision and its result, in order; must not influence the requests. */
 public interface RequestObserver {
 
     /** How a request was concluded. */
     enum Conclusion {
-        /** With an endpoint's response. */
+        /** Served with an endpoint's response. */
         SERVED,
-        /** With an endpoint's word that the request is invalid. */
+        /** An endpoint reported that the request is invalid. */
         TURNED_AWAY,
-        /** Rejected by this side; a retry does no harm. */
+        /** Rejected by the load balancer without being executed; a retry is safe. */
         REFUSED,
-        /** Failed. */
+        /** Failed; it is unknown whether the request was executed. */
         FAILED,
-        /** Without an answer: its client has disconnected. */
+        /** Not answered, as the client has disconnected. */
         GONE
     }
 
-    /** Hears everything and keeps nothing. */
+    /** An observer that ignores everything. */
     RequestObserver NONE = new RequestObserver() {};
 
-    /** A request was accepted. */
+    /** Called when a request is accepted. */
     default void onRequest(Request request) {}
 
-    /** An attempt was decided on; attempts count from 0, the time-out is in milliseconds. */
+    /** Called when an attempt is started; attempts of a request are numbered from 0. */
     default void onAttemptStarted(String requestId, int attempt, String endpointId, double timeoutMs) {}
 
-    /** An attempt has ended. */
+    /** Called when an attempt has ended. */
     default void onAttemptFinished(String requestId, int attempt, AttemptOutcome outcome) {}
 
-    /** A request was concluded; the time to wait, in milliseconds, is above 0 only with a rejection. */
+    /** Called when a request is concluded; {@code retryAfterMs} is above 0 only for a rejection. */
     default void onConcluded(String requestId, Conclusion conclusion, double retryAfterMs) {}
 }
--- a/sidecar/src/main/java/martenlatch/request/RequestTracker.java
+++ b/sidecar/src/main/java/martenlatch/request/RequestTracker.java
@@ -17,20 +17,20 @@
 import martenlatch.request.RequestObserver.Conclusion;
 
 /**
- * The host of the load balancer: the table of pending requests and their attempts. It carries out what the balancer
- * decides, tells it what comes of that, and makes sure that each request gets exactly one final answer.
+ * Hosts the load balancer and keeps the table of pending requests and their attempts. It executes the balancer's
+ * decisions, reports their results to it, and guarantees that each request gets exactly one final answer.
  */
 public final class RequestTracker implements BalancerActions, EndpointList.Listener {
 
-    /** A request that nothing has concluded fails so long after its deadline. */
+    /** The time after its deadline at which a request fails if the balancer has not concluded it. */
     private static final double DEADLINE_SLACK_MS = 5;
-    /** Where lists are pushed, the local agent is polled again after this pause when a poll has failed. */
+    /** The delay before the local agent is polled again after a failed poll, used if lists are pushed. */
     private static final int PUSHED_LIST_RETRY_MS = 100;
 
     private final Scheduler scheduler;
     private final RateLimitedLogger logger;
     private final EndpointConnections connections;
-    /** Starts a watch on the endpoint list. */
+    /** Starts a poll of the endpoint list, or a watch if its version is known. */
     private final Runnable pollEndpointList;
 
     private final RequestObserver observer;
@@ -43,10 +43,10 @@
     /**
      * Creates a tracker without requests.
      *
-     * @param pollEndpointList starts a watch on the endpoint list
-     * @param seed for the balancer's random choices
-     * @param known an endpoint list from before this process, perhaps old
-     * @param observer hears of every decision
+     * @param pollEndpointList starts a poll of the endpoint list
+     * @param seed the seed of the balancer's random choices
+     * @param cachedEndpointList the endpoint list from the configuration, which may be outdated
+     * @param observer notified of every decision
      */
     public RequestTracker(
             Scheduler scheduler,
@@ -55,7 +55,7 @@
             Runnable pollEndpointList,
             BalancerSettings settings,
             long seed,
-            EndpointList known,
+            EndpointList cachedEndpointList,
             RequestObserver observer) {
         this.scheduler = scheduler;
         this.logger = logger;
@@ -63,41 +63,42 @@
         this.pollEndpointList = pollEndpointList;
         this.settings = settings;
         this.observer = observer;
-        events = new BalancerEventQueue(scheduler, this::logBalancerFailure, this::failUnhandled, this::removeIfOver);
+        events = new BalancerEventQueue(
+                scheduler, this::logBalancerFailure, this::failUnhandled, this::removeIfFinished);
         balancer = new LoadBalancer(settings, seed, this);
-        applyList(EndpointListKind.CACHED, known);
+        applyList(EndpointListKind.CACHED, cachedEndpointList);
         if (!settings.pollsEndpointList()) {
             pollEndpointList.run();
         }
     }
 
-    /** Whether any list has named an endpoint so far. */
+    /** Returns whether any endpoint list so far contained an endpoint. */
     public boolean knowsEndpoints() {
         return knowsEndpoints;
     }
 
-    /** The number of requests in the table. */
+    /** Returns the number of pending requests. */
     public int pendingRequests() {
         return pending.size();
     }
 
-    /** Whether a request with this id is in the table. */
+    /** Returns whether a request with this id is pending. */
     public boolean isPending(String requestId) {
         return pending.containsKey(requestId);
     }
 
-    /** Applies settings to the requests from now on; requests refer to their classes by index. */
+    /** Applies new settings to requests that arrive from now on; requests refer to their class by its index. */
     public void applySettings(BalancerSettings next) {
         settings = next;
         events.enqueue(now -> balancer.onSettingsChanged(now, next));
     }
 
-    /** Operators have disabled these endpoints, and no others. */
+    /** Replaces the set of endpoints that operators have disabled. */
     public void disableEndpoints(Set<String> endpointIds) {
         events.enqueue(now -> balancer.onEndpointsDisabled(now, endpointIds));
     }
 
-    // ---- requests and their clients ----
+    // ---- Requests and clients ----
 
     /** Accepts a complete request. */
     public void accept(Request request, Transport transport, ResponseListener listener) {
@@ -105,8 +106,9 @@
     }
 
     /**
-     * Accepts a request. While its body is incomplete no time of it passes and no attempt times out; its deadline is
-     * told as if it were complete, and moves until {@link #onRequestComplete}.
+     * Accepts a request whose body may still be arriving. While the body is incomplete, neither the deadline nor the
+     * timeout of an attempt expires. The deadline of the request is given as if the body were complete, and is extended
+     * by the time that passes until {@link #onRequestComplete}.
      */
     public void accept(Request request, Transport transport, ResponseListener listener, boolean bodyIncomplete) {
         PendingRequest accepted = new PendingRequest(request, scheduler.now(), settings, transport, listener);
@@ -119,7 +121,10 @@
         events.enqueue(accepted, now -> balancer.onRequest(now, request));
     }
 
-    /** The last byte of a request has come: its time begins, and its deadline is {@code latestMs} at the latest. */
+    /**
+     * Called when the last byte of a request has arrived. Starts the timers of the request and its attempts; its
+     * deadline is {@code latestMs} at the latest.
+     */
     public void onRequestComplete(String requestId, double latestMs) {
         PendingRequest request = pending.get(requestId);
         if (request == null || !request.bodyIncomplete) {
@@ -140,8 +145,8 @@
     }
 
     /**
-     * This process ends: every pending request gets its final answer by {@code latestMs}, however long its client
-     * would wait. The deadline of an incomplete request is capped by {@link #onRequestComplete}.
+     * Caps the deadline of every pending request at {@code latestMs}, so that each gets its final answer before the
+     * process exits. The deadline of an incomplete request is capped by {@link #onRequestComplete}.
      */
     public void capDeadlines(double latestMs) {
         for (PendingRequest request : pending.values()) {
@@ -163,7 +168,7 @@
         }
     }
 
-    /** The client's connection has ended before the final answer. */
+    /** Called when the client's connection ends before the final answer. */
     public void onClientDisconnected(String requestId) {
         PendingRequest request = pending.get(requestId);
         if (request == null || request.concluded) {
@@ -173,20 +178,20 @@
         events.enqueue(request, now -> balancer.onClientDisconnected(now, requestId));
         for (PendingAttempt attempt : List.copyOf(request.attempts)) {
             if (request.bodyIncomplete) {
-                // The request will never be complete: no attempt of it can be executed any more.
+                // The body will never be complete, so no attempt of the request can be executed.
                 giveUp(request, attempt, AttemptOutcome.CANCELED);
             } else if (attempt.withdraw()) {
-                // The settings tell whether an attempt that was sent may be cancelled; this one was not sent.
+                // This attempt was not sent, so it ends whether or not the settings allow attempts to be cancelled.
                 finish(request, attempt, AttemptOutcome.NOT_EXECUTED);
             }
         }
     }
 
     /**
-     * Looks whether the client is still connected: its end may have come while the event loop was busy with others.
-     * While a request is incomplete its connection is being read, and shows its end by that.
+     * Checks whether the client is still connected, as it may have disconnected while the event loop was busy. Not
+     * needed while the body is incomplete: the connection is then being read, which reports a disconnect by itself.
      */
-    private void checkClient(PendingRequest request) {
+    private void detectDisconnectedClient(PendingRequest request) {
         if (!request.concluded && !request.bodyIncomplete && !request.listener.isConnected()) {
             onClientDisconnected(request.id());
         }
@@ -204,7 +209,7 @@
         }
     }
 
-    /** Fails a request without the load balancer, and tells the balancer that it owes no answer any more. */
+    /** Fails a request without a decision of the load balancer, and reports it to the balancer as disconnected. */
     private void failWithoutBalancer(PendingRequest request) {
         conclude(request, Conclusion.FAILED, 0);
         request.listener.onFailed();
@@ -221,13 +226,13 @@
         }
     }
 
-    private void removeIfOver(PendingRequest request) {
-        if (request.isOver()) {
+    private void removeIfFinished(PendingRequest request) {
+        if (request.isFinished()) {
             pending.remove(request.id());
         }
     }
 
-    // ---- endpoint lists ----
+    // ---- Endpoint lists ----
 
     @Override
     public void onEndpointList(EndpointList list) {
@@ -268,7 +273,7 @@
         }
     }
 
-    // ---- attempts ----
+    // ---- Attempts ----
 
     @Override
     public void forward(String requestId, String endpointId, double timeoutMs) {
@@ -277,7 +282,7 @@
             logger.log("an attempt for a request that is not pending", requestId);
             return;
         }
-        checkClient(request);
+        detectDisconnectedClient(request);
         double now = scheduler.now();
         double remainingMs = request.deadlineMs - (request.bodyIncomplete ? request.acceptedAtMs : now);
         double waitMs = timeoutMs == 0 ? remainingMs : Math.min(timeoutMs, remainingMs);
@@ -302,22 +307,22 @@
         try {
             attempt.transportAttempt = request.transport.send(
                     attempt.endpointId,
-                    new AttemptConditions(request, attempt),
+                    new AttemptWriteConditions(request, attempt),
                     notAfterMs,
                     (outcome, response) -> onResponse(request, attempt, outcome, response));
         } catch (RuntimeException e) {
-            // How far it came is not known, so it may have been executed; the balancer has to hear of its end.
+            // It is unknown how much was sent, so the attempt counts as possibly executed and its end is reported.
             logger.logException("sending failed", e);
             finish(request, attempt, AttemptOutcome.RESET);
         }
     }
 
-    /** What the transport asks just before it writes an attempt. */
-    private final class AttemptConditions implements Transport.WriteConditions {
+    /** The conditions that the transport checks just before it writes an attempt. */
+    private final class AttemptWriteConditions implements Transport.WriteConditions {
         private final PendingRequest request;
         private final PendingAttempt attempt;
 
-        AttemptConditions(PendingRequest request, PendingAttempt attempt) {
+        AttemptWriteConditions(PendingRequest request, PendingAttempt attempt) {
             this.request = request;
             this.attempt = attempt;
         }
@@ -329,7 +334,7 @@
 
         @Override
         public boolean isClientConnected() {
-            checkClient(request);
+            detectDisconnectedClient(request);
             return !request.concluded;
         }
     }
@@ -341,15 +346,15 @@
     private void onResponse(
             PendingRequest request, PendingAttempt attempt, AttemptOutcome outcome, EndpointResponse response) {
         if (response != null && !request.concluded) {
-            passOn(request, outcome, response);
+            deliver(request, outcome, response);
         } else if (response != null && response.remainingBody() != null) {
             response.remainingBody().abandon();
         }
         finish(request, attempt, outcome);
     }
 
-    /** Passes a response on if it is the final answer to its request. */
-    private void passOn(PendingRequest request, AttemptOutcome outcome, EndpointResponse response) {
+    /** Passes a response to the client if it is the final answer to the request. */
+    private void deliver(PendingRequest request, AttemptOutcome outcome, EndpointResponse response) {
         if (outcome == AttemptOutcome.OK) {
             conclude(request, Conclusion.SERVED, 0);
             request.listener.onServed(response);
@@ -359,7 +364,7 @@
         }
     }
 
-    /** Stops waiting for an attempt. One that was not written completely is known not to have been executed. */
+    /** Stops waiting for an attempt. An attempt that was not written completely is reported as not executed. */
     private void giveUp(PendingRequest request, PendingAttempt attempt, AttemptOutcome outcome) {
         if (!attempt.ended) {
             boolean mayBeExecuted = attempt.transportAttempt.giveUp();
@@ -398,7 +403,7 @@
         observer.onConcluded(request.id(), conclusion, retryAfterMs);
     }
 
-    // ---- other actions of the load balancer ----
+    // ---- Other actions of the load balancer ----
 
     @Override
     public void reject(String requestId, double retryAfterMs) {
--- a/sidecar/src/main/java/martenlatch/request/ResponseListener.java
+++ b/sidecar/src/main/java/martenlatch/request/ResponseListener.java
@@ -1,25 +1,25 @@
 package martenlatch.request;
 
 /**
- * Takes the final answer to a request. Exactly one of its answering methods is called, once, unless the client
+ * Receives the final answer to a request. Exactly one of the {@code on...} methods is called, once, unless the client
  * disconnects first.
  */
 public interface ResponseListener {
 
-    /** Whether the client is still connected, by a look at its connection now. */
+    /** Returns whether the client is connected, by checking the state of its connection now. */
     default boolean isConnected() {
         return true;
     }
 
-    /** Served: an endpoint's response, to be passed on unchanged. */
+    /** Called when the request was served; the endpoint's response is passed on unchanged. */
     void onServed(EndpointResponse response);
 
-    /** An endpoint has rejected the request for what it is, with a status 4xx; no other endpoint would take it. */
+    /** Called when an endpoint found the request invalid, with a 4xx status; other endpoints would do the same. */
     void onInvalidRequest(int status);
 
-    /** Rejected: a retry does no harm, and may help after so many milliseconds; 0 tells no time. */
+    /** Called when the request was rejected unexecuted; a retry is safe after {@code retryAfterMs}, 0 if unknown. */
     void onRejected(double retryAfterMs);
 
-    /** Failed; it says nothing about whether the request was executed. */
+    /** Called when the request failed; it is unknown whether it was executed. */
     void onFailed();
 }
--- a/sidecar/src/main/java/martenlatch/request/Scheduler.java
+++ b/sidecar/src/main/java/martenlatch/request/Scheduler.java
@@ -1,21 +1,21 @@
 package martenlatch.request;
 
 /**
- * The clock of a process and its timers. The clock never runs backwards, and is set to Unix time once at the start,
- * because discovery tells in Unix time when an endpoint started. Every method is called, and every task runs, on the
- * one thread that owns the state.
+ * The clock and timers of a process. The clock is set to Unix time once at startup, because discovery reports the start
+ * times of endpoints in Unix time, and is monotonic after that. Every method is called and every task runs on the
+ * single thread that owns the state.
  */
 public interface Scheduler {
 
-    /** A task that has not run yet. */
+    /** A scheduled task. */
     interface Timer {
-        /** Forgets the task; it is no error if it has run already. */
+        /** Cancels the task; has no effect if it has run already. */
         void cancel();
     }
 
-    /** Milliseconds since 1970, with fractions. */
+    /** Returns the time in milliseconds since the Unix epoch, with fractions. */
     double now();
 
-    /** Runs a task after so many milliseconds; 0 and less mean as soon as possible, but not before this returns. */
+    /** Runs a task after a delay in milliseconds; never before this method returns, even if the delay is 0 or less. */
     Timer after(double delayMs, Runnable task);
 }
--- a/sidecar/src/main/java/martenlatch/request/Transport.java
+++ b/sidecar/src/main/java/martenlatch/request/Transport.java
@@ -2,30 +2,30 @@
 
 import martenlatch.policy.api.AttemptOutcome;
 
-/** Sends the attempts of one request: on own connections, or through a calling proxy. It never retries by itself. */
+/** Sends the attempts of one request on its own connections or through a calling proxy. Never retries by itself. */
 public interface Transport {
 
     /** An attempt that was started. */
     interface Attempt {
-        /** Stops waiting for a response; true if the request may have been executed, or may yet be. */
+        /** Stops waiting for a response; returns true if the request may have been or may still be executed. */
         boolean giveUp();
 
-        /** Ends the attempt if its last byte is not written yet; true if so, and then it is never executed. */
+        /** Ends the attempt if its last byte is not written yet; returns true if so, as it is then never executed. */
         boolean withdraw();
     }
 
-    /** Hears how an attempt ended: once, and never after {@link Attempt#giveUp}. */
+    /** Notified of the end of an attempt: at most once, and never after {@link Attempt#giveUp}. */
     interface AttemptListener {
-        /** The attempt has ended; the response is null where none came. */
+        /** Called when the attempt has ended; the response is null if none arrived. */
         void onAttemptFinished(AttemptOutcome outcome, EndpointResponse response);
     }
 
-    /** What holds of an attempt at the moment in which it is written, which may be long after the decision. */
+    /** The conditions of an attempt at the time when it is written, which may be long after the decision. */
     interface WriteConditions {
-        /** How long a response will still be waited for, in milliseconds. */
+        /** Returns the time left until the attempt times out, in milliseconds. */
         double remainingMs();
 
-        /** Whether its client is still connected, by a look at its connection now; if not, the attempt is withdrawn. */
+        /** Checks whether the client is still connected; if not, withdraws the attempt and returns false. */
         boolean isClientConnected();
     }
 
@@ -33,10 +33,10 @@
      * Sends the request to an endpoint, once. The attempt may end before this returns.
      *
      * @param endpointId the endpoint's id
-     * @param conditions to be asked just before the attempt is written
-     * @param notAfterMs the time after which it must not be written any more, however long it had to wait for that:
-     *     what is not written by then ends as {@code NOT_EXECUTED}; positive infinity for any time
-     * @param listener hears how it ended
+     * @param conditions checked just before the attempt is written
+     * @param notAfterMs the time after which the attempt must not be written; if it is not written by then, for example
+     *     because it waited for a connection, it ends as {@code NOT_EXECUTED}; positive infinity for no limit
+     * @param listener notified when the attempt ends
      */
     Attempt send(String endpointId, WriteConditions conditions, double notAfterMs, AttemptListener listener);
 }
--- a/sidecar/src/main/java/martenlatch/request/package-info.java
+++ b/sidecar/src/main/java/martenlatch/request/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Pending requests, their attempts and timers, and exactly one final answer for each.
- * May depend on the policy; knows no protocol, no frontend and no transport.
+ * Tracks pending requests, their attempts and timers, and gives each request exactly one final answer.
+ * May depend on {@code policy}, but not on any protocol, frontend or transport implementation.
  */
 package martenlatch.request;
