--- a/sidecar/src/main/java/martenlatch/config/FieldPaths.java
+++ b/sidecar/src/main/java/martenlatch/config/FieldPaths.java
@@ -6,15 +6,15 @@
 import java.util.TreeSet;
 
 /**
- * The paths of the fields that an object holds, such as {@code settings.classes[].name}. A list of objects holds the
- * fields that each of them has. They tell a complete file from part of one: every field of the file before must be in
- * the next.
+ * Collects the paths of the fields of a JSON object, such as {@code settings.classes[].name}. For a list of objects,
+ * these are the fields that all of its elements have. The paths are used to detect a truncated configuration file:
+ * every field of the previous file must be in the next one.
  */
 public final class FieldPaths {
 
     private FieldPaths() {}
 
-    /** The paths of all fields, of objects within objects too. */
+    /** Returns the paths of all fields, including those of nested objects. */
     public static Set<String> of(Map<?, ?> object) {
         Set<String> paths = new TreeSet<>();
         add("", object, paths);
@@ -50,13 +50,13 @@
     }
 
     /**
-     * Requires that every field of {@code before} is among those of {@code next}.
+     * Checks that {@code next} contains every field of {@code before}.
      *
-     * @throws ConfigurationException for the first one that is missing
+     * @throws ConfigurationException for the first field that is missing
      */
     public static void requireNoneMissing(Set<String> before, Set<String> next) {
         for (String path : before) {
-            // An empty list has lost no field.
+            // A list that has become empty has no elements whose fields could be missing.
             int element = path.lastIndexOf("[].");
             boolean empty =
                     element >= 0 && next.stream().noneMatch(field -> field.startsWith(path.substring(0, element + 3)));
--- a/sidecar/src/main/java/martenlatch/config/JsonValues.java
+++ b/sidecar/src/main/java/martenlatch/config/JsonValues.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads JSON into maps, lists, numbers, strings and booleans, with a streaming parser alone. */
+/** Reads JSON values from a streaming parser into maps, lists, doubles, strings and booleans. */
 public final class JsonValues {
 
     private JsonValues() {}
--- a/sidecar/src/main/java/martenlatch/config/SettingsReader.java
+++ b/sidecar/src/main/java/martenlatch/config/SettingsReader.java
@@ -10,15 +10,15 @@
 import martenlatch.policy.api.RequestClass;
 import martenlatch.policy.api.Tenant;
 
-/** Reads {@link BalancerSettings} from the settings object of the wire; unknown fields are ignored. */
+/** Reads {@link BalancerSettings} from the settings object of a configuration; ignores unknown fields. */
 public final class SettingsReader {
 
     private SettingsReader() {}
 
     /**
-     * Reads the settings from an object as {@link JsonValues} reads it.
+     * Reads the settings from an object that {@link JsonValues} has read.
      *
-     * @throws ConfigurationException if a field is missing or cannot be used
+     * @throws ConfigurationException if a field is missing or invalid
      */
     public static BalancerSettings read(Map<String, Object> settings) {
         String weightKind = text(settings, "weight-kind", "silent");
@@ -77,30 +77,30 @@
                 number(fields, "ask-within-ms", 10_000));
     }
 
-    private static Idempotency idempotency(String word) {
-        return switch (word) {
+    private static Idempotency idempotency(String value) {
+        return switch (value) {
             case "repeatable" -> Idempotency.IDEMPOTENT;
             case "by_key" -> Idempotency.IDEMPOTENCY_KEY;
             case "once" -> Idempotency.NON_IDEMPOTENT;
             default ->
-                throw new ConfigurationException("classes[].effect", "setting classes[].effect is unknown: " + word);
+                throw new ConfigurationException("classes[].effect", "setting classes[].effect is unknown: " + value);
         };
     }
 
-    private static DeduplicationScope deduplicationScope(String word) {
-        return switch (word) {
+    private static DeduplicationScope deduplicationScope(String value) {
+        return switch (value) {
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.CELL;
             default ->
-                throw new ConfigurationException("classes[].group", "setting classes[].group is unknown: " + word);
+                throw new ConfigurationException("classes[].group", "setting classes[].group is unknown: " + value);
         };
     }
 
-    private static double number(Map<String, Object> from, String name, double absent) {
-        Object value = from.get(name);
+    private static double number(Map<String, Object> fields, String name, double defaultValue) {
+        Object value = fields.get(name);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (value instanceof Double number) {
             return number;
@@ -108,29 +108,29 @@
         throw new ConfigurationException(name, "setting " + name + " should be a number but is " + value);
     }
 
-    private static double requiredNumber(Map<String, Object> from, String name) {
-        if (from.get(name) == null) {
+    private static double requiredNumber(Map<String, Object> fields, String name) {
+        if (fields.get(name) == null) {
             throw ConfigurationException.unusable("settings.classes[]." + name, null);
         }
-        return number(from, name, 0);
+        return number(fields, name, 0);
     }
 
-    private static String text(Map<String, Object> from, String name, String absent) {
-        Object value = from.get(name);
-        return value == null ? absent : value.toString();
+    private static String text(Map<String, Object> fields, String name, String defaultValue) {
+        Object value = fields.get(name);
+        return value == null ? defaultValue : value.toString();
     }
 
-    private static boolean flag(Map<String, Object> from, String name) {
-        return Boolean.TRUE.equals(from.get(name));
+    private static boolean flag(Map<String, Object> fields, String name) {
+        return Boolean.TRUE.equals(fields.get(name));
     }
 
     @SuppressWarnings("unchecked")
-    private static Map<String, Object> object(Map<String, Object> from, String name) {
-        return from.get(name) instanceof Map<?, ?> map ? (Map<String, Object>) map : Map.of();
+    private static Map<String, Object> object(Map<String, Object> fields, String name) {
+        return fields.get(name) instanceof Map<?, ?> map ? (Map<String, Object>) map : Map.of();
     }
 
     @SuppressWarnings("unchecked")
-    private static List<Map<String, Object>> objects(Map<String, Object> from, String name) {
-        return from.get(name) instanceof List<?> list ? (List<Map<String, Object>>) list : List.of();
+    private static List<Map<String, Object>> objects(Map<String, Object> fields, String name) {
+        return fields.get(name) instanceof List<?> list ? (List<Map<String, Object>>) list : List.of();
     }
 }
--- a/sidecar/src/main/java/martenlatch/config/SocketAddresses.java
+++ b/sidecar/src/main/java/martenlatch/config/SocketAddresses.java
@@ -5,15 +5,15 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Parses addresses such as {@code 10.0.0.4:9000}; host names would need DNS, which is not used. */
+/** Parses socket addresses such as {@code 10.0.0.4:9000}. Host names are rejected because DNS is not used. */
 public final class SocketAddresses {
 
     private SocketAddresses() {}
 
     /**
-     * Parses the address in a field.
+     * Parses the socket address in a field.
      *
-     * @throws ConfigurationException if it is not an IP address and a port
+     * @throws ConfigurationException if the value is not an IP address and a port
      */
     public static InetSocketAddress parse(String field, Object value) {
         if (value instanceof String text) {
--- a/sidecar/src/main/java/martenlatch/config/package-info.java
+++ b/sidecar/src/main/java/martenlatch/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads settings and single fields of JSON input, with typed errors. It may use {@code policy.api}, a JSON parser and
- * Netty's address parser.
+ * Reads settings and single fields from JSON input and reports errors by field. May depend on {@code policy.api}, a
+ * JSON parser and Netty's address parser.
  */
 package martenlatch.config;
--- a/sidecar/src/main/java/martenlatch/net/Buffers.java
+++ b/sidecar/src/main/java/martenlatch/net/Buffers.java
@@ -6,17 +6,20 @@
 import io.netty.channel.RecvByteBufAllocator;
 import io.netty.channel.WriteBufferWaterMark;
 
-/** The buffers of all sockets: one allocator for the process, and the sizes that bound each connection. */
+/** The buffer allocator of the process and the buffer sizes of its connections. */
 public final class Buffers {
 
-    /** One small arena: messages are of a few hundred bytes, and memory is tight. */
+    /**
+     * The allocator of all sockets. It has one arena with chunks of 128 KiB, because messages are a few hundred bytes
+     * long and memory is limited.
+     */
     public static final ByteBufAllocator ALLOCATOR = new PooledByteBufAllocator(true, 1, 1, 8192, 4, 0, 0, false);
 
-    /** Bounds the bytes that wait to be written on one connection: hundreds of them must fit into direct memory. */
+    /** Limits the unwritten bytes per connection, as those of hundreds of connections must fit into direct memory. */
     public static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(8 * 1024, 16 * 1024);
     /**
-     * The system's buffer for a stream on the side that fills up, in bytes: by itself it would grow to megabytes for
-     * each. A link with a round trip of 50 ms still carries 2.5 MB a second.
+     * The kernel's socket buffer, set on the side of a connection where data piles up. With autotuning it would grow to
+     * megabytes for each connection. 128 KiB still allow 2.5 MB/s at a round-trip time of 50 ms.
      */
     public static final int SOCKET_BUFFER_BYTES = 128 * 1024;
 
@@ -26,7 +29,7 @@
 
     private Buffers() {}
 
-    /** Creates the allocator for reads; it remembers the sizes that were read, so each bootstrap has its own. */
+    /** Creates a receive buffer allocator; each bootstrap needs its own, as it adapts to the sizes that were read. */
     public static RecvByteBufAllocator receiveBufferAllocator() {
         return new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES);
     }
--- a/sidecar/src/main/java/martenlatch/net/EventLoopScheduler.java
+++ b/sidecar/src/main/java/martenlatch/net/EventLoopScheduler.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import martenlatch.request.Scheduler;
 
-/** The clock and timers of an event loop: Unix time at its creation, advanced by the monotonic clock. */
+/** The clock and timers of an event loop. The clock starts at Unix time and is advanced by the monotonic clock. */
 public final class EventLoopScheduler implements Scheduler {
 
     private static final double NANOS_PER_MS = 1e6;
@@ -14,7 +14,7 @@
     private final double startMs = System.currentTimeMillis();
     private final long startNanos = System.nanoTime();
 
-    /** Creates a scheduler whose timers run on this event loop. */
+    /** Creates a scheduler that runs its timers on an event loop. */
     public EventLoopScheduler(EventLoop loop) {
         this.loop = loop;
     }
--- a/sidecar/src/main/java/martenlatch/net/package-info.java
+++ b/sidecar/src/main/java/martenlatch/net/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What all sockets of the process share: buffers, and the clock and timers of the event loop. It may use Netty and
- * {@code request}'s scheduler.
+ * Provides the buffers and the event loop's clock and timers that all sockets of the process share. May depend on Netty
+ * and on the scheduler interface of {@code request}.
  */
 package martenlatch.net;
--- a/sidecar/src/main/java/martenlatch/site/PeerAddresses.java
+++ b/sidecar/src/main/java/martenlatch/site/PeerAddresses.java
@@ -8,35 +8,39 @@
 import martenlatch.policy.api.BalancerSettings;
 
 /**
- * How a sidecar reaches the others for gossip.
+ * The addresses that a sidecar uses for gossip.
  *
- * @param listen the address on which it receives datagrams
- * @param addresses the address of each sidecar of the tier, by index, its own among them: datagrams are sent to it and
- *     arrive from it
+ * @param listen the address on which the sidecar receives datagrams
+ * @param addresses the addresses of all sidecars of the tier by index, including its own; datagrams are sent to and
+ *     received from these addresses
  */
 public record PeerAddresses(InetSocketAddress listen, List<InetSocketAddress> addresses) {
 
-    /** Copies the list. */
+    /** Copies the list of addresses. */
     public PeerAddresses {
         addresses = List.copyOf(addresses);
     }
 
-    /** Parses the fields of a configuration. */
-    static PeerAddresses parse(Object listen, Object each, BalancerSettings settings) {
-        InetSocketAddress at = SocketAddresses.parse("peer_listen", listen);
-        if (!(each instanceof List<?> list)) {
-            throw ConfigurationException.unusable("peers", each);
+    /**
+     * Parses the {@code peer_listen} and {@code peers} fields of a configuration.
+     *
+     * @throws ConfigurationException if a field is missing or invalid
+     */
+    static PeerAddresses parse(Object listen, Object peers, BalancerSettings settings) {
+        InetSocketAddress listenAddress = SocketAddresses.parse("peer_listen", listen);
+        if (!(peers instanceof List<?> list)) {
+            throw ConfigurationException.unusable("peers", peers);
         }
-        List<InetSocketAddress> all = new ArrayList<>();
-        for (Object one : list) {
-            all.add(SocketAddresses.parse("peers[]", one));
+        List<InetSocketAddress> peerAddresses = new ArrayList<>();
+        for (Object peer : list) {
+            peerAddresses.add(SocketAddresses.parse("peers[]", peer));
         }
-        if (settings.ownIndex() >= all.size()) {
+        if (settings.ownIndex() >= peerAddresses.size()) {
             throw new ConfigurationException(
                     "peers",
-                    "field peers must have an address for each sidecar, this " + "one's number " + settings.ownIndex()
-                            + " among them, but has " + all.size());
+                    "field peers must have an address for each sidecar, including its own at index "
+                            + settings.ownIndex() + ", but has " + peerAddresses.size());
         }
-        return new PeerAddresses(at, all);
+        return new PeerAddresses(listenAddress, peerAddresses);
     }
 }
--- a/sidecar/src/main/java/martenlatch/site/SiteConfig.java
+++ b/sidecar/src/main/java/martenlatch/site/SiteConfig.java
@@ -25,21 +25,21 @@
 import martenlatch.request.EndpointList;
 
 /**
- * The configuration of a sidecar, read from the file that GW_CONFIG names.
+ * The configuration of a sidecar, read from the file whose path is in the environment variable {@code GW_CONFIG}.
  *
- * @param name the sidecar's name, the same after a restart
- * @param listen the address for clients
- * @param admin the address for operators, or null
+ * @param name the sidecar's name, which stays the same after a restart
+ * @param listen the address on which the sidecar serves clients
+ * @param admin the address of the admin API, or null if there is none
  * @param discovery the address of discovery
- * @param seed makes random choices repeatable
- * @param maxDescriptors the number of descriptors that the process may hold
- * @param idleCloseMs after how long at most an endpoint closes an idle connection, in milliseconds
- * @param names the zones and machine kinds that lists refer to
- * @param cachedEndpointList the endpoint list known so far
+ * @param seed the seed of all random choices
+ * @param maxDescriptors the maximum number of file descriptors of the process
+ * @param idleCloseMs the maximum time after which endpoints close idle connections, in milliseconds
+ * @param names the zones and machine types that endpoint lists refer to
+ * @param cachedEndpointList the endpoint list at the time the file was written, which may be outdated
  * @param settings the load balancer's settings
  * @param fields the {@link FieldPaths} of the file
- * @param peerListen the gossip address as in the file, checked only where gossip is on
- * @param peers the addresses of the other sidecars as in the file, checked only where gossip is on
+ * @param peerListen the unparsed gossip address, checked only if gossip is enabled
+ * @param peers the unparsed addresses of all sidecars of the tier, checked only if gossip is enabled
  */
 public record SiteConfig(
         String name,
@@ -57,38 +57,39 @@
         Object peers) {
 
     /**
-     * How to reach the other sidecars.
+     * Returns the addresses for gossip.
      *
-     * @throws ConfigurationException if that is missing or cannot be used: here, and not when the file is read
+     * @throws ConfigurationException if an address is missing or invalid; this is not checked when the file is read
      */
     public PeerAddresses peerAddresses() {
         return PeerAddresses.parse(peerListen, peers, settings);
     }
 
     /**
-     * Reads the file.
+     * Reads a configuration file.
      *
-     * @throws ConfigurationException if a field is missing or cannot be used; the message names field and value
+     * @throws ConfigurationException if a field is missing or invalid; the message names the field and the value
      */
     public static SiteConfig read(Path file) throws IOException {
         try (JsonParser in = new JsonFactory().createParser(Files.readAllBytes(file))) {
             in.nextToken();
             if (!(in.currentToken() != null && JsonValues.read(in) instanceof Map<?, ?> config)) {
-                throw new ConfigurationException("GW_CONFIG", file + " holds no JSON object");
+                throw new ConfigurationException("GW_CONFIG", file + " does not hold a JSON object");
             }
             return parse(config);
         } catch (NoSuchFileException e) {
-            throw new ConfigurationException("GW_CONFIG", "GW_CONFIG names a file that is not there: " + file);
+            throw new ConfigurationException("GW_CONFIG", "GW_CONFIG names a file that does not exist: " + file);
         } catch (JsonProcessingException e) {
             throw new ConfigurationException("GW_CONFIG", file + " is not JSON: " + e.getOriginalMessage());
         }
     }
 
     /**
-     * Reads the file again in service. It must hold every field that it held before, and the lists that others refer
-     * to by index must be the same: neither part of a file nor another site's is accepted.
+     * Reads the file again while the process is serving. The file must contain every field of this configuration, and
+     * the zones and machine types, which are referred to by index, must be unchanged. This rejects a partly written
+     * file and the file of another site.
      *
-     * @throws ConfigurationException if the file cannot be used as a whole
+     * @throws ConfigurationException if any part of the file is missing or invalid
      */
     public SiteConfig reload(Path file) throws IOException {
         SiteConfig next = read(file);
@@ -108,10 +109,10 @@
         positive("settings.limits.try-limit", limits.get("try-limit"));
         EndpointListDecoder.Names names = new EndpointListDecoder.Names(
                 strings("settings.azs", settings.get("azs")), strings("settings.models", settings.get("models")));
-        Map<String, Object> comparable = new HashMap<>();
-        config.forEach((field, value) -> comparable.put(String.valueOf(field), value));
-        // The fields within it differ from list to list.
-        comparable.put("known", null);
+        Map<String, Object> comparableFields = new HashMap<>();
+        config.forEach((field, value) -> comparableFields.put(String.valueOf(field), value));
+        // The fields in the endpoint list differ between versions of the list.
+        comparableFields.put("known", null);
         Object admin = config.containsKey("admin") ? config.get("admin") : System.getenv("GW_ADMIN");
         return new SiteConfig(
                 String.valueOf(config.get("name")),
@@ -125,17 +126,17 @@
                 names,
                 EndpointListDecoder.of(object("known", config.get("known")), names),
                 requireDistinctNames(SettingsReader.read(settings)),
-                FieldPaths.of(comparable),
+                FieldPaths.of(comparableFields),
                 config.get("peer_listen"),
                 config.get("peers"));
     }
 
-    /** Requests name their class: each must have a name of its own. */
+    /** Checks that request class names are unique and not empty, as requests refer to their class by name. */
     private static BalancerSettings requireDistinctNames(BalancerSettings settings) {
-        Set<String> seen = new HashSet<>();
+        Set<String> seenNames = new HashSet<>();
         for (RequestClass requestClass : settings.classes()) {
             String name = requestClass.name();
-            if (name.isEmpty() || !seen.add(name)) {
+            if (name.isEmpty() || !seenNames.add(name)) {
                 throw ConfigurationException.unusable(
                         "settings.classes[].name", name.isEmpty() ? null : name + ", twice");
             }
--- a/sidecar/src/main/java/martenlatch/site/package-info.java
+++ b/sidecar/src/main/java/martenlatch/site/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The configuration of an installation, whichever frontend it runs: addresses, limits, classes, the list known so far.
- * It may use {@code config}, {@code discovery}'s list decoder, {@code request} and {@code policy.api}.
+ * Reads the configuration of a site, which is the same for every frontend: addresses, limits, request classes and the
+ * cached endpoint list. May depend on {@code config}, {@code request}, {@code policy.api} and the endpoint list decoder
+ * of {@code discovery}.
  */
 package martenlatch.site;
