--- a/sidecar/src/test/java/martenlatch/discovery/EndpointListWatcherTest.java
+++ b/sidecar/src/test/java/martenlatch/discovery/EndpointListWatcherTest.java
@@ -26,31 +26,31 @@
 import martenlatch.request.Scheduler;
 import org.junit.jupiter.api.Test;
 
-/** The watch on discovery, over random sequences of what may come of its polls. */
+/** Tests the watcher of endpoint lists in single cases and in random sequences of events. */
 class EndpointListWatcherTest {
 
     private static final int SEQUENCES = 2000;
     private static final int STEPS = 60;
 
-    /** A clock that the test moves. */
+    /** A clock that the test advances. */
     private static final class Clock implements Scheduler {
         private static final class Task implements Timer, Comparable<Task> {
-            private final double at;
-            private Runnable work;
+            private final double dueAtMs;
+            private Runnable action;
 
-            Task(double at, Runnable work) {
-                this.at = at;
-                this.work = work;
+            Task(double dueAtMs, Runnable action) {
+                this.dueAtMs = dueAtMs;
+                this.action = action;
             }
 
             @Override
             public void cancel() {
-                work = () -> {};
+                action = () -> {};
             }
 
             @Override
             public int compareTo(Task other) {
-                return Double.compare(at, other.at);
+                return Double.compare(dueAtMs, other.dueAtMs);
             }
         }
 
@@ -63,31 +63,31 @@
         }
 
         @Override
-        public Timer after(double ms, Runnable work) {
-            Task task = new Task(now + ms, work);
+        public Timer after(double ms, Runnable action) {
+            Task task = new Task(now + ms, action);
             tasks.add(task);
             return task;
         }
 
-        void pass(double ms) {
+        void advance(double ms) {
             double until = now + ms;
-            while (!tasks.isEmpty() && tasks.peek().at <= until) {
+            while (!tasks.isEmpty() && tasks.peek().dueAtMs <= until) {
                 Task next = tasks.poll();
-                now = next.at;
-                next.work.run();
+                now = next.dueAtMs;
+                next.action.run();
             }
             now = until;
         }
     }
 
-    /** What goes out and comes back, and that each thing happens once. */
+    /** Records polls and their results, and checks that polls do not overlap and that results are reported once. */
     private static final class Recorder implements DiscoveryTransport, EndpointList.Listener {
         private final List<Poll> polls = new ArrayList<>();
-        /** Polls that go on at addresses before, by number. */
+        /** The polls that continue at previous addresses, by number. */
         private final Map<Long, Poll> superseded = new HashMap<>();
 
         private Poll outstanding;
-        private boolean isFromAddressBefore;
+        private boolean isFromPreviousAddress;
         private int lists;
         private int completed;
         private int failures;
@@ -96,7 +96,7 @@
 
         @Override
         public void send(Poll poll) {
-            assertTrue(outstanding == null, "two polls at once");
+            assertTrue(outstanding == null, "a poll was sent while another one was outstanding");
             outstanding = poll;
             polls.add(poll);
         }
@@ -108,47 +108,50 @@
         }
 
         @Override
-        public void switchAddress(Poll left) {
-            assertEquals(outstanding, left);
-            if (left != null) {
-                superseded.put(left.number(), left);
+        public void switchAddress(Poll previous) {
+            assertEquals(outstanding, previous);
+            if (previous != null) {
+                superseded.put(previous.number(), previous);
             }
             outstanding = null;
         }
 
         @Override
         public void endSuperseded(long poll) {
-            assertTrue(superseded.remove(poll) != null, "it was under way");
+            assertTrue(superseded.remove(poll) != null, "an unknown poll was ended");
         }
 
         @Override
         public void onEndpointList(EndpointList list) {
             lists++;
-            if (isFromAddressBefore) {
+            if (isFromPreviousAddress) {
                 return;
             }
             boolean nextIsSent = outstanding != null;
             Poll answered = polls.get(polls.size() - (nextIsSent ? 2 : 1));
-            assertEquals(answered.timing().isWithoutWait(), !nextIsSent, "a watch goes on before its list is heard");
-            assertTrue(superseded.isEmpty(), "what came before is over");
+            assertEquals(
+                    answered.timing().isWithoutWait(),
+                    !nextIsSent,
+                    "the next poll is sent before a list is reported only after a watch");
+            assertTrue(superseded.isEmpty(), "polls at previous addresses have ended");
         }
 
         @Override
         public void onPollCompleted() {
-            assertTrue(outstanding == null, "no watch is open");
+            assertTrue(outstanding == null, "no poll is outstanding");
             completed++;
         }
 
         @Override
         public void onPollFailed(PollFailure failure) {
-            assertTrue(outstanding == null, "a call that has failed is over");
+            assertTrue(outstanding == null, "the failed poll is not outstanding");
             failures++;
         }
 
         @Override
         public void onDiscoveryMoved() {
-            assertTrue(outstanding == null, "none is under way at the new address");
-            assertTrue(superseded.size() <= 2, "polls at addresses before are bounded");
+            assertTrue(outstanding == null, "no poll is outstanding at the new address");
+            assertTrue(superseded.size() <= 2, "the number of polls at previous addresses is limited");
             moves++;
         }
     }
@@ -170,14 +173,14 @@
     }
 
     private void answer(long number, long version) {
-        transport.isFromAddressBefore = transport.superseded.containsKey(number);
+        transport.isFromPreviousAddress = transport.superseded.containsKey(number);
         if (transport.outstanding != null && transport.outstanding.number() == number) {
             transport.outstanding = null;
         }
         watcher.onList(number, list(version));
     }
 
-    /** The first poll of the process, number 1, is answered, and the listener starts a watch, number 2. */
+    /** Answers the first poll, number 1, and starts a watch, number 2. */
     private void startWatch() {
         watcher.start();
         answer(1, 7);
@@ -185,14 +188,14 @@
     }
 
     /**
-     * Until discovery has answered, the list may be of any age: the first polls ask for the state of now, and silence
-     * is no answer. The listener says when the watch is started.
+     * Guards against a watch that is started before the list is known to be current. Until discovery has sent a list,
+     * polls are sent without a wait; the listener then starts the watch.
      */
     @Test
-    void untilDiscoveryHasAnsweredPollsAskForTheStateOfNow() {
+    void pollsAreSentWithoutWaitUntilDiscoveryHasSentAList() {
         watcher.start();
         assertEquals("/registry/instances?index=7&wait=1", transport.outstanding.path());
-        clock.pass(2900);
+        clock.advance(2900);
         watcher.onFailure(1, "rejected late");
         watcher.start();
         assertEquals("/registry/instances?index=7&wait=1", transport.outstanding.path());
@@ -204,62 +207,64 @@
         assertEquals(List.of(2, 1, 4), List.of(transport.lists, transport.completed, transport.polls.size()));
     }
 
-    /** At most one call is out, each ends once, and after a failure none goes out unasked. */
+    /** At most one poll is outstanding, each is reported once, and none is sent after a failure without a start. */
     @Test
-    void whateverComesOneCallIsOutAtATime() {
+    void randomEventsNeverOverlapPollsOrReportResultsTwice() {
         for (int seed = 0; seed < SEQUENCES; seed++) {
-            EndpointListWatcherTest one = new EndpointListWatcherTest();
+            EndpointListWatcherTest test = new EndpointListWatcherTest();
             Random random = new Random(seed);
-            // A start that waits for the end of a poll at an address before.
-            boolean isOwed = false;
+            // Whether a start was deferred until a poll at a previous address ends.
+            boolean isStartDeferred = false;
             for (int i = 0; i < STEPS; i++) {
-                int polls = one.transport.polls.size();
-                long some = polls == 0
+                int polls = test.transport.polls.size();
+                long anyPoll = polls == 0
                         ? 0
-                        : one.transport.polls.get(random.nextInt(polls)).number();
-                long latest = one.transport.outstanding == null || random.nextBoolean()
-                        ? some
-                        : one.transport.outstanding.number();
-                Poll present = one.transport.outstanding;
-                boolean isPresent = present != null && present.number() == latest;
-                boolean out = isPresent || one.transport.superseded.containsKey(latest);
-                int lists = one.transport.lists;
-                int failures = one.transport.failures;
+                        : test.transport.polls.get(random.nextInt(polls)).number();
+                long target = test.transport.outstanding == null || random.nextBoolean()
+                        ? anyPoll
+                        : test.transport.outstanding.number();
+                Poll current = test.transport.outstanding;
+                boolean isCurrent = current != null && current.number() == target;
+                boolean isOutstanding = isCurrent || test.transport.superseded.containsKey(target);
+                int lists = test.transport.lists;
+                int failures = test.transport.failures;
                 int step = random.nextInt(6);
                 switch (step) {
                     case 0 -> {
-                        one.watcher.start();
-                        isOwed = one.transport.outstanding == null;
+                        test.watcher.start();
+                        isStartDeferred = test.transport.outstanding == null;
                     }
-                    case 1 -> one.answer(latest, i);
-                    case 2 -> one.watcher.onFailure(latest, "said so");
-                    case 5 -> one.watcher.onResponseStarted(latest);
-                    case 3 -> one.clock.pass(random.nextInt(3) * 12_000);
-                    default -> one.watcher.onMoved();
+                    case 1 -> test.answer(target, i);
+                    case 2 -> test.watcher.onFailure(target, "said so");
+                    case 5 -> test.watcher.onResponseStarted(target);
+                    case 3 -> test.clock.advance(random.nextInt(3) * 12_000);
+                    default -> test.watcher.onMoved();
                 }
-                assertTrue(one.transport.lists <= lists + (out ? 1 : 0), "a call that was over was heard");
-                assertTrue(one.transport.failures <= failures + 1);
-                int sent = one.transport.polls.size() - polls;
+                assertTrue(
+                        test.transport.lists <= lists + (isOutstanding ? 1 : 0),
+                        "a list of a finished poll was reported");
+                assertTrue(test.transport.failures <= failures + 1);
+                int sent = test.transport.polls.size() - polls;
                 if (step == 2 || step == 4) {
-                    assertTrue(sent == 0 || (isOwed && sent == 1), "a call that nobody asked for");
+                    assertTrue(sent == 0 || (isStartDeferred && sent == 1), "a poll was sent without a start");
                 }
-                isOwed &= sent == 0;
+                isStartDeferred &= sent == 0;
             }
         }
     }
 
     /**
-     * What a silent watch misses counts as told 2 s after its wait: well before that it is opened anew, as
-     * often as it takes, with no pause that the module would make.
+     * Guards against a silent watch that is restarted too late. Changes that it misses count as notified 2 s after its
+     * wait, so it is restarted 1 s after the wait, without a delay and any number of times.
      */
     @Test
-    void aSilentWatchIsOpenedAnewBeforeWhatItMissesCountsAsTold() {
+    void silentWatchIsRestartedBeforeMissedChangesCountAsNotified() {
         startWatch();
         for (int silences = 1; silences < 5; silences++) {
             assertEquals("/registry/instances?index=7&wait=20000", transport.outstanding.path());
-            clock.pass(20_000 + 999);
+            clock.advance(20_000 + 999);
             assertEquals(1 + silences, transport.polls.size());
-            clock.pass(1);
+            clock.advance(1);
             assertEquals(
                     List.of(1 + silences + 1, silences, 0),
                     List.of(transport.polls.size(), transport.aborts, transport.failures));
@@ -270,54 +275,65 @@
         assertEquals(List.of(1, 0, 6), List.of(transport.lists, transport.failures, transport.polls.size()));
     }
 
-    /** The whole list is not waited for with an old one in hand: whoever listens says when to go on. */
+    /** A poll for the whole list that times out is reported to the listener, which decides when to poll again. */
     @Test
-    void silenceOnTheWholeListIsAFailure() {
+    void timeoutOfPollForWholeListIsReportedAsFailure() {
         watcher.onMoved();
         watcher.start();
-        clock.pass(PollTiming.FULL_LIST_TIMEOUT_MS - 1);
+        clock.advance(PollTiming.FULL_LIST_TIMEOUT_MS - 1);
         assertEquals(0, transport.failures);
-        clock.pass(1);
+        clock.advance(1);
         assertEquals(List.of(1, 1), List.of(transport.failures, transport.polls.size()));
     }
 
-    /** From its first byte on an answer has a second; one that comes late has what is left. */
+    /**
+     * Guards against a truncated response that is waited for as long as a watch. The rest of a response has to arrive
+     * within 1 s of its first byte, or by the timeout of the watch if that is earlier.
+     */
     @Test
-    void anAnswerThatBreaksOffIsNotWaitedFor() {
+    void truncatedResponseTimesOutEarly() {
         startWatch();
-        clock.pass(500);
+        clock.advance(500);
         watcher.onResponseStarted(2);
-        clock.pass(600);
+        clock.advance(600);
         watcher.onResponseStarted(2);
-        clock.pass(399);
+        clock.advance(399);
         assertEquals(2, transport.polls.size());
-        clock.pass(1);
+        clock.advance(1);
         assertEquals(List.of(3, 0), List.of(transport.polls.size(), transport.failures));
-        clock.pass(20_000 + 500);
+        clock.advance(20_000 + 500);
         watcher.onResponseStarted(3);
-        clock.pass(499);
+        clock.advance(499);
         assertEquals(0, transport.failures);
-        clock.pass(1);
-        assertEquals(List.of(3, 1), List.of(transport.polls.size(), transport.failures), "not again and again");
+        clock.advance(1);
+        assertEquals(
+                List.of(3, 1),
+                List.of(transport.polls.size(), transport.failures),
+                "a second truncated response in a row is a failure");
         watcher.start();
         answer(4, 9);
         watcher.onResponseStarted(5);
-        clock.pass(1000);
-        assertEquals(List.of(6, 1), List.of(transport.polls.size(), transport.failures), "that was long ago");
+        clock.advance(1000);
+        assertEquals(
+                List.of(6, 1),
+                List.of(transport.polls.size(), transport.failures),
+                "a truncated response after a complete one is no failure");
     }
 
-    /** Watches of a fleet that fell silent together, or end together, do not come back together. */
+    /** Guards against watches of a fleet that ended together and are restarted together. */
     @Test
-    void waitsAreSpreadByWhatTheSiteGivesForAsking() {
+    void waitIsRandomBetweenOneAndTwoPollIntervalsWithinBounds() {
         SplittableRandom random = new SplittableRandom(1);
-        double least = Double.MAX_VALUE;
-        double most = 0;
+        double minWaitMs = Double.MAX_VALUE;
+        double maxWaitMs = 0;
         for (int i = 0; i < 1000; i++) {
             double wait = PollTiming.next(settings(true, 6000), random).waitMs();
-            least = Math.min(least, wait);
-            most = Math.max(most, wait);
+            minWaitMs = Math.min(minWaitMs, wait);
+            maxWaitMs = Math.max(maxWaitMs, wait);
         }
-        assertTrue(least >= 6000 && least < 6100 && most > 11_900 && most <= 12_000, least + " " + most);
+        assertTrue(
+                minWaitMs >= 6000 && minWaitMs < 6100 && maxWaitMs > 11_900 && maxWaitMs <= 12_000,
+                minWaitMs + " " + maxWaitMs);
         assertEquals(
                 PollTiming.MAX_WAIT_MS,
                 PollTiming.next(settings(true, 60_000), random).waitMs());
@@ -325,16 +341,17 @@
                 PollTiming.MIN_WAIT_MS,
                 PollTiming.next(settings(true, 100), random).waitMs());
         PollTiming agent = PollTiming.next(settings(false, 60_000), random);
-        assertTrue(agent.waitMs() + agent.responseTimeoutMs() <= 500, "within any drain's grace: " + agent);
+        assertTrue(
+                agent.waitMs() + agent.responseTimeoutMs() <= 500, "well within the grace period of a drain: " + agent);
     }
 
-    private static BalancerSettings settings(boolean asks, double askWithinMs) {
+    private static BalancerSettings settings(boolean pollsEndpointList, double pollIntervalMs) {
         return new BalancerSettings(
                 1,
                 0,
                 0,
                 0,
-                asks,
+                pollsEndpointList,
                 false,
                 1,
                 0,
@@ -342,49 +359,55 @@
                         "read", 100, 1000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false)),
                 List.of(),
                 new AttemptLimits(3, false, true, 0, 100),
-                new EndpointRules(1, 0, 1, 1000, 500, askWithinMs));
+                new EndpointRules(1, 0, 1, 1000, 500, pollIntervalMs));
     }
 
-    /** When a new address is polled is the listener's decision alone, also after several moves. */
+    /** The listener alone decides when a new address is polled, even after several moves. */
     @Test
-    void aMoveLeavesTheNextPollToTheListener() {
+    void movingDoesNotSendAPoll() {
         watcher.start();
         watcher.onMoved();
         watcher.onMoved();
-        clock.pass(60_000);
+        clock.advance(60_000);
         assertEquals(List.of(1, 2, 0), List.of(transport.polls.size(), transport.moves, transport.failures));
-        assertEquals(Map.of(), transport.superseded, "what was under way has timed out");
+        assertEquals(Map.of(), transport.superseded, "polls at previous addresses have timed out");
         watcher.start();
         assertEquals(OptionalLong.empty(), transport.outstanding.knownVersion());
-        clock.pass(PollTiming.FULL_LIST_TIMEOUT_MS);
+        clock.advance(PollTiming.FULL_LIST_TIMEOUT_MS);
         assertEquals(List.of(2, 1), List.of(transport.polls.size(), transport.failures));
     }
 
-    /** A list that was under way when discovery moved is applied, and its version is not used at the new address. */
+    /** A list that arrives from a previous address is applied, but its version is not used at the new address. */
     @Test
-    void aPollGoesOnOverAMoveUntilALaterAddressHasAnswered() {
+    void pollContinuesAfterMoveUntilALaterAddressHasResponded() {
         startWatch();
         watcher.onMoved();
         answer(2, 8);
-        assertEquals(List.of(2, 2), List.of(transport.lists, transport.polls.size()), "applied, and no poll goes out");
+        assertEquals(
+                List.of(2, 2),
+                List.of(transport.lists, transport.polls.size()),
+                "the list is applied and no poll is sent");
         assertEquals(Map.of(), transport.superseded);
         watcher.start();
         assertEquals("/registry/instances", transport.outstanding.path());
         watcher.onMoved();
         watcher.start();
-        assertEquals(Set.of(3L), transport.superseded.keySet(), "it is about to end, and is waited for");
+        assertEquals(
+                Set.of(3L),
+                transport.superseded.keySet(),
+                "the start is deferred until the poll for the whole list ends");
         assertEquals(3, transport.polls.size());
         answer(3, 9);
         assertEquals(List.of(3, 3, 3), List.of(transport.lists, transport.polls.size(), transport.completed));
         watcher.start();
         assertEquals("/registry/instances", transport.outstanding.path());
         answer(3, 5);
-        assertEquals(3, transport.lists, "it is over, and changes nothing");
+        assertEquals(3, transport.lists, "a list of a finished poll is ignored");
     }
 
-    /** A poll that is waited for at an address before fails: the one at the present address was due, and is sent. */
+    /** A start that was deferred until a poll at a previous address ends takes effect when that poll fails. */
     @Test
-    void aPollThatFailsAtAnAddressBeforeIsFollowedAtOnce() {
+    void failureAtPreviousAddressTriggersDeferredStart() {
         watcher.start();
         watcher.onMoved();
         watcher.start();
@@ -394,9 +417,9 @@
         assertEquals("/registry/instances", transport.outstanding.path());
     }
 
-    /** Polls that go on at addresses before fail without a word to the listener: the next one is due in any case. */
+    /** The listener is not notified of failures at previous addresses, as the poll at the current one goes on. */
     @Test
-    void aPollThatFailsAtAnAddressBeforeIsNoFailureOfThePresentOne() {
+    void failureAtPreviousAddressIsNotReported() {
         startWatch();
         watcher.onMoved();
         watcher.start();
--- a/sidecar/src/test/java/martenlatch/sidecar/LostCallsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LostCallsTest.java
@@ -11,27 +11,30 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** An endpoint that answers most calls as ever and leaves others without a word. */
+/** Tests the admission limit of an endpoint that answers some requests and never answers others. */
 @Timeout(60)
 class LostCallsTest {
 
-    private static final int AIM_MS = 1000;
-    private static final int LOST_MS = 800;
+    private static final int LATENCY_OBJECTIVE_MS = 1000;
+    private static final int UNANSWERED_DEADLINE_MS = 800;
     private static final int ROUNDS = 7;
-    /** As many as the limit starts from before one endpoint, with one of the answered calls. */
-    private static final int LOST_AT_ONCE = 3;
-    /** What an answer takes: short against the aim, long enough that not too many of them hide the lost. */
-    private static final int WORK_MS = 150;
+    /** Together with one answered request, this fills the initial limit of the endpoint. */
+    private static final int UNANSWERED_PER_ROUND = 3;
+    /**
+     * The response time of answered requests: short against the latency objective, but long enough that they do not
+     * outnumber and hide the unanswered ones.
+     */
+    private static final int RESPONSE_TIME_MS = 150;
 
-    private static final int HELD = 6;
+    private static final int FINAL_IN_FLIGHT = 6;
 
-    private final AtomicInteger givenUp = new AtomicInteger();
+    private final AtomicInteger abandonedRequests = new AtomicInteger();
     private final FakeEndpoint endpoint = new FakeEndpoint((wire, request) -> {
         if (request.line().startsWith("POST")) {
             wire.awaitEnd();
-            givenUp.incrementAndGet();
+            abandonedRequests.incrementAndGet();
         } else {
-            Thread.sleep(WORK_MS);
+            Thread.sleep(RESPONSE_TIME_MS);
             FakeEndpoint.answer(wire, 200, "", "served");
         }
     });
@@ -39,7 +42,7 @@
     private final List<RawHttpClient> clients = new ArrayList<>();
 
     LostCallsTest() throws IOException {
-        fixture.aimMs = AIM_MS;
+        fixture.aimMs = LATENCY_OBJECTIVE_MS;
     }
 
     @AfterEach
@@ -50,34 +53,37 @@
         fixture.close();
     }
 
-    /** Sends calls that get no answer; each is on its way at the endpoint when this returns. */
-    private List<RawHttpClient> lose(int calls, int deadlineMs) throws Exception {
+    /** Sends requests that are never answered, and returns when all of them have arrived at the endpoint. */
+    private List<RawHttpClient> sendUnanswered(int count, int deadlineMs) throws Exception {
         int before = endpoint.requests.size();
-        List<RawHttpClient> lost = new ArrayList<>();
-        for (int i = 0; i < calls; i++) {
+        List<RawHttpClient> unanswered = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
             RawHttpClient client = fixture.client();
             clients.add(client);
-            lost.add(client.send(fixture.request("order", deadlineMs)));
+            unanswered.add(client.send(fixture.request("order", deadlineMs)));
         }
-        SidecarFixture.await("all calls are at the endpoint", () -> endpoint.requests.size() == before + calls);
-        return lost;
+        SidecarFixture.await(
+                "all requests have arrived at the endpoint", () -> endpoint.requests.size() == before + count);
+        return unanswered;
     }
 
-    /** Guards against calls turned away at an endpoint that has room: what it loses does not crowd it. */
+    /** Guards against an endpoint's limit that falls because of unanswered requests, so that others are rejected. */
     @Test
-    void lostCallsDoNotLowerTheLimitWhileOthersAreAnswered() throws Exception {
+    void unansweredRequestsDoNotLowerTheLimitWhileOthersAreAnswered() throws Exception {
         fixture.start();
         for (int round = 0; round < ROUNDS; round++) {
-            List<RawHttpClient> lost = lose(LOST_AT_ONCE, LOST_MS);
-            while (givenUp.get() < (round + 1) * LOST_AT_ONCE) {
-                assertEquals(200, fixture.ask("read", AIM_MS).status());
+            List<RawHttpClient> unanswered = sendUnanswered(UNANSWERED_PER_ROUND, UNANSWERED_DEADLINE_MS);
+            while (abandonedRequests.get() < (round + 1) * UNANSWERED_PER_ROUND) {
+                assertEquals(200, fixture.ask("read", LATENCY_OBJECTIVE_MS).status());
             }
-            for (RawHttpClient client : lost) {
+            for (RawHttpClient client : unanswered) {
                 int status = client.read().status();
                 assertNotEquals(503, status);
                 assertNotEquals(200, status);
             }
         }
-        assertEquals(HELD, lose(HELD, AIM_MS).size());
+        assertEquals(
+                FINAL_IN_FLIGHT,
+                sendUnanswered(FINAL_IN_FLIGHT, LATENCY_OBJECTIVE_MS).size());
     }
 }
--- a/sidecar/src/test/java/martenlatch/sidecar/SiteConfigTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SiteConfigTest.java
@@ -13,23 +13,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The configuration: what is right is read, what is not is named. */
+/** Tests that a valid configuration is read and that errors name the invalid field and value. */
 class SiteConfigTest {
 
     @TempDir
     Path folder;
 
-    private SiteConfig read(String part, String instead) throws IOException {
+    private SiteConfig read(String original, String replacement) throws IOException {
         try (FakeEndpoint endpoint = FakeEndpoint.answering(200, "", "");
                 SidecarFixture fixture = new SidecarFixture(endpoint)) {
-            assertTrue(fixture.config().contains(part), part);
+            assertTrue(fixture.config().contains(original), original);
             return SiteConfig.read(Files.writeString(
-                    folder.resolve("config.json"), fixture.config().replace(part, instead)));
+                    folder.resolve("config.json"), fixture.config().replace(original, replacement)));
         }
     }
 
     @Test
-    void whatItHoldsIsRead() throws IOException {
+    void validFileIsRead() throws IOException {
         SiteConfig config = read("", "");
         assertEquals(0x8c1f30d27a5be964L, config.seed());
         assertEquals(1024, config.maxDescriptors());
@@ -55,14 +55,14 @@
                 "\"effect\":\"once\"|\"effect\":\"twice\"|effect is unknown: twice",
                 "\"azs\":[\"a\"]|\"azs\":5|settings.azs is not usable: 5"
             })
-    void whatIsMissingOrBadIsNamed(String part, String instead, String complaint) {
-        IllegalArgumentException e =
-                assertThrows(IllegalArgumentException.class, () -> read(part, instead == null ? "" : instead));
-        assertTrue(e.getMessage().contains(complaint), e.getMessage());
+    void missingOrInvalidFieldIsNamed(String original, String replacement, String expectedMessage) {
+        IllegalArgumentException e = assertThrows(
+                IllegalArgumentException.class, () -> read(original, replacement == null ? "" : replacement));
+        assertTrue(e.getMessage().contains(expectedMessage), e.getMessage());
     }
 
     @Test
-    void aFileThatIsNoJsonIsNamed() throws IOException {
+    void fileThatIsNotJsonIsNamed() throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), "{\"name\":");
         IllegalArgumentException e = assertThrows(IllegalArgumentException.class, () -> SiteConfig.read(file));
         assertTrue(e.getMessage().contains(file + " is not JSON"), e.getMessage());
