--- a/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Watches that break, responses that cross the end of a connection, and lists that arrive while attempts wait. */
+/** Tests broken watches, polls that race with the close of a connection, and endpoint lists at startup. */
 @Timeout(60)
 class DiscoveryRaceTest {
 
@@ -37,22 +37,25 @@
         fixture.close();
     }
 
-    /** Guards against a silent watch that is waited for until what it misses counts as told. */
+    /** Guards against a silent watch that is restarted only after the changes that it misses count as notified. */
     @ParameterizedTest
     @ValueSource(strings = {"on_request", "pushed"})
-    void aWatchThatFellSilentIsOpenedAnewInTime(String membership) throws Exception {
+    void silentWatchIsRestartedInTime(String membership) throws Exception {
         try (FakeEndpoint other = FakeEndpoint.serving()) {
             fixture = new SidecarFixture(FakeEndpoint.serving());
             fixture.membership = membership;
             fixture.askWithinMs = 4000;
-            // Where lists are pushed the first call is for the whole list.
-            int silent = membership.equals("pushed") ? 2 : 1;
+            // If lists are pushed, the first poll requests the whole list.
+            int silentPoll = membership.equals("pushed") ? 2 : 1;
             fixture.discovery.script = (wire, request) -> {
-                String good = fixture.endpoints.get(0).address();
-                if (fixture.discovery.requests.size() < silent) {
+                String firstAddress = fixture.endpoints.get(0).address();
+                if (fixture.discovery.requests.size() < silentPoll) {
                     FakeEndpoint.answer(
-                            wire, 200, "", SidecarFixture.list(1, true, SidecarFixture.line(0, good, "in_service", 0)));
-                } else if (fixture.discovery.requests.size() == silent + 1) {
+                            wire,
+                            200,
+                            "",
+                            SidecarFixture.list(1, true, SidecarFixture.line(0, firstAddress, "in_service", 0)));
+                } else if (fixture.discovery.requests.size() == silentPoll + 1) {
                     FakeEndpoint.answer(
                             wire,
                             200,
@@ -60,29 +63,29 @@
                             SidecarFixture.list(
                                     2,
                                     false,
-                                    SidecarFixture.line(0, good, "terminating", 0),
+                                    SidecarFixture.line(0, firstAddress, "terminating", 0),
                                     SidecarFixture.line(1, other.address(), "in_service", 0)));
                 } else {
                     wire.awaitEnd();
                 }
             };
             fixture.start();
-            SidecarFixture.await("it asks anew", () -> fixture.discovery.requests.size() >= silent + 2);
+            SidecarFixture.await("the watch is restarted", () -> fixture.discovery.requests.size() >= silentPoll + 2);
             assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
-            assertEquals(1, other.requests.size(), "what it missed is known now");
-            assertTrue(fixture.discovery.connections.get() >= 2, "the silent connection is not used again");
+            assertEquals(1, other.requests.size(), "the missed change is applied");
+            assertTrue(fixture.discovery.connections.get() >= 2, "the silent connection is not reused");
             assertTrue(fixture.logged().contains("discovery watch timed out"), fixture.logged());
             assertFalse(fixture.logged().contains("discovery failed"), fixture.logged());
         }
     }
 
     /**
-     * Guards against a watch that is over because discovery closes each connection behind its answer, without
-     * a word, and the next call crosses that.
+     * Guards against a watch that fails because discovery closes or resets each connection after its response without
+     * announcing it, and the next poll races with the close.
      */
     @ParameterizedTest
     @ValueSource(strings = {"fin", "reset"})
-    void aCallThatCrossesTheEndOfItsConnectionIsMadeAgain(String how) throws Exception {
+    void pollThatRacesWithConnectionCloseIsResent(String closeMode) throws Exception {
         fixture = new SidecarFixture(FakeEndpoint.serving());
         fixture.discovery.script = (wire, request) -> {
             int version = fixture.discovery.requests.size();
@@ -97,9 +100,8 @@
                             version + 1,
                             true,
                             SidecarFixture.line(0, fixture.endpoints.get(0).address(), "in_service", 0)));
-            if (how.equals("reset")) {
-                // Only when the answer has been taken, as the next call or the end of the test shows: a reset may
-                // overtake it.
+            if (closeMode.equals("reset")) {
+                // A reset may overtake the response, so wait for the next poll or the end of the test first.
                 wire.socket.getInputStream().read();
                 wire.reset();
             } else {
@@ -108,22 +110,22 @@
         };
         fixture.askWithinMs = 2000;
         fixture.start();
-        SidecarFixture.await("it goes on asking", () -> fixture.discovery.requests.size() > 5);
+        SidecarFixture.await("polling continues", () -> fixture.discovery.requests.size() > 5);
         assertFalse(fixture.logged().contains("discovery failed"), fixture.logged());
     }
 
     /**
-     * Guards against a change that is missed for longer than the time after which it counts as notified: the pause
-     * before the next poll grows with each that failed, while discovery can be reached again long since.
+     * Guards against a change that is missed until it counts as notified: the delay before the next poll grows with
+     * each failed poll, although discovery accepts polls again.
      */
     @Test
-    void aDiscoveryThatRejectsPollAfterPollIsPolledAgainInTime() throws Exception {
+    void discoveryIsPolledAgainInTimeAfterRepeatedRejections() throws Exception {
         int rejected = 4;
         List<Long> pollNanos = Collections.synchronizedList(new ArrayList<>());
         try (FakeEndpoint other = FakeEndpoint.serving();
-                FakeEndpoint moved = new FakeEndpoint((wire, request) -> wire.awaitEnd())) {
+                FakeEndpoint newDiscovery = new FakeEndpoint((wire, request) -> wire.awaitEnd())) {
             fixture = new SidecarFixture(FakeEndpoint.serving()).start();
-            moved.script = (wire, request) -> {
+            newDiscovery.script = (wire, request) -> {
                 pollNanos.add(System.nanoTime());
                 if (pollNanos.size() <= rejected) {
                     FakeEndpoint.answer(wire, 503, "", "");
@@ -137,16 +139,16 @@
                 }
             };
             Files.writeString(
-                    fixture.configFile, fixture.config().replace(fixture.discovery.address(), moved.address()));
-            // The poll interval of the fixture is ten minutes: pauses that go by it alone would take minutes.
+                    fixture.configFile, fixture.config().replace(fixture.discovery.address(), newDiscovery.address()));
+            // The poll interval of the fixture is ten minutes; delays derived from it alone would take minutes.
             fixture.sidecar.reload();
-            SidecarFixture.await("it polls again and again", () -> pollNanos.size() > rejected + 1);
+            SidecarFixture.await("polling continues after the rejections", () -> pollNanos.size() > rejected + 1);
             assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
-            assertEquals(1, other.requests.size(), "and has learned of the drain");
+            assertEquals(1, other.requests.size(), "the drain is applied");
         }
     }
 
-    /** Guards against half an answer that is waited for as long as a whole one. */
+    /** Guards against the rest of a truncated response being waited for as long as the wait of a watch. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -155,12 +157,12 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n{\"version\":2,",
                 "trickle"
             })
-    void anAnswerThatBreaksOffIsNotWaitedFor(String half) throws Exception {
+    void truncatedResponseTimesOutEarly(String truncated) throws Exception {
         try (FakeEndpoint other = FakeEndpoint.serving();
-                FakeEndpoint moved = new FakeEndpoint((wire, request) -> wire.awaitEnd())) {
+                FakeEndpoint newDiscovery = new FakeEndpoint((wire, request) -> wire.awaitEnd())) {
             fixture = new SidecarFixture(FakeEndpoint.serving()).start();
-            moved.script = (wire, request) -> {
-                switch (moved.requests.size()) {
+            newDiscovery.script = (wire, request) -> {
+                switch (newDiscovery.requests.size()) {
                     case 1 ->
                         FakeEndpoint.answer(
                                 wire,
@@ -171,7 +173,7 @@
                                         true,
                                         SidecarFixture.line(
                                                 0, fixture.endpoints.get(0).address(), "in_service", 0)));
-                    case 2 -> breakOff(wire, half);
+                    case 2 -> sendTruncated(wire, truncated);
                     case 3 ->
                         FakeEndpoint.answer(
                                 wire,
@@ -182,21 +184,22 @@
                 }
             };
             Files.writeString(
-                    fixture.configFile, fixture.config().replace(fixture.discovery.address(), moved.address()));
-            long began = System.nanoTime();
+                    fixture.configFile, fixture.config().replace(fixture.discovery.address(), newDiscovery.address()));
+            long startNanos = System.nanoTime();
             fixture.sidecar.reload();
-            SidecarFixture.await("it asks anew, and goes on", () -> moved.requests.size() == 4);
-            assertTrue(moved.requests.get(1).line().contains("wait=20000"), "the usual wait is much longer");
-            assertTrue(SidecarFixture.elapsedMs(began) < 10_000, "and is not waited for");
+            SidecarFixture.await("the watch is restarted and continues", () -> newDiscovery.requests.size() == 4);
+            assertTrue(
+                    newDiscovery.requests.get(1).line().contains("wait=20000"), "the wait of a watch is much longer");
+            assertTrue(SidecarFixture.elapsedMs(startNanos) < 10_000, "the truncated response times out early");
             assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size());
             assertTrue(fixture.logged().contains("in the middle of a response"), fixture.logged());
         }
     }
 
-    /** Guards against a list that is thought older than it is: what discovery says last holds. */
+    /** Guards against a list being ignored because of its version: the list received last is always applied. */
     @Test
-    void aListIsTakenWhateverItsVersionAndForm() throws Exception {
+    void listIsAppliedWhateverItsVersionAndFormatting() throws Exception {
         LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
         try (FakeEndpoint other = FakeEndpoint.answering(200, "", "other")) {
             fixture = new SidecarFixture(FakeEndpoint.serving());
@@ -212,10 +215,11 @@
                     .replaceAll("([,{\\[])", "$1\n    ");
             answers.add(indented);
             answers.add(SidecarFixture.list(7, false));
-            SidecarFixture.await("both are taken", () -> fixture.discovery.requests.size() == 3);
+            SidecarFixture.await("both lists are applied", () -> fixture.discovery.requests.size() == 3);
             assertEquals("other", fixture.ask("order", DEADLINE_MS).body());
             answers.add(SidecarFixture.list(3, true, SidecarFixture.line(0, first, "in_service", 0)));
-            SidecarFixture.await("so is this", () -> fixture.discovery.requests.size() == 4);
+            SidecarFixture.await(
+                    "the list with a lower version is applied", () -> fixture.discovery.requests.size() == 4);
             assertEquals("served", fixture.ask("order", DEADLINE_MS).body());
             assertEquals(
                     List.of("index=1&", "index=7&", "index=7&", "index=3&"),
@@ -226,12 +230,12 @@
     }
 
     /**
-     * Guards against a request that goes to an endpoint long after the list has said that it drains, because
-     * its connection came up late; and against one that is given up although others could serve it.
+     * Guards against an attempt that reaches an endpoint long after it began to drain, because its connection was
+     * established late, and against a request that fails although other endpoints could serve it.
      */
     @ParameterizedTest
     @ValueSource(strings = {"terminating", "terminated", "left out", "restarted"})
-    void anAttemptThatWaitsForItsConnectionLeavesAnEndpointThatDrains(String how) throws Exception {
+    void attemptWaitingForConnectionIsWithdrawnFromDrainingEndpoint(String change) throws Exception {
         LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
         try (LateEndpoint late = new LateEndpoint();
                 FakeEndpoint other = FakeEndpoint.serving();
@@ -241,12 +245,12 @@
             fixture.askWithinMs = 20;
             fixture.discovery.script = (wire, request) -> FakeEndpoint.answer(wire, 200, "", answers.take());
             fixture.start();
-            RawHttpClient unsafe = fixture.client().send(fixture.request("order", DEADLINE_MS));
+            RawHttpClient client = fixture.client().send(fixture.request("order", DEADLINE_MS));
             fixture.awaitPending(1);
-            SidecarFixture.await("a watch is on", () -> fixture.discovery.requests.size() == 1);
+            SidecarFixture.await("a watch is started", () -> fixture.discovery.requests.size() == 1);
             String next = SidecarFixture.line(1, other.address(), "in_service", 0);
             answers.add(
-                    switch (how) {
+                    switch (change) {
                         case "left out" -> SidecarFixture.list(2, true, next);
                         case "restarted" ->
                             SidecarFixture.list(
@@ -254,34 +258,37 @@
                                     false,
                                     next,
                                     SidecarFixture.line(0, again.address(), "in_service", System.currentTimeMillis()));
-                        default -> SidecarFixture.list(2, false, next, SidecarFixture.line(0, late.address(), how, 0));
+                        default ->
+                            SidecarFixture.list(2, false, next, SidecarFixture.line(0, late.address(), change, 0));
                     });
-            assertEquals("served", unsafe.read().body(), "it never ran, so another one may have it");
-            unsafe.close();
+            assertEquals("served", client.read().body(), "the request was not executed, so another endpoint serves it");
+            client.close();
             late.open();
             assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
             assertEquals(List.of(), late.requests);
         }
     }
 
-    /** Guards against a start from a list that is older than what this machine's agent has been told. */
+    /** Guards against a process that serves with the list of its configuration although the agent has a newer one. */
     @Test
-    void whereListsArePushedTheAgentIsHeardBeforeTheFirstClient() throws Exception {
-        List<String> seen = Collections.synchronizedList(new ArrayList<>());
+    void pushedListIsAppliedBeforeServing() throws Exception {
+        List<String> observedStates = Collections.synchronizedList(new ArrayList<>());
         try (FakeEndpoint other = FakeEndpoint.serving()) {
             fixture = new SidecarFixture(FakeEndpoint.serving());
             fixture.membership = "pushed";
-            CountDownLatch looked = new CountDownLatch(1);
+            CountDownLatch firstPollSeen = new CountDownLatch(1);
             fixture.discovery.script = (wire, request) -> {
-                // A sidecar that does not wait for the agent listens within milliseconds.
+                // A sidecar that does not wait for the agent starts to listen within milliseconds.
                 for (int i = 0;
-                        i < 100 && looked.getCount() > 0 && !fixture.logged().contains("listening");
+                        i < 100
+                                && firstPollSeen.getCount() > 0
+                                && !fixture.logged().contains("listening");
                         i++) {
                     Thread.sleep(10);
                 }
-                if (looked.getCount() > 0) {
-                    seen.add(fixture.logged().contains("listening") ? "listening" : "waits");
-                    looked.countDown();
+                if (firstPollSeen.getCount() > 0) {
+                    observedStates.add(fixture.logged().contains("listening") ? "listening" : "waits");
+                    firstPollSeen.countDown();
                 }
                 FakeEndpoint.answer(
                         wire,
@@ -294,19 +301,19 @@
                                 SidecarFixture.line(1, other.address(), "in_service", 0)));
             };
             fixture.start();
-            assertEquals("waits", seen.get(0));
+            assertEquals("waits", observedStates.get(0));
             assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size());
         }
     }
 
     /**
-     * Guards against a start from a list that is older than a change which discovery has had for long: clients are let
-     * in when discovery has answered, also where a crowded discovery rejects the first polls.
+     * Guards against a process that serves with the list of its configuration although discovery has a newer one.
+     * Serving starts after discovery has sent its list, even if an overloaded discovery rejects the first polls.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
-    void whereListsArePolledDiscoveryIsHeardBeforeTheFirstClient(int rejections) throws Exception {
+    void polledListIsAppliedBeforeServing(int rejections) throws Exception {
         try (FakeEndpoint other = FakeEndpoint.serving()) {
             fixture = new SidecarFixture(FakeEndpoint.serving());
             fixture.maxListWaitMs = SidecarFixture.PATIENCE_MS;
@@ -326,18 +333,18 @@
             };
             fixture.start();
             assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
-            assertEquals(1, other.requests.size(), "the endpoint of the old list has left");
+            assertEquals(1, other.requests.size(), "the endpoint of the cached list has left");
             assertEquals(0, fixture.endpoints.get(0).requests.size());
         }
     }
 
     /**
-     * A crowded discovery works through calls in turn, also those that it rejects: a rejection may come seconds
-     * after its poll. A start used to take a poll that had been open for 2.1 s for an accepted watch, and its list for
-     * current ("serving on" stood before "poll 1 failed: status 503"). Such a poll says nothing of the list.
+     * Guards against a poll that has been open for a while (once 2.1 s) being taken as proof of a current list. An
+     * overloaded discovery also queues the polls that it rejects, so a rejection may arrive seconds after the poll; in
+     * the fault, "serving on" was logged before "poll 1 failed: status 503".
      */
     @Test
-    void aPollThatIsRejectedLateDoesNotConfirmTheList() throws Exception {
+    void lateRejectionDoesNotConfirmTheList() throws Exception {
         int rejectedAfterMs = 2600;
         try (FakeEndpoint other = FakeEndpoint.serving()) {
             fixture = new SidecarFixture(FakeEndpoint.serving());
@@ -359,17 +366,17 @@
             };
             fixture.start();
             assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
-            assertEquals(1, other.requests.size(), "the endpoint of the old list has left");
+            assertEquals(1, other.requests.size(), "the endpoint of the cached list has left");
             assertEquals(0, fixture.endpoints.get(0).requests.size());
         }
     }
 
     /**
-     * A discovery with nothing newer says so at once, as the first poll asks it to, and the start does not wait any
-     * longer; the watch comes after that. A watch that is only kept open tells nothing of the list.
+     * Guards against a start that waits although the list is current. The first poll is sent without a wait, so a
+     * response without changes arrives at once; the watch is started after it.
      */
     @Test
-    void aDiscoveryWithNothingNewerConfirmsTheListAtOnce() throws Exception {
+    void responseWithoutChangesConfirmsTheListAtOnce() throws Exception {
         fixture = new SidecarFixture(FakeEndpoint.serving());
         fixture.maxListWaitMs = SidecarFixture.PATIENCE_MS;
         fixture.discovery.script = (wire, request) -> {
@@ -386,9 +393,9 @@
         assertFalse(fixture.logged().contains("from the configuration's endpoint list"), fixture.logged());
     }
 
-    /** An outage of discovery does not keep a sidecar from serving. */
+    /** Guards against a sidecar that never serves because discovery rejects every poll. */
     @Test
-    void aDiscoveryThatRejectsEveryPollIsWaitedForOnlyForAWhile() throws Exception {
+    void startupWaitIsBoundedIfDiscoveryRejectsEveryPoll() throws Exception {
         fixture = new SidecarFixture(FakeEndpoint.serving());
         fixture.maxListWaitMs = 1500;
         fixture.discovery.script = (wire, request) -> FakeEndpoint.answer(wire, 503, "", "");
@@ -397,26 +404,25 @@
         assertTrue(fixture.logged().contains("endpoint list: TIMED_OUT"), fixture.logged());
     }
 
-    /** An agent that is silent, as while discovery is down, does not keep a sidecar from serving. */
+    /** Guards against a sidecar that never serves because the agent is silent, as it is while discovery is down. */
     @Test
-    void aSilentAgentIsWaitedForOnlyForAWhile() throws Exception {
+    void startupWaitIsBoundedIfAgentIsSilent() throws Exception {
         fixture = new SidecarFixture(FakeEndpoint.serving());
         fixture.membership = "pushed";
         fixture.start();
         assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
-        assertTrue(fixture.discovery.requests.size() > 1, "it is asked again and again");
+        assertTrue(fixture.discovery.requests.size() > 1, "the agent is polled repeatedly");
     }
 
     /**
-     * What the agent of this machine has counts as notified from the first moment of a new process, also where the
-     * agent begins to listen later than the process. On processes (the agent listens 2.2 s after the start, four
-     * starts) 11 to 20 requests went to an endpoint that the agent knew to be gone. The cause: the start went on at the
-     * first refused connection ("DISCOVERY_UNREACHABLE" in the log), as it may where lists are polled.
+     * Guards against a start that stops waiting at the first refused connection, as it may only if lists are polled.
+     * The agent's changes count as notified even if it starts after the process: with an agent 2.2 s late, 11 to 20
+     * requests went to an endpoint that the agent reported as gone ("DISCOVERY_UNREACHABLE" in the log).
      */
     @ParameterizedTest
     @ValueSource(ints = {1200, 2600})
-    void anAgentThatListensLateIsHeardBeforeTheFirstClient(int listensAfterMs) throws Exception {
-        // Nothing else on this machine takes a port at this address meanwhile.
+    void listOfLateAgentIsAppliedBeforeServing(int listensAfterMs) throws Exception {
+        // No other process on this machine binds a port at this address in the meantime.
         InetSocketAddress agentAddress;
         try (ServerSocket reserved = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.77"))) {
             agentAddress = (InetSocketAddress) reserved.getLocalSocketAddress();
@@ -428,17 +434,17 @@
             String drained = SidecarFixture.line(0, fixture.endpoints.get(0).address(), "terminating", 0);
             String ready = SidecarFixture.line(1, other.address(), "in_service", 0);
             CompletableFuture<FakeEndpoint> agent = CompletableFuture.supplyAsync(
-                    () -> agentAt(agentAddress, SidecarFixture.list(2, true, drained, ready)),
+                    () -> startAgent(agentAddress, SidecarFixture.list(2, true, drained, ready)),
                     CompletableFuture.delayedExecutor(listensAfterMs, TimeUnit.MILLISECONDS));
             fixture.start();
             assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
-            assertEquals(1, other.requests.size(), "the agent knows that the other one has left");
+            assertEquals(1, other.requests.size(), "the endpoint of the cached list has left");
             assertEquals(0, fixture.endpoints.get(0).requests.size());
             agent.join().close();
         }
     }
 
-    private static FakeEndpoint agentAt(InetSocketAddress address, String list) {
+    private static FakeEndpoint startAgent(InetSocketAddress address, String list) {
         try {
             return new FakeEndpoint(address, (wire, request) -> FakeEndpoint.answer(wire, 200, "", list));
         } catch (IOException e) {
@@ -446,9 +452,9 @@
         }
     }
 
-    private static void breakOff(RawHttpClient wire, String half) throws Exception {
-        if (!half.equals("trickle")) {
-            wire.send(half).awaitEnd();
+    private static void sendTruncated(RawHttpClient wire, String truncated) throws Exception {
+        if (!truncated.equals("trickle")) {
+            wire.send(truncated).awaitEnd();
         }
         wire.send("HTTP/1.1 200 OK\r\nContent-Length: 3000\r\n\r\n{");
         while (true) {
--- a/sidecar/src/test/java/martenlatch/sidecar/ReloadTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ReloadTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** New configurations under load: the watch moves, and nothing else is disturbed. */
+/** Tests reloads of the configuration: polling moves to the new discovery, and requests are not disturbed. */
 @Timeout(60)
 class ReloadTest {
 
@@ -27,7 +27,7 @@
     private SidecarFixture fixture = new SidecarFixture(before);
 
     ReloadTest() throws IOException {
-        // Both fakes stand before each test.
+        // The constructor declares the exception of the field initializers.
     }
 
     @AfterEach
@@ -56,57 +56,58 @@
         fixture.sidecar.reload();
     }
 
-    /** Guards against trust in the old place's version: the new one may count from anywhere. */
+    /** Guards against using the version of the previous address: versions of different addresses are unrelated. */
     @Test
-    void theWholeListIsAskedForAtTheNewAddressAtOnce() throws Exception {
+    void wholeListIsPolledAtNewAddressAtOnce() throws Exception {
         fixture.askWithinMs = 20;
         fixture.start();
-        SidecarFixture.await("a watch is on", () -> fixture.discovery.requests.size() == 1);
+        SidecarFixture.await("a watch is started", () -> fixture.discovery.requests.size() == 1);
         try (FakeEndpoint next = discoveryWith(1, after);
                 FakeEndpoint last = discoveryWith(1, before)) {
             reloadFor(next.address());
-            SidecarFixture.await("the watch goes on there", () -> next.requests.size() == 2);
+            SidecarFixture.await("the watch continues at the new address", () -> next.requests.size() == 2);
             assertEquals(
                     "GET /registry/instances HTTP/1.1", next.requests.get(0).line());
             assertEquals(
                     "GET /registry/instances?index=1&wait=4000 HTTP/1.1",
                     next.requests.get(1).line());
-            SidecarFixture.await("the old watch is dropped", () -> fixture.discovery.open.get() == 0);
+            SidecarFixture.await("the previous watch is closed", () -> fixture.discovery.open.get() == 0);
             assertEquals("after", fixture.ask("order", DEADLINE_MS).body());
             reloadFor(last.address());
-            SidecarFixture.await("and again", () -> last.requests.size() == 2);
+            SidecarFixture.await("the watch continues after a second move", () -> last.requests.size() == 2);
             assertEquals("before", fixture.ask("order", DEADLINE_MS).body());
         }
         assertFalse(fixture.logged().contains("discovery failed"), fixture.logged());
     }
 
-    /** Guards against a fleet that is moved, asks the new place all at once, and is turned away by it. */
+    /** Guards against a fleet that polls a new discovery address all at once and is rejected by it. */
     @Test
-    void aFleetThatIsMovedSpreadsItsFirstCalls() throws Exception {
+    void firstPollsAfterMoveAreSpread() throws Exception {
         fixture.askWithinMs = 2000;
         fixture.start();
-        List<Double> waits = new ArrayList<>();
+        List<Double> delaysMs = new ArrayList<>();
         try (FakeEndpoint one = discoveryWith(1, after);
                 FakeEndpoint other = discoveryWith(1, before)) {
             for (int i = 0; i < 6; i++) {
                 FakeEndpoint next = i % 2 == 0 ? one : other;
-                int asked = next.requests.size();
-                long began = System.nanoTime();
+                int polls = next.requests.size();
+                long startNanos = System.nanoTime();
                 Files.writeString(
                         fixture.configFile,
                         fixture.config()
                                 .replace(fixture.discovery.address(), next.address())
                                 .replace("\"replicas-of-me\":1", "\"replicas-of-me\":40"));
                 fixture.sidecar.reload();
-                SidecarFixture.await("it asks there", () -> next.requests.size() > asked);
-                waits.add((System.nanoTime() - began) / 1e6);
+                SidecarFixture.await("the new address is polled", () -> next.requests.size() > polls);
+                delaysMs.add((System.nanoTime() - startNanos) / 1e6);
             }
         }
-        assertTrue(Collections.max(waits) > 200, "all of them within 200 of up to 975 ms: " + waits);
+        assertTrue(Collections.max(delaysMs) > 200, "all polls came within 200 ms of up to 975 ms: " + delaysMs);
     }
 
+    /** Guards against a reload that disturbs a request whose attempt is in flight. */
     @Test
-    void aRequestInHandIsNotTouched() throws Exception {
+    void requestInFlightIsNotDisturbed() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         before.script = (wire, request) -> {
             release.await();
@@ -116,17 +117,17 @@
         try (FakeEndpoint next = discoveryWith(5, after);
                 RawHttpClient client = fixture.client()) {
             client.send(fixture.request("order", DEADLINE_MS));
-            SidecarFixture.await("it is in hand", () -> before.requests.size() == 1);
+            SidecarFixture.await("the request is in flight", () -> before.requests.size() == 1);
             reloadFor(next.address());
-            SidecarFixture.await("the new list is there", () -> next.requests.size() == 2);
+            SidecarFixture.await("the new list is applied", () -> next.requests.size() == 2);
             release.countDown();
             assertEquals("before", client.read().body());
         }
     }
 
-    /** Guards against a class that is known too late, or forgotten while its requests are in hand. */
+    /** Guards against a class that is added too late, or removed while requests of it are in flight. */
     @Test
-    void classesComeAndGo() throws Exception {
+    void requestClassesAreAddedAndRemoved() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         before.script = (wire, request) -> {
             if (request.headers().get("x-request-id").equals("r1")) {
@@ -140,33 +141,30 @@
         };
         fixture.start();
         assertEquals(400, fixture.ask("print", DEADLINE_MS).status());
-        try (RawHttpClient inHand = fixture.client()) {
-            inHand.send(fixture.request("order", DEADLINE_MS));
-            SidecarFixture.await("it is in hand", () -> before.requests.size() == 1);
+        try (RawHttpClient first = fixture.client()) {
+            first.send(fixture.request("order", DEADLINE_MS));
+            SidecarFixture.await("the request is in flight", () -> before.requests.size() == 1);
             RawHttpClient second = fixture.client().send(fixture.request("read", DEADLINE_MS));
-            SidecarFixture.await("another is in hand", () -> before.requests.size() == 2);
+            SidecarFixture.await("another request is in flight", () -> before.requests.size() == 2);
             Files.writeString(
                     fixture.configFile,
                     fixture.config().replace("\"order\"", "\"print\"").replace("\"try-limit\":3", "\"try-limit\":1"));
             fixture.sidecar.reload();
-            SidecarFixture.await("it is told", () -> fixture.logged().contains("settings changed"));
+            SidecarFixture.await("the reload is logged", () -> fixture.logged().contains("settings changed"));
             assertEquals(200, fixture.ask("print", DEADLINE_MS).status());
             assertEquals(400, fixture.ask("order", DEADLINE_MS).status());
             release.countDown();
-            assertEquals("before", inHand.read().body());
-            assertEquals("before", second.read().body(), "tried again, as it was to be when it came");
+            assertEquals("before", first.read().body());
+            assertEquals("before", second.read().body(), "retried according to the settings at its arrival");
             second.close();
         }
         before.script = (wire, request) -> wire.reset();
         int sent = before.requests.size();
         assertEquals(503, fixture.ask("read", DEADLINE_MS).status());
-        assertEquals(sent + 1, before.requests.size(), "one attempt at most from now on");
+        assertEquals(sent + 1, before.requests.size(), "at most one attempt for new requests");
     }
 
-    /**
-     * Guards against half of a file taken for the whole: nothing of it holds, the address of discovery
-     * either.
-     */
+    /** Guards against applying a part of an incomplete or invalid file, such as the new address of discovery. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -184,34 +182,39 @@
                 "\"azs\":[\"a\"]|\"azs\":[\"b\"]|settings.azs and settings.models cannot change",
                 "\"name\":\"n0\",||field name is missing"
             })
-    void aPartOfAFileChangesNothing(String part, String spoilt, String told) throws Exception {
+    void incompleteOrInvalidFileChangesNothing(String original, String replacement, String expectedMessage)
+            throws Exception {
         fixture.askWithinMs = 20;
         fixture.start();
-        SidecarFixture.await("a watch is on", () -> fixture.discovery.requests.size() == 1);
+        SidecarFixture.await("a watch is started", () -> fixture.discovery.requests.size() == 1);
         String good = fixture.config().replace(fixture.discovery.address(), after.address());
-        int last = good.lastIndexOf(part);
+        int last = good.lastIndexOf(original);
         Files.writeString(
                 fixture.configFile,
-                good.substring(0, last) + (spoilt == null ? "" : spoilt) + good.substring(last + part.length()));
+                good.substring(0, last)
+                        + (replacement == null ? "" : replacement)
+                        + good.substring(last + original.length()));
         fixture.sidecar.reload();
-        SidecarFixture.await("it is told", () -> fixture.logged().contains(told));
+        SidecarFixture.await("the error is logged", () -> fixture.logged().contains(expectedMessage));
         assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
-        assertEquals(1, fixture.discovery.open.get(), "the old watch goes on");
+        assertEquals(1, fixture.discovery.open.get(), "the previous watch continues");
         assertEquals(0, after.connections.get());
     }
 
+    /** Guards against applying a file with an invalid discovery address or invalid JSON. */
     @Test
-    void aFileThatCannotBeUsedChangesNothing() throws Exception {
+    void unparsableFileChangesNothing() throws Exception {
         fixture.askWithinMs = 20;
         fixture.start();
-        SidecarFixture.await("a watch is on", () -> fixture.discovery.requests.size() == 1);
+        SidecarFixture.await("a watch is started", () -> fixture.discovery.requests.size() == 1);
         reloadFor("nowhere");
-        SidecarFixture.await("it is told", () -> fixture.logged().contains("field discovery is not usable: nowhere"));
+        SidecarFixture.await(
+                "the error is logged", () -> fixture.logged().contains("field discovery is not usable: nowhere"));
         Files.writeString(fixture.configFile, "{");
         fixture.sidecar.reload();
-        SidecarFixture.await("it is told", () -> fixture.logged().contains("is not JSON"));
+        SidecarFixture.await("the error is logged", () -> fixture.logged().contains("is not JSON"));
         assertEquals("before", fixture.ask("order", DEADLINE_MS).body());
-        assertEquals(1, fixture.discovery.open.get(), "the old watch goes on");
+        assertEquals(1, fixture.discovery.open.get(), "the previous watch continues");
         assertTrue(fixture.logged().contains("configuration not reloaded"), fixture.logged());
     }
 }
