--- a/sidecar/src/test/java/martenlatch/sidecar/AdminOperationsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/AdminOperationsTest.java
@@ -91,7 +91,7 @@
         SidecarFixture fixture = fixture(good()).start();
         List<RawHttpClient> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            silent.add(RawHttpClient.to(fixture.sidecar.adminAddress())
+            silent.add(RawHttpClient.connect(fixture.sidecar.adminAddress())
                     .send(i % 2 == 0 ? "" : "POST /drain HTTP/1.1\r\nHo"));
         }
         assertEquals(200, fixture.operate("GET /ready", "").status());
@@ -99,7 +99,7 @@
         RawHttpClient.Message late = silent.get(59).read();
         assertEquals(408, late.status());
         for (RawHttpClient wire : silent) {
-            wire.awaitEnd();
+            wire.awaitClose();
         }
         assertEquals(200, fixture.operate("GET /ready", "").status(), "half a call has drained nothing");
     }
@@ -159,14 +159,14 @@
         FakeEndpoint second = good();
         LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
         SidecarFixture fixture = fixture(first, second);
-        fixture.askWithinMs = 20;
+        fixture.pollIntervalMs = 20;
         fixture.discovery.script = (wire, request) -> FakeEndpoint.answer(wire, 200, "", answers.take());
         fixture.start();
         assertEquals(200, fixture.operate("POST /endpoints/disable", name("s0")).status());
         int before = first.requests.size();
         for (int round = 0; round < 3; round++) {
             for (int i = 0; i < 5; i++) {
-                assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+                assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             }
             answers.add(
                     round == 0
@@ -206,16 +206,16 @@
         SidecarFixture next = fixture(first, second).start();
         assertTrue(next.logged().contains("endpoints disabled before this start: [s0]"), next.logged());
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, next.ask("order", DEADLINE_MS).status());
+            assertEquals(200, next.sendRequest("order", DEADLINE_MS).status());
         }
         assertEquals(0, first.requests.size());
         assertEquals(200, next.operate("POST /endpoints/disable", name("s1")).status());
         SidecarFixture.await(
                 "the old one hears of it", () -> old.logged().contains("endpoints disabled by operators: [s0, s1]"));
-        assertEquals(503, old.ask("order", DEADLINE_MS).status(), "none is left");
+        assertEquals(503, old.sendRequest("order", DEADLINE_MS).status(), "none is left");
         assertEquals(200, next.operate("POST /endpoints/enable", name("s0")).status());
         SidecarFixture.await("and of this", () -> old.logged().contains("endpoints disabled by operators: [s1]"));
-        assertEquals(200, old.ask("order", DEADLINE_MS).status());
+        assertEquals(200, old.sendRequest("order", DEADLINE_MS).status());
         assertEquals(1, first.requests.size());
     }
 
@@ -229,7 +229,7 @@
         assertEquals(500, answer.status());
         assertTrue(answer.body().contains("could not be kept"), answer.body());
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         }
         assertEquals(0, fixture.endpoints.get(0).requests.size());
     }
@@ -278,8 +278,8 @@
                 used.send(fixture.request("order", DEADLINE_MS)).read();
         assertEquals(200, last.status(), "who is here is served");
         assertEquals("close", last.headers().get("connection"));
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status(), "and so is who comes last");
-        idle.awaitEnd();
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status(), "and so is who comes last");
+        idle.awaitClose();
         assertTrue((System.nanoTime() - drained) / 1e6 < 4000, "not only when it has been idle for 5 s");
         release.countDown();
         RawHttpClient.Message late = inHand.read();
@@ -351,7 +351,7 @@
         hold.countDown();
         for (RawHttpClient wire : waiting) {
             RawHttpClient.Message answer = wire.read();
-            assertTrue(answer.status() == 200 || answer.status() == 503, answer.line());
+            assertTrue(answer.status() == 200 || answer.status() == 503, answer.startLine());
             assertEquals("close", answer.headers().get("connection"));
         }
         SidecarFixture.await("it sees its heir", () -> old.logged().contains("another process serves this address"));
@@ -383,7 +383,7 @@
                 throw new java.io.UncheckedIOException(e);
             }
         });
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         drain.join();
     }
 }
--- a/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/DiscoveryRaceTest.java
@@ -44,7 +44,7 @@
         try (FakeEndpoint other = FakeEndpoint.serving()) {
             fixture = new SidecarFixture(FakeEndpoint.serving());
             fixture.membership = membership;
-            fixture.askWithinMs = 4000;
+            fixture.pollIntervalMs = 4000;
             // If lists are pushed, the first poll requests the whole list.
             int silentPoll = membership.equals("pushed") ? 2 : 1;
             fixture.discovery.script = (wire, request) -> {
@@ -66,12 +66,12 @@
                                     SidecarFixture.line(0, firstAddress, "terminating", 0),
                                     SidecarFixture.line(1, other.address(), "in_service", 0)));
                 } else {
-                    wire.awaitEnd();
+                    wire.awaitClose();
                 }
             };
             fixture.start();
             SidecarFixture.await("the watch is restarted", () -> fixture.discovery.requests.size() >= silentPoll + 2);
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size(), "the missed change is applied");
             assertTrue(fixture.discovery.connections.get() >= 2, "the silent connection is not reused");
             assertTrue(fixture.logged().contains("discovery watch timed out"), fixture.logged());
@@ -90,7 +90,7 @@
         fixture.discovery.script = (wire, request) -> {
             int version = fixture.discovery.requests.size();
             if (version > 5) {
-                wire.awaitEnd();
+                wire.awaitClose();
             }
             FakeEndpoint.answer(
                     wire,
@@ -108,7 +108,7 @@
                 wire.close();
             }
         };
-        fixture.askWithinMs = 2000;
+        fixture.pollIntervalMs = 2000;
         fixture.start();
         SidecarFixture.await("polling continues", () -> fixture.discovery.requests.size() > 5);
         assertFalse(fixture.logged().contains("discovery failed"), fixture.logged());
@@ -123,7 +123,7 @@
         int rejected = 4;
         List<Long> pollNanos = Collections.synchronizedList(new ArrayList<>());
         try (FakeEndpoint other = FakeEndpoint.serving();
-                FakeEndpoint newDiscovery = new FakeEndpoint((wire, request) -> wire.awaitEnd())) {
+                FakeEndpoint newDiscovery = new FakeEndpoint((wire, request) -> wire.awaitClose())) {
             fixture = new SidecarFixture(FakeEndpoint.serving()).start();
             newDiscovery.script = (wire, request) -> {
                 pollNanos.add(System.nanoTime());
@@ -135,7 +135,7 @@
                     String ready = SidecarFixture.line(1, other.address(), "in_service", 0);
                     FakeEndpoint.answer(wire, 200, "", SidecarFixture.list(2, true, drained, ready));
                 } else {
-                    wire.awaitEnd();
+                    wire.awaitClose();
                 }
             };
             Files.writeString(
@@ -143,7 +143,7 @@
             // The poll interval of the fixture is ten minutes; delays derived from it alone would take minutes.
             fixture.sidecar.reload();
             SidecarFixture.await("polling continues after the rejections", () -> pollNanos.size() > rejected + 1);
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size(), "the drain is applied");
         }
     }
@@ -159,7 +159,7 @@
             })
     void truncatedResponseTimesOutEarly(String truncated) throws Exception {
         try (FakeEndpoint other = FakeEndpoint.serving();
-                FakeEndpoint newDiscovery = new FakeEndpoint((wire, request) -> wire.awaitEnd())) {
+                FakeEndpoint newDiscovery = new FakeEndpoint((wire, request) -> wire.awaitClose())) {
             fixture = new SidecarFixture(FakeEndpoint.serving()).start();
             newDiscovery.script = (wire, request) -> {
                 switch (newDiscovery.requests.size()) {
@@ -180,7 +180,7 @@
                                 200,
                                 "",
                                 SidecarFixture.list(2, true, SidecarFixture.line(1, other.address(), "in_service", 0)));
-                    default -> wire.awaitEnd();
+                    default -> wire.awaitClose();
                 }
             };
             Files.writeString(
@@ -189,9 +189,10 @@
             fixture.sidecar.reload();
             SidecarFixture.await("the watch is restarted and continues", () -> newDiscovery.requests.size() == 4);
             assertTrue(
-                    newDiscovery.requests.get(1).line().contains("wait=20000"), "the wait of a watch is much longer");
+                    newDiscovery.requests.get(1).startLine().contains("wait=20000"),
+                    "the wait of a watch is much longer");
             assertTrue(SidecarFixture.elapsedMs(startNanos) < 10_000, "the truncated response times out early");
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size());
             assertTrue(fixture.logged().contains("in the middle of a response"), fixture.logged());
         }
@@ -203,7 +204,7 @@
         LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
         try (FakeEndpoint other = FakeEndpoint.answering(200, "", "other")) {
             fixture = new SidecarFixture(FakeEndpoint.serving());
-            fixture.askWithinMs = 20;
+            fixture.pollIntervalMs = 20;
             fixture.discovery.script = (wire, request) -> FakeEndpoint.answer(wire, 200, "", answers.take());
             fixture.start();
             String first = fixture.endpoints.get(0).address();
@@ -216,15 +217,15 @@
             answers.add(indented);
             answers.add(SidecarFixture.list(7, false));
             SidecarFixture.await("both lists are applied", () -> fixture.discovery.requests.size() == 3);
-            assertEquals("other", fixture.ask("order", DEADLINE_MS).body());
+            assertEquals("other", fixture.sendRequest("order", DEADLINE_MS).body());
             answers.add(SidecarFixture.list(3, true, SidecarFixture.line(0, first, "in_service", 0)));
             SidecarFixture.await(
                     "the list with a lower version is applied", () -> fixture.discovery.requests.size() == 4);
-            assertEquals("served", fixture.ask("order", DEADLINE_MS).body());
+            assertEquals("served", fixture.sendRequest("order", DEADLINE_MS).body());
             assertEquals(
                     List.of("index=1&", "index=7&", "index=7&", "index=3&"),
                     fixture.discovery.requests.stream()
-                            .map(request -> request.line().replaceAll(".*(index=\\d+&).*", "$1"))
+                            .map(request -> request.startLine().replaceAll(".*(index=\\d+&).*", "$1"))
                             .toList());
         }
     }
@@ -237,12 +238,12 @@
     @ValueSource(strings = {"terminating", "terminated", "left out", "restarted"})
     void attemptWaitingForConnectionIsWithdrawnFromDrainingEndpoint(String change) throws Exception {
         LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
-        try (LateEndpoint late = new LateEndpoint();
+        try (DelayedAcceptEndpoint late = new DelayedAcceptEndpoint();
                 FakeEndpoint other = FakeEndpoint.serving();
                 FakeEndpoint again = FakeEndpoint.serving()) {
             fixture = SidecarFixture.withEndpointAt(late.address());
-            fixture.dialMs = 30_000;
-            fixture.askWithinMs = 20;
+            fixture.connectTimeoutMs = 30_000;
+            fixture.pollIntervalMs = 20;
             fixture.discovery.script = (wire, request) -> FakeEndpoint.answer(wire, 200, "", answers.take());
             fixture.start();
             RawHttpClient client = fixture.client().send(fixture.request("order", DEADLINE_MS));
@@ -263,8 +264,8 @@
                     });
             assertEquals("served", client.read().body(), "the request was not executed, so another endpoint serves it");
             client.close();
-            late.open();
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            late.startAccepting();
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(List.of(), late.requests);
         }
     }
@@ -302,7 +303,7 @@
             };
             fixture.start();
             assertEquals("waits", observedStates.get(0));
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size());
         }
     }
@@ -316,7 +317,7 @@
     void polledListIsAppliedBeforeServing(int rejections) throws Exception {
         try (FakeEndpoint other = FakeEndpoint.serving()) {
             fixture = new SidecarFixture(FakeEndpoint.serving());
-            fixture.maxListWaitMs = SidecarFixture.PATIENCE_MS;
+            fixture.maxListWaitMs = SidecarFixture.AWAIT_TIMEOUT_MS;
             AtomicInteger polls = new AtomicInteger();
             fixture.discovery.script = (wire, request) -> {
                 int poll = polls.incrementAndGet();
@@ -328,11 +329,11 @@
                     String ready = SidecarFixture.line(1, other.address(), "in_service", 0);
                     FakeEndpoint.answer(wire, 200, "", SidecarFixture.list(2, false, drained, ready));
                 } else {
-                    wire.awaitEnd();
+                    wire.awaitClose();
                 }
             };
             fixture.start();
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size(), "the endpoint of the cached list has left");
             assertEquals(0, fixture.endpoints.get(0).requests.size());
         }
@@ -348,7 +349,7 @@
         int rejectedAfterMs = 2600;
         try (FakeEndpoint other = FakeEndpoint.serving()) {
             fixture = new SidecarFixture(FakeEndpoint.serving());
-            fixture.maxListWaitMs = SidecarFixture.PATIENCE_MS;
+            fixture.maxListWaitMs = SidecarFixture.AWAIT_TIMEOUT_MS;
             AtomicInteger polls = new AtomicInteger();
             fixture.discovery.script = (wire, request) -> {
                 int poll = polls.incrementAndGet();
@@ -361,11 +362,11 @@
                     String ready = SidecarFixture.line(1, other.address(), "in_service", 0);
                     FakeEndpoint.answer(wire, 200, "", SidecarFixture.list(2, false, drained, ready));
                 } else {
-                    wire.awaitEnd();
+                    wire.awaitClose();
                 }
             };
             fixture.start();
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size(), "the endpoint of the cached list has left");
             assertEquals(0, fixture.endpoints.get(0).requests.size());
         }
@@ -378,18 +379,18 @@
     @Test
     void responseWithoutChangesConfirmsTheListAtOnce() throws Exception {
         fixture = new SidecarFixture(FakeEndpoint.serving());
-        fixture.maxListWaitMs = SidecarFixture.PATIENCE_MS;
+        fixture.maxListWaitMs = SidecarFixture.AWAIT_TIMEOUT_MS;
         fixture.discovery.script = (wire, request) -> {
-            if (request.line().endsWith("wait=1 HTTP/1.1")) {
+            if (request.startLine().endsWith("wait=1 HTTP/1.1")) {
                 FakeEndpoint.answer(wire, 200, "", SidecarFixture.list(1, false));
             } else {
-                wire.awaitEnd();
+                wire.awaitClose();
             }
         };
         fixture.start();
         SidecarFixture.await("a watch is started", () -> fixture.discovery.requests.size() == 2);
-        assertTrue(fixture.discovery.requests.get(1).line().contains("index=1&wait=20000"));
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertTrue(fixture.discovery.requests.get(1).startLine().contains("index=1&wait=20000"));
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertFalse(fixture.logged().contains("from the configuration's endpoint list"), fixture.logged());
     }
 
@@ -400,7 +401,7 @@
         fixture.maxListWaitMs = 1500;
         fixture.discovery.script = (wire, request) -> FakeEndpoint.answer(wire, 503, "", "");
         fixture.start();
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertTrue(fixture.logged().contains("endpoint list: TIMED_OUT"), fixture.logged());
     }
 
@@ -410,7 +411,7 @@
         fixture = new SidecarFixture(FakeEndpoint.serving());
         fixture.membership = "pushed";
         fixture.start();
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertTrue(fixture.discovery.requests.size() > 1, "the agent is polled repeatedly");
     }
 
@@ -437,7 +438,7 @@
                     () -> startAgent(agentAddress, SidecarFixture.list(2, true, drained, ready)),
                     CompletableFuture.delayedExecutor(listensAfterMs, TimeUnit.MILLISECONDS));
             fixture.start();
-            assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(1, other.requests.size(), "the endpoint of the cached list has left");
             assertEquals(0, fixture.endpoints.get(0).requests.size());
             agent.join().close();
@@ -454,7 +455,7 @@
 
     private static void sendTruncated(RawHttpClient wire, String truncated) throws Exception {
         if (!truncated.equals("trickle")) {
-            wire.send(truncated).awaitEnd();
+            wire.send(truncated).awaitClose();
         }
         wire.send("HTTP/1.1 200 OK\r\nContent-Length: 3000\r\n\r\n{");
         while (true) {
--- a/sidecar/src/test/java/martenlatch/sidecar/LongRequestBodiesTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LongRequestBodiesTest.java
@@ -67,7 +67,7 @@
                             form.equals("length") ? sent : LongBodies.chunked(sent));
                     assertEquals("eaten", client.read().body());
                     assertArrayEquals(sent, received.take());
-                    SidecarFixture.settle();
+                    SidecarFixture.awaitReuseDelay();
                 }
             }
             assertEquals(1, endpoint.connections.get());
@@ -113,7 +113,7 @@
                 RawHttpClient.Message answer = client.read();
                 assertEquals("eaten", answer.body());
                 assertEquals("close", answer.headers().get("connection"));
-                client.awaitEnd();
+                client.awaitClose();
             }
             assertArrayEquals(sent, received.take());
             assertEquals(0, received.size(), "what comes behind the last request is none");
@@ -344,7 +344,7 @@
             for (RawHttpClient client : clients) {
                 client.socket.getOutputStream().write(sent, 700_000, 200_000);
                 RawHttpClient.Message answer = client.read();
-                assertTrue(answer.status() == 200 || answer.status() == 503, answer.line());
+                assertTrue(answer.status() == 200 || answer.status() == 503, answer.startLine());
                 served += answer.status() == 200 ? 1 : 0;
                 client.close();
             }
--- a/sidecar/src/test/java/martenlatch/sidecar/LongResponsesTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LongResponsesTest.java
@@ -69,7 +69,7 @@
             for (int i = 0; i < 3; i++) {
                 client.send(fixture.request(i == 1 ? "read" : "order", DEADLINE_MS));
                 assertArrayEquals(made, LongBodies.body(client));
-                SidecarFixture.settle();
+                SidecarFixture.awaitReuseDelay();
             }
         }
         assertEquals(
@@ -135,7 +135,7 @@
             Thread.sleep(100);
             wire.reset();
         });
-        assertEquals(502, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(502, fixture.sendRequest("order", DEADLINE_MS).status());
     }
 
     /**
@@ -158,7 +158,7 @@
         for (int i = 0; i < clients; i++) {
             // One after the other has begun: the decisions' first limit is small, and a begun answer frees
             // its place.
-            RawHttpClient client = RawHttpClient.to(fixture.sidecar.address(), 32 * 1024);
+            RawHttpClient client = RawHttpClient.connect(fixture.sidecar.address(), 32 * 1024);
             RawHttpClient.Message head =
                     client.send(fixture.request("order", DEADLINE_MS)).readHead();
             assertEquals(200, head.status());
--- a/sidecar/src/test/java/martenlatch/sidecar/LostCallsTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/LostCallsTest.java
@@ -30,8 +30,8 @@
 
     private final AtomicInteger abandonedRequests = new AtomicInteger();
     private final FakeEndpoint endpoint = new FakeEndpoint((wire, request) -> {
-        if (request.line().startsWith("POST")) {
-            wire.awaitEnd();
+        if (request.startLine().startsWith("POST")) {
+            wire.awaitClose();
             abandonedRequests.incrementAndGet();
         } else {
             Thread.sleep(RESPONSE_TIME_MS);
@@ -42,7 +42,7 @@
     private final List<RawHttpClient> clients = new ArrayList<>();
 
     LostCallsTest() throws IOException {
-        fixture.aimMs = LATENCY_OBJECTIVE_MS;
+        fixture.latencyObjectiveMs = LATENCY_OBJECTIVE_MS;
     }
 
     @AfterEach
@@ -74,7 +74,8 @@
         for (int round = 0; round < ROUNDS; round++) {
             List<RawHttpClient> unanswered = sendUnanswered(UNANSWERED_PER_ROUND, UNANSWERED_DEADLINE_MS);
             while (abandonedRequests.get() < (round + 1) * UNANSWERED_PER_ROUND) {
-                assertEquals(200, fixture.ask("read", LATENCY_OBJECTIVE_MS).status());
+                assertEquals(
+                        200, fixture.sendRequest("read", LATENCY_OBJECTIVE_MS).status());
             }
             for (RawHttpClient client : unanswered) {
                 int status = client.read().status();
--- a/sidecar/src/test/java/martenlatch/sidecar/ReloadTest.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/ReloadTest.java
@@ -38,8 +38,8 @@
 
     private FakeEndpoint discoveryWith(int version, FakeEndpoint endpoint) throws IOException {
         return new FakeEndpoint((wire, request) -> {
-            if (request.line().contains("index=")) {
-                wire.awaitEnd();
+            if (request.startLine().contains("index=")) {
+                wire.awaitClose();
             } else {
                 FakeEndpoint.answer(
                         wire,
@@ -59,7 +59,7 @@
     /** Guards against using the version of the previous address: versions of different addresses are unrelated. */
     @Test
     void wholeListIsPolledAtNewAddressAtOnce() throws Exception {
-        fixture.askWithinMs = 20;
+        fixture.pollIntervalMs = 20;
         fixture.start();
         SidecarFixture.await("a watch is started", () -> fixture.discovery.requests.size() == 1);
         try (FakeEndpoint next = discoveryWith(1, after);
@@ -67,15 +67,15 @@
             reloadFor(next.address());
             SidecarFixture.await("the watch continues at the new address", () -> next.requests.size() == 2);
             assertEquals(
-                    "GET /registry/instances HTTP/1.1", next.requests.get(0).line());
+                    "GET /registry/instances HTTP/1.1", next.requests.get(0).startLine());
             assertEquals(
                     "GET /registry/instances?index=1&wait=4000 HTTP/1.1",
-                    next.requests.get(1).line());
+                    next.requests.get(1).startLine());
             SidecarFixture.await("the previous watch is closed", () -> fixture.discovery.open.get() == 0);
-            assertEquals("after", fixture.ask("order", DEADLINE_MS).body());
+            assertEquals("after", fixture.sendRequest("order", DEADLINE_MS).body());
             reloadFor(last.address());
             SidecarFixture.await("the watch continues after a second move", () -> last.requests.size() == 2);
-            assertEquals("before", fixture.ask("order", DEADLINE_MS).body());
+            assertEquals("before", fixture.sendRequest("order", DEADLINE_MS).body());
         }
         assertFalse(fixture.logged().contains("discovery failed"), fixture.logged());
     }
@@ -83,7 +83,7 @@
     /** Guards against a fleet that polls a new discovery address all at once and is rejected by it. */
     @Test
     void firstPollsAfterMoveAreSpread() throws Exception {
-        fixture.askWithinMs = 2000;
+        fixture.pollIntervalMs = 2000;
         fixture.start();
         List<Double> delaysMs = new ArrayList<>();
         try (FakeEndpoint one = discoveryWith(1, after);
@@ -140,7 +140,7 @@
             FakeEndpoint.answer(wire, 200, "", "before");
         };
         fixture.start();
-        assertEquals(400, fixture.ask("print", DEADLINE_MS).status());
+        assertEquals(400, fixture.sendRequest("print", DEADLINE_MS).status());
         try (RawHttpClient first = fixture.client()) {
             first.send(fixture.request("order", DEADLINE_MS));
             SidecarFixture.await("the request is in flight", () -> before.requests.size() == 1);
@@ -151,8 +151,8 @@
                     fixture.config().replace("\"order\"", "\"print\"").replace("\"try-limit\":3", "\"try-limit\":1"));
             fixture.sidecar.reload();
             SidecarFixture.await("the reload is logged", () -> fixture.logged().contains("settings changed"));
-            assertEquals(200, fixture.ask("print", DEADLINE_MS).status());
-            assertEquals(400, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest("print", DEADLINE_MS).status());
+            assertEquals(400, fixture.sendRequest("order", DEADLINE_MS).status());
             release.countDown();
             assertEquals("before", first.read().body());
             assertEquals("before", second.read().body(), "retried according to the settings at its arrival");
@@ -160,7 +160,7 @@
         }
         before.script = (wire, request) -> wire.reset();
         int sent = before.requests.size();
-        assertEquals(503, fixture.ask("read", DEADLINE_MS).status());
+        assertEquals(503, fixture.sendRequest("read", DEADLINE_MS).status());
         assertEquals(sent + 1, before.requests.size(), "at most one attempt for new requests");
     }
 
@@ -184,7 +184,7 @@
             })
     void incompleteOrInvalidFileChangesNothing(String original, String replacement, String expectedMessage)
             throws Exception {
-        fixture.askWithinMs = 20;
+        fixture.pollIntervalMs = 20;
         fixture.start();
         SidecarFixture.await("a watch is started", () -> fixture.discovery.requests.size() == 1);
         String good = fixture.config().replace(fixture.discovery.address(), after.address());
@@ -196,7 +196,7 @@
                         + good.substring(last + original.length()));
         fixture.sidecar.reload();
         SidecarFixture.await("the error is logged", () -> fixture.logged().contains(expectedMessage));
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(1, fixture.discovery.open.get(), "the previous watch continues");
         assertEquals(0, after.connections.get());
     }
@@ -204,7 +204,7 @@
     /** Guards against applying a file with an invalid discovery address or invalid JSON. */
     @Test
     void unparsableFileChangesNothing() throws Exception {
-        fixture.askWithinMs = 20;
+        fixture.pollIntervalMs = 20;
         fixture.start();
         SidecarFixture.await("a watch is started", () -> fixture.discovery.requests.size() == 1);
         reloadFor("nowhere");
@@ -213,7 +213,7 @@
         Files.writeString(fixture.configFile, "{");
         fixture.sidecar.reload();
         SidecarFixture.await("the error is logged", () -> fixture.logged().contains("is not JSON"));
-        assertEquals("before", fixture.ask("order", DEADLINE_MS).body());
+        assertEquals("before", fixture.sendRequest("order", DEADLINE_MS).body());
         assertEquals(1, fixture.discovery.open.get(), "the previous watch continues");
         assertTrue(fixture.logged().contains("configuration not reloaded"), fixture.logged());
     }
--- a/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/martenlatch/sidecar/SidecarFixture.java
@@ -20,7 +20,7 @@
 /** A sidecar before fake endpoints, with a fake discovery; all on loopback. */
 final class SidecarFixture implements Closeable {
 
-    static final long PATIENCE_MS = 20_000;
+    static final long AWAIT_TIMEOUT_MS = 20_000;
 
     final List<FakeEndpoint> endpoints = new ArrayList<>();
     final FakeEndpoint discovery;
@@ -28,12 +28,12 @@
     Path configFile;
     Sidecar sidecar;
     int idleCloseMs = 15_000;
-    int askWithinMs = 600_000;
+    int pollIntervalMs = 600_000;
     int sockets = 1024;
-    int aimMs = 9000;
-    int dialMs = 2000;
+    int latencyObjectiveMs = 9000;
+    int connectTimeoutMs = 2000;
     /** For so long endpoints drop repeats of the class "move". */
-    int windowMs = 9000;
+    int deduplicationWindowMs = 9000;
 
     boolean cancel = true;
     String membership = "on_request";
@@ -58,12 +58,12 @@
     SidecarFixture(FakeEndpoint... endpoints) throws IOException {
         this.endpoints.addAll(List.of(endpoints));
         // Discovery holds its answer back until the test has one.
-        discovery = new FakeEndpoint((wire, request) -> wire.awaitEnd());
+        discovery = new FakeEndpoint((wire, request) -> wire.awaitClose());
     }
 
     /** A fixture with one endpoint in its list, at an address of the test's. */
     static SidecarFixture withEndpointAt(String address) throws IOException {
-        SidecarFixture fixture = new SidecarFixture(FakeEndpoint.place());
+        SidecarFixture fixture = new SidecarFixture(FakeEndpoint.listeningOnly());
         fixture.known = List.of(line(0, address, "in_service", 0));
         return fixture;
     }
@@ -72,7 +72,7 @@
     static SidecarFixture startedBefore(ServerSocket place, boolean cancel) throws IOException {
         SidecarFixture fixture = withEndpointAt("127.0.0.1:" + place.getLocalPort());
         fixture.cancel = cancel;
-        fixture.dialMs = 30_000;
+        fixture.connectTimeoutMs = 30_000;
         return fixture.start();
     }
 
@@ -123,14 +123,14 @@
                         sockets,
                         list(1, true, lines.toArray(String[]::new)),
                         membership,
-                        aimMs,
-                        aimMs,
-                        windowMs,
-                        aimMs,
+                        latencyObjectiveMs,
+                        latencyObjectiveMs,
+                        deduplicationWindowMs,
+                        latencyObjectiveMs,
                         cancel,
-                        dialMs,
+                        connectTimeoutMs,
                         idleCloseMs,
-                        askWithinMs);
+                        pollIntervalMs);
     }
 
     SidecarFixture start() throws IOException {
@@ -146,7 +146,7 @@
     }
 
     RawHttpClient client() throws IOException {
-        return RawHttpClient.to(sidecar.address());
+        return RawHttpClient.connect(sidecar.address());
     }
 
     /** A request of a class, GET for one that may be repeated and else POST with a body. */
@@ -158,20 +158,20 @@
                 : "POST /api?q=1 HTTP/1.1\r\n" + head + "Idempotency-Key: k1\r\nContent-Length: 5\r\n\r\nhello";
     }
 
-    RawHttpClient.Message ask(String kind, int deadlineMs) throws IOException {
+    RawHttpClient.Message sendRequest(String kind, int deadlineMs) throws IOException {
         try (RawHttpClient wire = client()) {
             return wire.send(request(kind, deadlineMs)).read();
         }
     }
 
     /** Lets a connection to an endpoint, on which an answer has come, stand for as long as it must. */
-    static void settle() throws InterruptedException {
+    static void awaitReuseDelay() throws InterruptedException {
         Thread.sleep(15);
     }
 
     /** A call of an operator's; answers are {@code {"..."}} with a status. */
     RawHttpClient.Message operate(String call, String body) throws IOException {
-        try (RawHttpClient wire = RawHttpClient.to(sidecar.adminAddress())) {
+        try (RawHttpClient wire = RawHttpClient.connect(sidecar.adminAddress())) {
             return wire.send(call + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                     .read();
         }
@@ -212,12 +212,12 @@
     }
 
     /** What a test does while the sidecar hears nothing. */
-    interface Deed {
+    interface Action {
         void run() throws Exception;
     }
 
     /** Does all of this in one turn of the sidecar's loop, which is held up meanwhile. */
-    void whileHeld(Deed... deeds) throws Exception {
+    void whileEventLoopBlocked(Action... deeds) throws Exception {
         // The system tells first of what it has told before, until it has found that quiet: by two turns.
         tableSizes();
         tableSizes();
@@ -229,7 +229,7 @@
         });
         await(held);
         try {
-            for (Deed deed : deeds) {
+            for (Action deed : deeds) {
                 deed.run();
             }
         } finally {
@@ -239,7 +239,7 @@
 
     static void await(CountDownLatch latch) {
         try {
-            assertTrue(latch.await(PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(latch.await(AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS));
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
@@ -254,7 +254,7 @@
     }
 
     static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
+        long until = System.nanoTime() + AWAIT_TIMEOUT_MS * 1_000_000;
         while (!condition.getAsBoolean()) {
             assertTrue(System.nanoTime() < until, what);
             Thread.sleep(2);
