--- a/sidecar/src/main/java/martenlatch/config/FieldPaths.java
+++ b/sidecar/src/main/java/martenlatch/config/FieldPaths.java
@@ -57,9 +57,9 @@
     public static void requireNoneMissing(Set<String> before, Set<String> next) {
         for (String path : before) {
             // A list that has become empty has no elements whose fields could be missing.
-            int element = path.lastIndexOf("[].");
-            boolean empty =
-                    element >= 0 && next.stream().noneMatch(field -> field.startsWith(path.substring(0, element + 3)));
+            int elementMarker = path.lastIndexOf("[].");
+            boolean empty = elementMarker >= 0
+                    && next.stream().noneMatch(field -> field.startsWith(path.substring(0, elementMarker + 3)));
             if (!empty && !next.contains(path)) {
                 throw ConfigurationException.unusable(path, null);
             }
--- a/sidecar/src/main/java/martenlatch/discovery/EndpointListWatcher.java
+++ b/sidecar/src/main/java/martenlatch/discovery/EndpointListWatcher.java
@@ -68,7 +68,7 @@
     private OutstandingPoll outstanding;
     /** The polls that continue at previous addresses, oldest first. */
     private final Deque<OutstandingPoll> superseded = new ArrayDeque<>();
-    /** Whether {@link #start} was deferred until the polls at previous addresses that are not watches have ended. */
+    /** Whether {@link #start} was deferred until the polls at previous addresses that end soon have ended. */
     private boolean startDeferred;
     /**
      * Whether the last response was truncated. A second truncated response in a row fails the poll instead of being
@@ -94,8 +94,8 @@
 
     /**
      * Starts polling. Does nothing if a poll is outstanding at the current address, as its response serves both calls.
-     * If a poll at a previous address is not a watch, the new poll is deferred until that one ends, which is soon:
-     * otherwise a series of moves would multiply the polls.
+     * If a poll at a previous address requests the whole list or has no wait, it will end soon, and the new poll is
+     * deferred until then: otherwise a series of moves would multiply the polls.
      */
     public void start() {
         if (outstanding != null) {
@@ -142,10 +142,9 @@
     }
 
     /**
-     * Called when an endpoint list arrives. If the poll was a watch with a wait, the next watch is sent before the
-     * listener is called, so that the gap between the two is short. If the poll was sent without a wait, the listener
-     * decides when a watch is started. A list from a previous address is passed on too; the listener then decides when
-     * to poll the current address.
+     * Called when an endpoint list arrives. If the poll was sent without a wait, the listener decides when a watch is
+     * started. Otherwise the next watch is sent before the listener is called, so that the gap between the two polls is
+     * short. A list from a previous address is passed on too; the listener then decides when to poll the current one.
      */
     public void onList(long poll, EndpointList list) {
         OutstandingPoll found = findOutstanding(poll);
@@ -169,18 +168,18 @@
     }
 
     private void onListFromCurrentAddress(EndpointList list) {
-        boolean wasWatch = !outstanding.poll.timing().isWithoutWait();
+        boolean continuesWatch = !outstanding.poll.timing().isWithoutWait();
         endOutstanding();
         while (!superseded.isEmpty()) {
             endSuperseded(superseded.getFirst());
         }
         lastResponseTruncated = false;
         knownVersion = OptionalLong.of(list.version());
-        if (wasWatch) {
+        if (continuesWatch) {
             start();
         }
         listener.onEndpointList(list);
-        if (!wasWatch) {
+        if (!continuesWatch) {
             listener.onPollCompleted();
         }
     }
--- a/sidecar/src/main/java/martenlatch/net/Buffers.java
+++ b/sidecar/src/main/java/martenlatch/net/Buffers.java
@@ -18,8 +18,8 @@
     /** Limits the unwritten bytes per connection, as those of hundreds of connections must fit into direct memory. */
     public static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(8 * 1024, 16 * 1024);
     /**
-     * The kernel's socket buffer, set on the side of a connection where data piles up. With autotuning it would grow to
-     * megabytes for each connection. 128 KiB still allow 2.5 MB/s at a round-trip time of 50 ms.
+     * The kernel's socket buffer, set on the side of a connection where data accumulates. With autotuning it would grow
+     * to megabytes for each connection. 128 KiB still allow 2.5 MB/s at a round-trip time of 50 ms.
      */
     public static final int SOCKET_BUFFER_BYTES = 128 * 1024;
 
