--- a/fleet/src/main/java/martenlatch/fleet/judge/Figures.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/Figures.java
@@ -36,10 +36,10 @@
     private static final double BACK = 0.95;
 
     /** Of a run. */
-    public static Figures of(Record run) {
+    public static Figures of(RunRecord run) {
         int[] counts = new int[8];
         List<double[]> ends = new ArrayList<>();
-        for (Record.Asked one : run.requests()) {
+        for (RunRecord.RequestRecord one : run.requests()) {
             if (Double.isNaN(one.askedAt())) {
                 continue;
             }
@@ -53,7 +53,7 @@
                                     ? 2
                                     : end.startsWith("FAILED") ? 3 : end.startsWith("NOT_SENT") ? 5 : 4]++;
             counts[6] += one.sent().size();
-            counts[7] += LostJudge.isCrossed(run, one) ? 1 : 0;
+            counts[7] += LostRequestChecker.isCrossed(run, one) ? 1 : 0;
             ends.add(new double[] {one.askedAt(), served ? 1 : 0});
         }
         List<Event> calls = run.all(Event.What.LIST_CALL);
@@ -84,7 +84,7 @@
         return asked == 0 ? 0 : sent / (double) asked;
     }
 
-    private static double recovery(Record run, List<double[]> ends) {
+    private static double recovery(RunRecord run, List<double[]> ends) {
         List<Fault> faults = run.scenario().faults();
         if (faults.isEmpty()) {
             return Double.NaN;
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
@@ -82,13 +82,13 @@
         for (int i = 0; i < sizes.endpoints(); i++) {
             endpoints.add(new SimEndpoint(
                     Group.ENDPOINT.name(i), time, scenario.world(), history, scenario.seedFor("endpoint " + i)));
-            history.tell(What.ENDPOINT_UP, Group.ENDPOINT.name(i), "", "", "0.0");
+            history.record(What.ENDPOINT_UP, Group.ENDPOINT.name(i), "", "", "0.0");
             list(i, EndpointStatus.READY);
         }
         toSidecars = new SimLink[sizes.sidecars()];
         fromSidecars = new SimLink[sizes.sidecars()];
         front = new Front(sizes.sidecars(), scenario.load().skew(), scenario.seedFor("front"));
-        for (Load.ClassOf one : scenario.load().classes()) {
+        for (Load.ClassSettings one : scenario.load().classes()) {
             classes.put(one.kind().name(), classes.size());
         }
         for (int i = 0; i < sizes.sidecars(); i++) {
@@ -168,7 +168,7 @@
             if (scenario.faults().stream()
                     .noneMatch(f -> f.what() == Fault.What.LATE && f.who().contains(name))) {
                 sidecars.get(i).startServing();
-                front.believe(i, Front.State.UP, 0);
+                front.setStateAt(i, Front.State.UP, 0);
             } else {
                 sidecars.get(i).kill();
             }
@@ -180,7 +180,7 @@
             }
         }
         List<Kind> kinds =
-                scenario.load().classes().stream().map(Load.ClassOf::kind).toList();
+                scenario.load().classes().stream().map(Load.ClassSettings::kind).toList();
         Arrivals arrivals = Arrivals.drawn(
                 new Schedule(
                         List.of(new Shape.Constant(scenario.load().rate(), scenario.seconds())),
@@ -237,7 +237,7 @@
             String id = "w" + wish.number() + "-" + tries;
             int to = front.pick(time.elapsed(), number -> sidecars.get(number).takes());
             SimSidecar sidecar = sidecars.get(to);
-            history.tell(
+            history.record(
                     What.ASKED,
                     "clients",
                     Group.SIDECAR.name(to),
@@ -289,7 +289,7 @@
                 }
                 ended = true;
                 over.run();
-                history.tell(What.ENDED, "clients", sidecar, id, how);
+                history.record(What.ENDED, "clients", sidecar, id, how);
                 boolean harmless = how.startsWith("REFUSED")
                         || how.equals("FAILED no connect")
                         || wish.kind().effect() != Kind.Effect.UNSAFE;
@@ -337,7 +337,7 @@
     private void begin(Fault fault) {
         active.add(fault);
         onLinks.begin(fault);
-        history.tell(
+        history.record(
                 What.FAULT_BEGINS, String.valueOf(fault.number()), String.join(" ", fault.who()), "", fault.toString());
         switch (fault.what().aim()) {
             case SIDECARS -> fault.who().forEach(name -> begin(fault, number(name)));
@@ -362,7 +362,7 @@
             case DISCOVERY -> discovery.manner(Manner.GOOD);
             default -> links(fault);
         }
-        history.tell(
+        history.record(
                 What.FAULT_ENDS, String.valueOf(fault.number()), String.join(" ", fault.who()), "", fault.toString());
     }
 
@@ -372,19 +372,19 @@
         switch (fault.what()) {
             case PAUSE -> {
                 one.pause();
-                front.believe(number, Front.State.DOWN, notice);
+                front.setStateAt(number, Front.State.DOWN, notice);
             }
             case CRAWL -> crawl(fault, one);
             case KILL -> {
                 one.kill();
                 gone(one);
-                front.believe(number, Front.State.DOWN, notice);
+                front.setStateAt(number, Front.State.DOWN, notice);
             }
             case TERM, RESTART -> {
-                front.believe(number, Front.State.LEAVING, time.elapsed() + LEAVE_MS);
+                front.setStateAt(number, Front.State.LEAVING, time.elapsed() + LEAVE_MS);
                 one.leave(() -> {
                     gone(one);
-                    front.believe(number, Front.State.DOWN, time.elapsed());
+                    front.setStateAt(number, Front.State.DOWN, time.elapsed());
                     if (fault.what() == Fault.What.RESTART) {
                         start(number);
                     }
@@ -421,7 +421,7 @@
         switch (fault.what()) {
             case PAUSE, CRAWL -> {
                 one.resume();
-                front.believe(number, Front.State.UP, time.elapsed());
+                front.setStateAt(number, Front.State.UP, time.elapsed());
             }
             case KILL, TERM, LATE -> start(number);
             default -> {}
@@ -435,7 +435,7 @@
             if (one.isAlive()) {
                 start(number);
             } else {
-                one.start(() -> front.believe(number, Front.State.UP, time.elapsed()));
+                one.start(() -> front.setStateAt(number, Front.State.UP, time.elapsed()));
             }
         });
     }
