--- a/fleet/src/main/java/martenlatch/fleet/explore/RandomFaults.java
+++ b/fleet/src/main/java/martenlatch/fleet/explore/RandomFaults.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Random;
-import martenlatch.fleet.link.Conduct;
+import martenlatch.fleet.link.LinkConditions;
 import martenlatch.fleet.scenario.Fault;
 import martenlatch.fleet.scenario.Fault.What;
 import martenlatch.fleet.scenario.Scenario;
@@ -85,8 +85,8 @@
                         what,
                         some(scenario, Group.SIDECAR, random),
                         List.of(),
-                        Conduct.CLEAR,
-                        Conduct.CLEAR,
+                        LinkConditions.CLEAR,
+                        LinkConditions.CLEAR,
                         share,
                         "",
                         false);
@@ -98,8 +98,8 @@
                         what,
                         some(scenario, Group.ENDPOINT, random),
                         List.of(),
-                        Conduct.CLEAR,
-                        Conduct.CLEAR,
+                        LinkConditions.CLEAR,
+                        LinkConditions.CLEAR,
                         share,
                         "",
                         false);
@@ -111,8 +111,8 @@
                         what,
                         List.of(Group.DISCOVERY.name(0)),
                         List.of(),
-                        Conduct.CLEAR,
-                        Conduct.CLEAR,
+                        LinkConditions.CLEAR,
+                        LinkConditions.CLEAR,
                         share,
                         "",
                         false);
@@ -121,9 +121,9 @@
     }
 
     private static Fault link(Scenario scenario, Random random, double at, double lasts, What what) {
-        Conduct conduct = random.nextBoolean()
-                ? Conduct.SILENT
-                : new Conduct(
+        LinkConditions conduct = random.nextBoolean()
+                ? LinkConditions.SILENT
+                : new LinkConditions(
                         random.nextInt(300),
                         random.nextInt(100),
                         random.nextDouble() * HALF,
@@ -141,8 +141,8 @@
                 what,
                 some(scenario, Group.SIDECAR, random),
                 toDiscovery ? List.of(Group.DISCOVERY.name(0)) : some(scenario, Group.ENDPOINT, random),
-                direction == 1 ? Conduct.CLEAR : conduct,
-                direction == 2 ? Conduct.CLEAR : conduct,
+                direction == 1 ? LinkConditions.CLEAR : conduct,
+                direction == 2 ? LinkConditions.CLEAR : conduct,
                 HALF,
                 "",
                 false);
--- a/fleet/src/main/java/martenlatch/fleet/gossip/PeerCase.java
+++ b/fleet/src/main/java/martenlatch/fleet/gossip/PeerCase.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.function.BiFunction;
 import java.util.function.IntPredicate;
-import martenlatch.fleet.link.Conduct;
+import martenlatch.fleet.link.LinkConditions;
 
 /**
  * What befalls a fleet of members, which has had {@link #SETTLE_MS} to get to know itself. Faults begin then,
@@ -32,30 +32,36 @@
     LOSS_50(30_000, (sim, n) -> on(sim, (a, b) -> true, lossy(0.5), 30_000)),
     DELAY_2S(
             30_000,
-            (sim, n) ->
-                    on(sim, (a, b) -> true, new Conduct(0, 2000, 0, 0, 0, Double.POSITIVE_INFINITY, 0, false), 30_000)),
+            (sim, n) -> on(
+                    sim,
+                    (a, b) -> true,
+                    new LinkConditions(0, 2000, 0, 0, 0, Double.POSITIVE_INFINITY, 0, false),
+                    30_000)),
     REORDER_DUPLICATE(
             30_000,
             (sim, n) -> on(
-                    sim, (a, b) -> true, new Conduct(1, 50, 0, 0.3, 0.3, Double.POSITIVE_INFINITY, 0, false), 30_000)),
+                    sim,
+                    (a, b) -> true,
+                    new LinkConditions(1, 50, 0, 0.3, 0.3, Double.POSITIVE_INFINITY, 0, false),
+                    30_000)),
     /** What others send to one is lost; what it sends arrives. */
-    DEAF_ONE(15_000, (sim, n) -> on(sim, (a, b) -> b == PeerCase.one(n), Conduct.SILENT, 15_000)),
+    DEAF_ONE(15_000, (sim, n) -> on(sim, (a, b) -> b == PeerCase.one(n), LinkConditions.SILENT, 15_000)),
     /** What one sends is lost; what others send it arrives. */
-    MUTE_ONE(15_000, (sim, n) -> on(sim, (a, b) -> a == PeerCase.one(n), Conduct.SILENT, 15_000)),
+    MUTE_ONE(15_000, (sim, n) -> on(sim, (a, b) -> a == PeerCase.one(n), LinkConditions.SILENT, 15_000)),
     /** Between two alone, both ways. */
-    CUT_PAIR(30_000, (sim, n) -> on(sim, (a, b) -> a + b == 1, Conduct.SILENT, 30_000)),
+    CUT_PAIR(30_000, (sim, n) -> on(sim, (a, b) -> a + b == 1, LinkConditions.SILENT, 30_000)),
     /** From one zone to the other, and not back. */
-    ONE_WAY_ZONES(15_000, (sim, n) -> on(sim, (a, b) -> a % 2 == 0 && b % 2 == 1, Conduct.SILENT, 15_000)),
-    SPLIT_6S(6000, (sim, n) -> on(sim, (a, b) -> a % 2 != b % 2, Conduct.SILENT, 6000)),
+    ONE_WAY_ZONES(15_000, (sim, n) -> on(sim, (a, b) -> a % 2 == 0 && b % 2 == 1, LinkConditions.SILENT, 15_000)),
+    SPLIT_6S(6000, (sim, n) -> on(sim, (a, b) -> a % 2 != b % 2, LinkConditions.SILENT, 6000)),
     SPLIT_60S(60_000, (sim, n) -> {
-        on(sim, (a, b) -> a % 2 != b % 2, Conduct.SILENT, 60_000);
+        on(sim, (a, b) -> a % 2 != b % 2, LinkConditions.SILENT, 60_000);
         for (int i = 0; i < n; i += 2 * Math.max(1, n / 10)) {
             int number = i;
             sim.at(PeerCase.SETTLE_MS + 20_000, () -> sim.kill(number));
             sim.at(PeerCase.SETTLE_MS + 23_000, () -> sim.start(number));
         }
     }),
-    SPLIT_IN_THREE(15_000, (sim, n) -> on(sim, (a, b) -> a % 3 != b % 3, Conduct.SILENT, 15_000)),
+    SPLIT_IN_THREE(15_000, (sim, n) -> on(sim, (a, b) -> a % 3 != b % 3, LinkConditions.SILENT, 15_000)),
     SEVEN_IN_TEN_KILLED(5000, (sim, n) -> {
         for (int i = 0; i < n; i++) {
             if (i % 10 < 7) {
@@ -148,13 +154,14 @@
         }
     }
 
-    private static Conduct lossy(double share) {
-        return new Conduct(0, 0, share, 0, 0, Double.POSITIVE_INFINITY, 0, false);
+    private static LinkConditions lossy(double share) {
+        return new LinkConditions(0, 0, share, 0, 0, Double.POSITIVE_INFINITY, 0, false);
     }
 
-    private static void on(PeerSim sim, Pair which, Conduct conduct, double forMs) {
-        BiFunction<Integer, Integer, Conduct> links = (from, to) -> which.is(from, to) ? conduct : Conduct.CLEAR;
+    private static void on(PeerSim sim, Pair which, LinkConditions conduct, double forMs) {
+        BiFunction<Integer, Integer, LinkConditions> links =
+                (from, to) -> which.is(from, to) ? conduct : LinkConditions.CLEAR;
         sim.links(links);
-        sim.at(SETTLE_MS + forMs, () -> sim.links((from, to) -> Conduct.CLEAR));
+        sim.at(SETTLE_MS + forMs, () -> sim.links((from, to) -> LinkConditions.CLEAR));
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/gossip/PeerSim.java
+++ b/fleet/src/main/java/martenlatch/fleet/gossip/PeerSim.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.BiFunction;
-import martenlatch.fleet.link.Conduct;
+import martenlatch.fleet.link.LinkConditions;
 import martenlatch.fleet.link.LinkModel;
 import martenlatch.fleet.sim.VirtualTime;
 import martenlatch.gossip.PeerState;
@@ -89,7 +89,7 @@
     private final List<Change> changes = new ArrayList<>();
     private final SplittableRandom random;
     private int wronglyFaulty;
-    private BiFunction<Integer, Integer, Conduct> links = (from, to) -> Conduct.CLEAR;
+    private BiFunction<Integer, Integer, LinkConditions> links = (from, to) -> LinkConditions.CLEAR;
 
     PeerSim(int members, int zones, long seed, Membership.Maker maker) {
         this.maker = maker;
@@ -196,7 +196,7 @@
     }
 
     /** How links are from now on, by sender and receiver. */
-    void links(BiFunction<Integer, Integer, Conduct> next) {
+    void links(BiFunction<Integer, Integer, LinkConditions> next) {
         links = next;
     }
 
--- a/fleet/src/main/java/martenlatch/fleet/link/DatagramLinks.java
+++ b/fleet/src/main/java/martenlatch/fleet/link/DatagramLinks.java
@@ -130,7 +130,7 @@
     }
 
     /** How what one member sends to another is treated from now on: what is sent after this returns. */
-    public void conduct(int from, int to, Conduct next) {
+    public void conduct(int from, int to, LinkConditions next) {
         loop.submit(() -> models[from][to].conduct(next)).syncUninterruptibly();
     }
 
--- a/fleet/src/main/java/martenlatch/fleet/link/Conduct.java
+++ b/fleet/src/main/java/martenlatch/fleet/link/LinkConditions.java
@@ -13,7 +13,7 @@
  * @param half the share of a stream's writes of which half comes, and then a reset
  * @param silent nothing comes through, and nobody is told; what was sent on a stream comes when this is over
  */
-public record Conduct(
+public record LinkConditions(
         double delayMs,
         double jitterMs,
         double loss,
@@ -24,15 +24,15 @@
         boolean silent) {
 
     /** As good as loopback is. */
-    public static final Conduct CLEAR = new Conduct(0, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 0, false);
+    public static final LinkConditions CLEAR = new LinkConditions(0, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 0, false);
     /** Cut in this direction. */
-    public static final Conduct SILENT = new Conduct(0, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 0, true);
+    public static final LinkConditions SILENT = new LinkConditions(0, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 0, true);
 
     private static final double MOST_MS = 600_000;
     /** At more than this a stream's repeats would not come to an end within any run. */
     private static final double MOST_LOSS = 0.95;
 
-    public Conduct {
+    public LinkConditions {
         within("delay-ms", delayMs, 0, MOST_MS);
         within("jitter-ms", jitterMs, 0, MOST_MS);
         within("loss", loss, 0, MOST_LOSS);
@@ -56,8 +56,8 @@
     }
 
     /** Both at once: the delays add up, of the rest the worse holds. */
-    public Conduct and(Conduct other) {
-        return new Conduct(
+    public LinkConditions and(LinkConditions other) {
+        return new LinkConditions(
                 Math.min(MOST_MS, delayMs + other.delayMs),
                 Math.min(MOST_MS, jitterMs + other.jitterMs),
                 Math.max(loss, other.loss),
--- a/fleet/src/main/java/martenlatch/fleet/link/LinkModel.java
+++ b/fleet/src/main/java/martenlatch/fleet/link/LinkModel.java
@@ -20,7 +20,7 @@
     private static final int MOST_RESENDS = 12;
 
     private final SplittableRandom random;
-    private Conduct conduct = Conduct.CLEAR;
+    private LinkConditions conduct = LinkConditions.CLEAR;
     /** When the last byte put on the wire has left, and when the last of the stream arrives. */
     private double freeAt;
 
@@ -31,19 +31,19 @@
         random = new SplittableRandom(seed);
     }
 
-    public Conduct conduct() {
+    public LinkConditions conduct() {
         return conduct;
     }
 
     /** How it treats what is sent from now on. */
-    public void conduct(Conduct next) {
+    public void conduct(LinkConditions next) {
         conduct = next;
     }
 
     /**
      * When a part of a stream arrives, in milliseconds on the caller's clock; streams keep their order.
      * While the link is silent nothing is asked: whoever has it keeps what was sent until {@link
-     * Conduct#silent} is over.
+     * LinkConditions#silent} is over.
      */
     public double stream(double now, int bytes) {
         double at = now;
--- a/fleet/src/main/java/martenlatch/fleet/link/StreamLink.java
+++ b/fleet/src/main/java/martenlatch/fleet/link/StreamLink.java
@@ -135,7 +135,7 @@
     }
 
     /** How each direction treats what is sent after this returns; {@code onwards} is that to the target. */
-    public void conduct(Conduct onwards, Conduct backwards) {
+    public void conduct(LinkConditions onwards, LinkConditions backwards) {
         loop.submit(() -> {
                     there.conduct(onwards);
                     back.conduct(backwards);
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Fault.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Fault.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
-import martenlatch.fleet.link.Conduct;
+import martenlatch.fleet.link.LinkConditions;
 
 /**
  * One fault of a plan, with the parts that it hits.
@@ -26,8 +26,8 @@
         What what,
         List<String> who,
         List<String> to,
-        Conduct onwards,
-        Conduct backwards,
+        LinkConditions onwards,
+        LinkConditions backwards,
         double share,
         String jar,
         boolean moves) {
--- a/fleet/src/main/java/martenlatch/fleet/scenario/LinkFaults.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/LinkFaults.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import martenlatch.fleet.link.Conduct;
+import martenlatch.fleet.link.LinkConditions;
 
 /** The faults that are on links at a time, and what they come to: the same for relays and in simulation. */
 public final class LinkFaults {
@@ -25,8 +25,8 @@
     }
 
     /** How what is sent over a link is treated, from its sender on, or back to it. */
-    public Conduct conduct(String from, String to, boolean onwards) {
-        Conduct all = Conduct.CLEAR;
+    public LinkConditions conduct(String from, String to, boolean onwards) {
+        LinkConditions all = LinkConditions.CLEAR;
         for (One one : active) {
             if (one.from().contains(from) && one.to().contains(to)) {
                 all = all.and(onwards ? one.fault().onwards() : one.fault().backwards());
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Scenario.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Scenario.java
@@ -10,7 +10,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.SplittableRandom;
-import martenlatch.fleet.link.Conduct;
+import martenlatch.fleet.link.LinkConditions;
 import martenlatch.load.Kind;
 import martenlatch.toml.TomlFile;
 import martenlatch.world.ServiceTime;
@@ -263,8 +263,8 @@
                     what,
                     who.resolve(sizes, random),
                     List.of(),
-                    Conduct.CLEAR,
-                    Conduct.CLEAR,
+                    LinkConditions.CLEAR,
+                    LinkConditions.CLEAR,
                     share,
                     one.path("jar").asText(""),
                     one.path("moves").asBoolean(false));
@@ -276,7 +276,7 @@
                     + " (clients to sidecars; sidecars to endpoints, discovery or sidecars) but is "
                     + one.path("to"));
         }
-        Conduct conduct = conduct(one);
+        LinkConditions conduct = conduct(one);
         String direction = one.path("direction").asText("both");
         if (!List.of("both", "onwards", "backwards").contains(direction)) {
             throw new IllegalArgumentException(
@@ -289,8 +289,8 @@
                 what,
                 from.resolve(sizes, random),
                 to.resolve(sizes, random),
-                direction.equals("backwards") ? Conduct.CLEAR : conduct,
-                direction.equals("onwards") ? Conduct.CLEAR : conduct,
+                direction.equals("backwards") ? LinkConditions.CLEAR : conduct,
+                direction.equals("onwards") ? LinkConditions.CLEAR : conduct,
                 share,
                 "",
                 false);
@@ -301,9 +301,9 @@
                 || from == Selector.Group.SIDECAR && to != Selector.Group.CLIENTS;
     }
 
-    private static Conduct conduct(JsonNode one) {
+    private static LinkConditions conduct(JsonNode one) {
         try {
-            return new Conduct(
+            return new LinkConditions(
                     TomlFile.number("fault.delay-ms", one.path("delay-ms"), 0),
                     TomlFile.number("fault.jitter-ms", one.path("jitter-ms"), 0),
                     TomlFile.number("fault.loss", one.path("loss"), 0),
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimLink.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimLink.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import martenlatch.fleet.link.Conduct;
+import martenlatch.fleet.link.LinkConditions;
 import martenlatch.fleet.link.LinkModel;
 
 /**
@@ -30,7 +30,7 @@
         return model.conduct().silent();
     }
 
-    void conduct(Conduct next) {
+    void conduct(LinkConditions next) {
         model.conduct(next);
         while (!next.silent() && !held.isEmpty()) {
             pass(held.poll().arrival());
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimSidecar.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimSidecar.java
@@ -17,7 +17,7 @@
 import martenlatch.discovery.PollTiming;
 import martenlatch.fleet.history.Event.What;
 import martenlatch.fleet.history.History;
-import martenlatch.fleet.link.Conduct;
+import martenlatch.fleet.link.LinkConditions;
 import martenlatch.fleet.scenario.ListService;
 import martenlatch.fleet.scenario.Selector.Group;
 import martenlatch.policy.api.AttemptOutcome;
@@ -45,7 +45,7 @@
     private static final double ANSWERED_MS = 3400;
 
     /** Both directions of a link. */
-    record Conducts(Conduct onwards, Conduct backwards) {}
+    record Conducts(LinkConditions onwards, LinkConditions backwards) {}
 
     /** Links to one endpoint, made when they are first used. */
     private final class Way {
--- a/fleet/src/test/java/martenlatch/fleet/gossip/PeerSimTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/gossip/PeerSimTest.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import martenlatch.fleet.link.Conduct;
+import martenlatch.fleet.link.LinkConditions;
 import martenlatch.gossip.PeerState;
 import martenlatch.gossip.PeerView;
 import org.junit.jupiter.api.Test;
@@ -102,7 +102,7 @@
         for (int seed = 1; seed <= SEEDS; seed++) {
             PeerSim sim = new PeerSim(members(seed), 2, seed, GossipUnderTest::new);
             sim.startAll(1000);
-            sim.links((from, to) -> new Conduct(0, 0, 0.1, 0, 0, Double.POSITIVE_INFINITY, 0, false));
+            sim.links((from, to) -> new LinkConditions(0, 0, 0.1, 0, 0, Double.POSITIVE_INFINITY, 0, false));
             sim.runUntil(PeerCase.SETTLE_MS);
             PeerCase.PAUSE_AGAIN.into(sim);
             sim.runUntil(PeerCase.SETTLE_MS + PeerCase.PAUSE_AGAIN.lastsMs() + BACK_MS);
--- a/fleet/src/test/java/martenlatch/fleet/link/LinkModelTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/link/LinkModelTest.java
@@ -27,7 +27,7 @@
             double before = 0;
             for (int i = 0; i < 50; i++) {
                 if (i % 10 == 0) {
-                    Conduct next = new Conduct(
+                    LinkConditions next = new LinkConditions(
                             random.nextInt(100),
                             random.nextInt(100),
                             random.nextDouble() * 0.5,
@@ -51,7 +51,7 @@
     @Test
     void aRateHoldsBackWhatIsSentFaster() {
         LinkModel model = new LinkModel(1);
-        model.conduct(new Conduct(10, 0, 0, 0, 0, 1000, 0, false));
+        model.conduct(new LinkConditions(10, 0, 0, 0, 0, 1000, 0, false));
         assertEquals(110, model.stream(0, 100), 1e-9);
         assertEquals(210, model.stream(0, 100), 1e-9);
         assertEquals(1110, model.stream(1000, 100), 1e-9);
@@ -61,7 +61,7 @@
     @Test
     void lossDelaysStreamsAndTakesDatagrams() {
         LinkModel model = new LinkModel(7);
-        model.conduct(new Conduct(0, 0, 0.3, 0, 0, NO_BOUND, 0, false));
+        model.conduct(new LinkConditions(0, 0, 0.3, 0, 0, NO_BOUND, 0, false));
         int late = 0;
         int came = 0;
         for (int i = 0; i < 10_000; i++) {
@@ -77,22 +77,24 @@
     @Test
     void datagramsComeTwiceLateOrNotAtAll() {
         LinkModel model = new LinkModel(3);
-        model.conduct(new Conduct(5, 0, 0, 1, 0, NO_BOUND, 0, false));
+        model.conduct(new LinkConditions(5, 0, 0, 1, 0, NO_BOUND, 0, false));
         assertArrayEquals(new double[] {5, 5}, model.datagram(0, 10));
-        model.conduct(new Conduct(5, 0, 0, 0, 1, NO_BOUND, 0, false));
+        model.conduct(new LinkConditions(5, 0, 0, 0, 1, NO_BOUND, 0, false));
         assertArrayEquals(new double[] {5 + LinkModel.REORDER_MS}, model.datagram(0, 10));
-        model.conduct(Conduct.SILENT);
+        model.conduct(LinkConditions.SILENT);
         assertEquals(0, model.datagram(0, 10).length);
     }
 
     @Test
     void conductsAddUpAndBadOnesAreNamed() {
-        Conduct both =
-                new Conduct(5, 1, 0.1, 0, 0, 1000, 0, false).and(new Conduct(7, 2, 0.2, 0, 0, NO_BOUND, 0, true));
-        assertEquals(new Conduct(12, 3, 0.2, 0, 0, 1000, 0, true), both);
+        LinkConditions both = new LinkConditions(5, 1, 0.1, 0, 0, 1000, 0, false)
+                .and(new LinkConditions(7, 2, 0.2, 0, 0, NO_BOUND, 0, true));
+        assertEquals(new LinkConditions(12, 3, 0.2, 0, 0, 1000, 0, true), both);
         assertEquals(
                 "loss must be 0.0 to 0.95 but is 1.0",
-                assertThrows(IllegalArgumentException.class, () -> new Conduct(0, 0, 1, 0, 0, NO_BOUND, 0, false))
+                assertThrows(
+                                IllegalArgumentException.class,
+                                () -> new LinkConditions(0, 0, 1, 0, 0, NO_BOUND, 0, false))
                         .getMessage());
     }
 }
--- a/fleet/src/test/java/martenlatch/fleet/link/LinksOnSocketsTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/link/LinksOnSocketsTest.java
@@ -129,16 +129,16 @@
     void aCutInOneDirectionIsSilentInThatOneOnly() throws Exception {
         try (Socket near = connect();
                 Socket far = accept()) {
-            link.conduct(Conduct.CLEAR, Conduct.SILENT);
+            link.conduct(LinkConditions.CLEAR, LinkConditions.SILENT);
             near.getOutputStream().write('q');
             assertEquals('q', far.getInputStream().read());
             far.getOutputStream().write('a');
             assertSilent(near);
-            link.conduct(Conduct.SILENT, Conduct.CLEAR);
+            link.conduct(LinkConditions.SILENT, LinkConditions.CLEAR);
             assertEquals('a', near.getInputStream().read());
             near.getOutputStream().write('r');
             assertSilent(far);
-            link.conduct(Conduct.CLEAR, Conduct.CLEAR);
+            link.conduct(LinkConditions.CLEAR, LinkConditions.CLEAR);
             assertEquals('r', far.getInputStream().read());
         }
     }
@@ -146,13 +146,13 @@
     /** A cut lets no connection come up, as packets vanish; it is no refusal. When it is over they do. */
     @Test
     void nobodyConnectsThroughACut() throws Exception {
-        link.conduct(Conduct.CLEAR, Conduct.SILENT);
+        link.conduct(LinkConditions.CLEAR, LinkConditions.SILENT);
         group.next().submit(() -> {}).sync();
         Thread.sleep(QUIET_MS);
         try (Socket socket = new Socket()) {
             assertThrows(SocketTimeoutException.class, () -> socket.connect(link.address(), QUIET_MS));
         }
-        link.conduct(Conduct.CLEAR, Conduct.CLEAR);
+        link.conduct(LinkConditions.CLEAR, LinkConditions.CLEAR);
         try (Socket near = connect();
                 Socket far = accept()) {
             near.getOutputStream().write('x');
@@ -182,13 +182,13 @@
 
     @Test
     void writesComeTwiceOrHalf() throws Exception {
-        link.conduct(new Conduct(0, 0, 0, 1, 0, Double.POSITIVE_INFINITY, 0, false), Conduct.CLEAR);
+        link.conduct(new LinkConditions(0, 0, 0, 1, 0, Double.POSITIVE_INFINITY, 0, false), LinkConditions.CLEAR);
         try (Socket near = connect();
                 Socket far = accept()) {
             near.getOutputStream().write("once".getBytes());
             assertEquals("onceonce", read(far, 8));
         }
-        link.conduct(new Conduct(0, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 1, false), Conduct.CLEAR);
+        link.conduct(new LinkConditions(0, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 1, false), LinkConditions.CLEAR);
         try (Socket near = connect();
                 Socket far = accept()) {
             near.getOutputStream().write("half".getBytes());
@@ -198,7 +198,7 @@
 
     @Test
     void aDelayIsKept() throws Exception {
-        link.conduct(new Conduct(150, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 0, false), Conduct.CLEAR);
+        link.conduct(new LinkConditions(150, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 0, false), LinkConditions.CLEAR);
         try (Socket near = connect();
                 Socket far = accept()) {
             long sent = System.nanoTime();
@@ -223,7 +223,7 @@
         say(members[2], "to all", links.all(2));
         assertEquals("to all from " + links.seenBy(0).get(2), hear(members[0]));
         assertEquals("to all from " + links.seenBy(1).get(2), hear(members[1]));
-        links.conduct(0, 1, Conduct.SILENT);
+        links.conduct(0, 1, LinkConditions.SILENT);
         say(members[0], "lost", links.seenBy(0).get(1));
         say(members[1], "back", links.seenBy(1).get(0));
         assertEquals("back from " + links.seenBy(0).get(1), hear(members[0]));
--- a/fleet/src/test/java/martenlatch/fleet/rig/FleetRunTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/rig/FleetRunTest.java
@@ -16,7 +16,7 @@
 import martenlatch.fleet.judge.Record;
 import martenlatch.fleet.judge.Verdict;
 import martenlatch.fleet.launch.DeployFile;
-import martenlatch.fleet.link.Conduct;
+import martenlatch.fleet.link.LinkConditions;
 import martenlatch.fleet.scenario.Scenario;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -124,7 +124,9 @@
         Verdict verdict = play(
                 small("3", ""),
                 run -> run.clientLink(1)
-                        .conduct(Conduct.CLEAR, new Conduct(60_000, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 0, false)));
+                        .conduct(
+                                LinkConditions.CLEAR,
+                                new LinkConditions(60_000, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 0, false)));
         assertTrue(judges(verdict).contains("lost"), verdict.toString());
         assertTrue(
                 verdict.findings().stream()
