--- a/fleet/src/main/java/martenlatch/fleet/link/LinkConditions.java
+++ b/fleet/src/main/java/martenlatch/fleet/link/LinkConditions.java
@@ -56,7 +56,7 @@
     }
 
     /** Both at once: the delays add up, of the rest the worse holds. */
-    public LinkConditions and(LinkConditions other) {
+    public LinkConditions combinedWith(LinkConditions other) {
         return new LinkConditions(
                 Math.min(MOST_MS, delayMs + other.delayMs),
                 Math.min(MOST_MS, jitterMs + other.jitterMs),
--- a/fleet/src/test/java/martenlatch/fleet/link/LinkModelTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/link/LinkModelTest.java
@@ -88,7 +88,7 @@
     @Test
     void conductsAddUpAndBadOnesAreNamed() {
         LinkConditions both = new LinkConditions(5, 1, 0.1, 0, 0, 1000, 0, false)
-                .and(new LinkConditions(7, 2, 0.2, 0, 0, NO_BOUND, 0, true));
+                .combinedWith(new LinkConditions(7, 2, 0.2, 0, 0, NO_BOUND, 0, true));
         assertEquals(new LinkConditions(12, 3, 0.2, 0, 0, 1000, 0, true), both);
         assertEquals(
                 "loss must be 0.0 to 0.95 but is 1.0",
