--- a/fleet/src/main/java/martenlatch/fleet/cli/Main.java
+++ b/fleet/src/main/java/martenlatch/fleet/cli/Main.java
@@ -285,7 +285,7 @@
             SimRun run = new SimRun(scenario);
             History history = run.play(at -> {
                 if (!told.quiet) {
-                    System.out.printf(Locale.ROOT, "%4.0f s  %d tasks%n", at / 1000, run.ran());
+                    System.out.printf(Locale.ROOT, "%4.0f s  %d tasks%n", at / 1000, run.tasksRun());
                 }
             });
             double seconds = (System.nanoTime() - began) / 1e9;
@@ -293,7 +293,7 @@
                     Locale.ROOT,
                     "simulated in %.1f s of real time, %.0f tasks a second, heap %d MB, " + "history %s%n",
                     seconds,
-                    run.ran() / seconds,
+                    run.tasksRun() / seconds,
                     (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 20,
                     history.digest());
             return told.tell(scenario, history);
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
@@ -198,7 +198,7 @@
     }
 
     /** Tasks that have run so far. */
-    public long ran() {
+    public long tasksRun() {
         return ran;
     }
 
