--- a/fleet/src/main/java/martenlatch/fleet/cli/PeersCommand.java
+++ b/fleet/src/main/java/martenlatch/fleet/cli/PeersCommand.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
-import martenlatch.fleet.gossip.PeerMeasure;
+import martenlatch.fleet.gossip.MembershipComparison;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -37,11 +37,11 @@
         System.out.println("| case | way | members | wrongly faulty a play | bytes/s a member "
                 + "| messages, worst second | first | all (p99) | whole at the end |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-        for (String what : cases == null ? PeerMeasure.cases() : cases) {
+        for (String what : cases == null ? MembershipComparison.cases() : cases) {
             for (int size : members) {
-                for (String way : ways == null ? new ArrayList<>(PeerMeasure.ways()) : ways) {
+                for (String way : ways == null ? new ArrayList<>(MembershipComparison.ways()) : ways) {
                     System.out.println(
-                            PeerMeasure.measure(way, what, size, seeds).row());
+                            MembershipComparison.measure(way, what, size, seeds).row());
                 }
             }
         }
--- a/fleet/src/main/java/martenlatch/fleet/gossip/PeerMeasure.java
+++ b/fleet/src/main/java/martenlatch/fleet/gossip/MembershipComparison.java
@@ -11,7 +11,7 @@
 import org.HdrHistogram.Histogram;
 
 /** Plays cases with each way to know who lives, on the same seeds, and says what came of them. */
-public final class PeerMeasure {
+public final class MembershipComparison {
 
     private static final Map<String, Membership.Maker> WAYS = new TreeMap<>(Map.of(
             "ours", GossipUnderTest::new,
@@ -60,7 +60,7 @@
         }
     }
 
-    private PeerMeasure() {}
+    private MembershipComparison() {}
 
     /** All ways there are. */
     public static Set<String> ways() {
--- a/fleet/src/test/java/martenlatch/fleet/gossip/PeerSimTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/gossip/PeerSimTest.java
@@ -188,7 +188,7 @@
     @ParameterizedTest
     @ValueSource(ints = {10, 300})
     void bytesDoNotGrowWithTheFleet(int members) {
-        PeerMeasure.Result calm = PeerMeasure.measure("ours", "calm", members, 1);
+        MembershipComparison.Result calm = MembershipComparison.measure("ours", "calm", members, 1);
         assertTrue(calm.bytesPerSecond() < 200 && calm.whole(), calm.toString());
         assertEquals(0, calm.wronglyFaulty());
     }
@@ -197,8 +197,8 @@
     @Test
     void plainSwimDoesWorseOnTheSameSeeds() {
         for (String what : List.of("loss-30", "deaf-one", "one-way-zones", "split-6s")) {
-            PeerMeasure.Result ours = PeerMeasure.measure("ours", what, 30, 2);
-            PeerMeasure.Result swim = PeerMeasure.measure("swim", what, 30, 2);
+            MembershipComparison.Result ours = MembershipComparison.measure("ours", what, 30, 2);
+            MembershipComparison.Result swim = MembershipComparison.measure("swim", what, 30, 2);
             assertTrue(swim.wronglyFaulty() > 20 * ours.wronglyFaulty(), ours + " against " + swim);
         }
     }
