--- a/fleet/src/test/java/martenlatch/fleet/gossip/PeerSimTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/gossip/PeerSimTest.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import martenlatch.fleet.link.Conduct;
+import martenlatch.fleet.link.LinkConditions;
 import martenlatch.gossip.PeerState;
 import martenlatch.gossip.PeerView;
 import org.junit.jupiter.api.Test;
@@ -102,7 +102,7 @@
         for (int seed = 1; seed <= SEEDS; seed++) {
             PeerSim sim = new PeerSim(members(seed), 2, seed, GossipUnderTest::new);
             sim.startAll(1000);
-            sim.links((from, to) -> new Conduct(0, 0, 0.1, 0, 0, Double.POSITIVE_INFINITY, 0, false));
+            sim.links((from, to) -> new LinkConditions(0, 0, 0.1, 0, 0, Double.POSITIVE_INFINITY, 0, false));
             sim.runUntil(PeerCase.SETTLE_MS);
             PeerCase.PAUSE_AGAIN.into(sim);
             sim.runUntil(PeerCase.SETTLE_MS + PeerCase.PAUSE_AGAIN.lastsMs() + BACK_MS);
@@ -188,7 +188,7 @@
     @ParameterizedTest
     @ValueSource(ints = {10, 300})
     void bytesDoNotGrowWithTheFleet(int members) {
-        PeerMeasure.Result calm = PeerMeasure.measure("ours", "calm", members, 1);
+        MembershipComparison.Result calm = MembershipComparison.measure("ours", "calm", members, 1);
         assertTrue(calm.bytesPerSecond() < 200 && calm.whole(), calm.toString());
         assertEquals(0, calm.wronglyFaulty());
     }
@@ -197,8 +197,8 @@
     @Test
     void plainSwimDoesWorseOnTheSameSeeds() {
         for (String what : List.of("loss-30", "deaf-one", "one-way-zones", "split-6s")) {
-            PeerMeasure.Result ours = PeerMeasure.measure("ours", what, 30, 2);
-            PeerMeasure.Result swim = PeerMeasure.measure("swim", what, 30, 2);
+            MembershipComparison.Result ours = MembershipComparison.measure("ours", what, 30, 2);
+            MembershipComparison.Result swim = MembershipComparison.measure("swim", what, 30, 2);
             assertTrue(swim.wronglyFaulty() > 20 * ours.wronglyFaulty(), ours + " against " + swim);
         }
     }
