--- a/fleet/src/test/java/martenlatch/fleet/gossip/PeerSimTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/gossip/PeerSimTest.java
@@ -149,7 +149,7 @@
             PeerView view = ((GossipUnderTest) sim.member(i)).view(sim.clock());
             assertEquals(6, view.atLeast(), i + " sees " + view);
             assertEquals(12, view.atMost(), i + " sees " + view);
-            assertTrue(view.massed() && !view.cutOff(), i + " sees " + view);
+            assertTrue(view.partitioned() && !view.cutOff(), i + " sees " + view);
             assertEquals(
                     new PeerView.Bounds(i % 2 == 0 ? 6 : 0, 6), view.zones().get(0));
         }
--- a/sidecar/src/main/java/martenlatch/sidecar/GossipTransport.java
+++ b/sidecar/src/main/java/martenlatch/sidecar/GossipTransport.java
@@ -152,12 +152,12 @@
     /** The view as JSON, for the admin API. */
     String json() {
         PeerView view = membership.view(scheduler.now());
-        StringBuilder json = new StringBuilder("{\"told\":" + view.told() + ",\"at_least\":" + view.atLeast()
+        StringBuilder json = new StringBuilder("{\"told\":" + view.memberCount() + ",\"at_least\":" + view.atLeast()
                 + ",\"at_most\":" + view.atMost() + ",\"cut_off\":" + view.cutOff() + ",\"massed\":"
-                + view.massed() + ",\"incarnation\":" + membership.incarnation() + ",\"counts\":\""
+                + view.partitioned() + ",\"incarnation\":" + membership.incarnation() + ",\"counts\":\""
                 + membership.metrics()
                 + "\",\"states\":[");
-        for (int i = 0; i < view.told(); i++) {
+        for (int i = 0; i < view.memberCount(); i++) {
             json.append(i == 0 ? "\"" : ",\"").append(membership.state(i)).append('"');
         }
         return json.append("]}").toString();
