--- a/sidecar/src/main/java/martenlatch/gossip/AntiEntropy.java
+++ b/sidecar/src/main/java/martenlatch/gossip/AntiEntropy.java
@@ -7,20 +7,24 @@
 import martenlatch.gossip.Message.Update;
 
 /**
- * Compares member tables with peers, part by part: a member that has just started, was paused or was cut off compares
- * all parts until so many were found equal.
+ * Compares the member table with those of peers, bucket by bucket. A member that has just started, was paused or was
+ * cut off compares buckets with random peers until as many in a row were equal as the table has.
  */
 final class AntiEntropy {
 
-    private static final double INTERVAL_MS = 200;
+    private static final double COMPARE_INTERVAL_MS = 200;
+    /** The longest time for which tables are compared after a start or a pause. */
     private static final double MAX_CATCH_UP_MS = 30_000;
-    /** Parts compared in one message: the answer to them is another whole message. */
-    private static final int PARTS_PER_MESSAGE = 4;
-    /** With so many unknown lives in one message there are more than dissemination brings. */
-    private static final int BEHIND = 4;
+    /**
+     * The number of buckets compared in one message. The updates of the buckets that differ fill another whole message.
+     */
+    private static final int BUCKETS_PER_MESSAGE = 4;
+    /** If a message has this many unknown incarnations, more is missing than dissemination delivers. */
+    private static final int MIN_UNKNOWN_TO_CATCH_UP = 4;
 
     private static final int MAX_UPDATES =
-            (MessageCodec.MAX_BYTES - MessageCodec.HEADER - MessageCodec.SECTION) / MessageCodec.UPDATE;
+            (MessageCodec.MAX_DATAGRAM_BYTES - MessageCodec.HEADER_BYTES - MessageCodec.SECTION_HEADER_BYTES)
+                    / MessageCodec.UPDATE_BYTES;
 
     private final LocalMember self;
     private final MemberTable members;
@@ -28,10 +32,10 @@
     private final GossipSender sender;
     private final FailureDetector failureDetector;
     private final DigestCursor digests;
-    private double nextMs;
+    private double nextComparisonMs;
     private double catchUpUntilMs;
-    /** Parts found equal, one after the other. */
-    private int equalParts;
+    /** The number of buckets found equal in a row. */
+    private int equalBuckets;
 
     AntiEntropy(
             LocalMember self,
@@ -48,64 +52,65 @@
         this.digests = digests;
     }
 
+    /** Starts comparing tables, from a random bucket on. */
     void start(double nowMs, SplittableRandom random) {
-        nextMs = nowMs;
-        digests.startAt(random.nextInt(members.parts()));
+        nextComparisonMs = nowMs;
+        digests.startAt(random.nextInt(members.bucketCount()));
         catchUpUntilMs = nowMs + MAX_CATCH_UP_MS;
     }
 
-    /** Whether the table is still being compared: it may lack members. */
+    /** Returns whether the table is still being compared and may lack members. */
     boolean isCatchingUp(double nowMs) {
         return nowMs < catchUpUntilMs;
     }
 
-    /** This member was paused for so long that it may have missed a lot. */
+    /** Called when this member was paused so long that it may have missed many updates. */
     void onPaused(double nowMs, double pausedMs) {
         catchUp(nowMs + Math.min(pausedMs, MAX_CATCH_UP_MS));
     }
 
     private void catchUp(double untilMs) {
         catchUpUntilMs = Math.max(catchUpUntilMs, untilMs);
-        equalParts = 0;
+        equalBuckets = 0;
     }
 
-    /** Compares some parts with a random peer, when that is due. */
+    /** Compares some buckets with a random peer if the interval has passed. */
     void compareWhenDue(double nowMs) {
-        if (nowMs < nextMs || !isCatchingUp(nowMs) || members.size() == 1) {
+        if (nowMs < nextComparisonMs || !isCatchingUp(nowMs) || members.size() == 1) {
             return;
         }
-        nextMs = nowMs + INTERVAL_MS;
-        if (equalParts >= members.parts()) {
+        nextComparisonMs = nowMs + COMPARE_INTERVAL_MS;
+        if (equalBuckets >= members.bucketCount()) {
             catchUpUntilMs = nowMs;
             return;
         }
         int peer = selector.randomAlive();
         if (peer >= 0 && sender.mayGossip(nowMs)) {
-            failureDetector.compare(nowMs, peer, digests.next(PARTS_PER_MESSAGE, self.incarnation()));
+            failureDetector.compare(nowMs, peer, digests.next(BUCKETS_PER_MESSAGE, self.incarnation()));
         }
     }
 
-    /** A message brought so many lives that were not known. */
-    void onUnknownLives(double nowMs, int lives) {
-        if (lives >= BEHIND) {
+    /** Called when a message contained {@code count} incarnations that were not known. */
+    void onUnknownIncarnations(double nowMs, int count) {
+        if (count >= MIN_UNKNOWN_TO_CATCH_UP) {
             catchUp(nowMs + MAX_CATCH_UP_MS / 2);
         }
     }
 
-    /** A peer has compared so many parts; {@code equal} if it knows the same. */
-    void onCompared(int parts, boolean equal) {
-        equalParts = equal ? equalParts + parts : 0;
+    /** Called when a peer has compared buckets; {@code equal} is true if both tables held the same. */
+    void onCompared(int buckets, boolean equal) {
+        equalBuckets = equal ? equalBuckets + buckets : 0;
     }
 
-    /** What a peer that sent these digests does not know, or knows otherwise. */
-    List<Update> differences(double nowMs, Member peer, List<Digest> theirs) {
+    /** Returns the updates of the buckets whose digests differ from those that a peer sent. */
+    List<Update> differences(double nowMs, Member peer, List<Digest> peerDigests) {
         List<Update> updates = new ArrayList<>();
-        if (!peer.mayLive()) {
+        if (!peer.mayBeAlive()) {
             updates.add(peer.asUpdate());
         }
-        for (Digest digest : theirs) {
-            if (digest.bucket() < members.parts() && sender.mayTell(nowMs) && differs(digest)) {
-                updates.addAll(members.part(digest.bucket(), self.asUpdate()));
+        for (Digest digest : peerDigests) {
+            if (digest.bucket() < members.bucketCount() && sender.maySendUpdates(nowMs) && differs(digest)) {
+                updates.addAll(members.bucketUpdates(digest.bucket(), self.asUpdate()));
             }
         }
         return updates.size() > MAX_UPDATES ? updates.subList(0, MAX_UPDATES) : updates;
--- a/sidecar/src/main/java/martenlatch/gossip/BandwidthLimitedSender.java
+++ b/sidecar/src/main/java/martenlatch/gossip/BandwidthLimitedSender.java
@@ -5,22 +5,25 @@
 import martenlatch.gossip.Message.Accusation;
 import martenlatch.gossip.Message.Update;
 
-/** Sends messages within a limit on bandwidth: probes and their answers first, then what they carry, then the rest. */
+/**
+ * Sends messages within a bandwidth limit. Probes and their answers have the highest priority, then the updates that
+ * they carry, then gossip and table comparisons.
+ */
 final class BandwidthLimitedSender {
 
-    /** Below this share of the allowance only bare probes and their answers are sent. */
-    private static final double NEWS_RESERVE = 0.25;
-    /** Below this share of the allowance there is no gossip, and no comparing beyond what probes carry. */
-    private static final double GOSSIP_RESERVE = 0.5;
+    /** Below this share of the allowance only probes and answers without updates are sent. */
+    private static final double UPDATE_RESERVE_SHARE = 0.25;
+    /** Below this share of the allowance no gossip is sent, and no table comparisons beyond the digests in probes. */
+    private static final double GOSSIP_RESERVE_SHARE = 0.5;
 
     private final double bytesPerSecond;
     private final GossipMembership.Environment environment;
     private final DisseminationQueue disseminationQueue;
     private final GossipMetrics metrics;
-    /** Bytes that may be sent now: those of one second at most. */
-    private double allowance;
+    /** The bytes that may be sent now, at most those of one second. */
+    private double allowanceBytes;
 
-    private double refilledMs = Double.NaN;
+    private double lastRefillMs = Double.NaN;
 
     BandwidthLimitedSender(
             double bytesPerSecond,
@@ -31,49 +34,54 @@
         this.environment = environment;
         this.disseminationQueue = disseminationQueue;
         this.metrics = metrics;
-        allowance = bytesPerSecond;
+        allowanceBytes = bytesPerSecond;
     }
 
-    boolean mayTell(double nowMs) {
-        return allowance(nowMs) >= NEWS_RESERVE * bytesPerSecond;
+    /** Returns whether the allowance suffices for updates. */
+    boolean maySendUpdates(double nowMs) {
+        return refilledAllowance(nowMs) >= UPDATE_RESERVE_SHARE * bytesPerSecond;
     }
 
+    /** Returns whether the allowance suffices for gossip and table comparisons. */
     boolean mayGossip(double nowMs) {
-        return allowance(nowMs) >= GOSSIP_RESERVE * bytesPerSecond;
+        return refilledAllowance(nowMs) >= GOSSIP_RESERVE_SHARE * bytesPerSecond;
     }
 
-    private double allowance(double nowMs) {
-        if (!Double.isNaN(refilledMs)) {
-            allowance = Math.min(bytesPerSecond, allowance + bytesPerSecond * (nowMs - refilledMs) / 1000);
+    private double refilledAllowance(double nowMs) {
+        if (!Double.isNaN(lastRefillMs)) {
+            allowanceBytes = Math.min(bytesPerSecond, allowanceBytes + bytesPerSecond * (nowMs - lastRefillMs) / 1000);
         }
-        refilledMs = nowMs;
-        return allowance;
+        lastRefillMs = nowMs;
+        return allowanceBytes;
     }
 
-    /** Sends a message if the allowance suffices; {@code withDisseminated} fills up its datagram with news. */
-    boolean send(double nowMs, int to, Message message, boolean withDisseminated) {
-        if (allowance(nowMs)
+    /**
+     * Sends a message if the allowance suffices. If {@code mayPiggyback}, the rest of the datagram is filled with
+     * queued updates and accusations.
+     */
+    boolean send(double nowMs, int to, Message message, boolean mayPiggyback) {
+        if (refilledAllowance(nowMs)
                 < MessageCodec.size(
                         message.updates().size(),
                         message.accusations().size(),
                         message.digests().size())) {
-            metrics.unsent++;
+            metrics.droppedForBandwidth++;
             return false;
         }
-        boolean fill = withDisseminated && !disseminationQueue.isEmpty() && mayTell(nowMs);
-        byte[] datagram = MessageCodec.encode(fill ? filled(message) : message);
-        allowance -= datagram.length;
+        boolean piggyback = mayPiggyback && !disseminationQueue.isEmpty() && maySendUpdates(nowMs);
+        byte[] datagram = MessageCodec.encode(piggyback ? withPiggybacked(message) : message);
+        allowanceBytes -= datagram.length;
         metrics.sent++;
         metrics.sentBytes += datagram.length;
         environment.send(to, datagram);
         return true;
     }
 
-    private Message filled(Message message) {
+    private Message withPiggybacked(Message message) {
         List<Update> updates = new ArrayList<>(message.updates());
         List<Accusation> accusations = new ArrayList<>(message.accusations());
         disseminationQueue.fill(
-                MessageCodec.MAX_BYTES
+                MessageCodec.MAX_DATAGRAM_BYTES
                         - MessageCodec.size(
                                 updates.size(),
                                 accusations.size(),
--- a/sidecar/src/main/java/martenlatch/gossip/DigestCursor.java
+++ b/sidecar/src/main/java/martenlatch/gossip/DigestCursor.java
@@ -4,31 +4,33 @@
 import java.util.List;
 import martenlatch.gossip.Message.Digest;
 
-/** Gives out digests of the parts of the member table, one part after the other. */
+/** Iterates over the buckets of the member table and returns their digests, in a cycle. */
 final class DigestCursor {
 
     private final int self;
     private final MemberTable members;
-    private int part;
+    private int bucket;
 
     DigestCursor(int self, MemberTable members) {
         this.self = self;
         this.members = members;
     }
 
-    void startAt(int firstPart) {
-        part = firstPart;
+    /** Sets the position; the next digest is that of the bucket after {@code firstBucket}. */
+    void startAt(int firstBucket) {
+        bucket = firstBucket;
     }
 
+    /** Returns the digest of the next bucket. */
     Digest next(long ownIncarnation) {
-        part = (part + 1) % members.parts();
-        return members.digest(part, self, ownIncarnation);
+        bucket = (bucket + 1) % members.bucketCount();
+        return members.digest(bucket, self, ownIncarnation);
     }
 
-    /** The next digests, at most as many as there are parts. */
+    /** Returns the next digests, at most one for each bucket. */
     List<Digest> next(int count, long ownIncarnation) {
         List<Digest> digests = new ArrayList<>();
-        for (int i = 0; i < Math.min(count, members.parts()); i++) {
+        for (int i = 0; i < Math.min(count, members.bucketCount()); i++) {
             digests.add(next(ownIncarnation));
         }
         return digests;
--- a/sidecar/src/main/java/martenlatch/gossip/DisseminationQueue.java
+++ b/sidecar/src/main/java/martenlatch/gossip/DisseminationQueue.java
@@ -10,22 +10,24 @@
 import martenlatch.gossip.Message.Update;
 
 /**
- * What is disseminated, each item so often that it surely reaches all members (SWIM, section 4.1): the newest update on
- * each peer, and a bounded number of accusations. What was sent least often is sent first.
+ * Queues the items to disseminate: the newest update on each peer and a bounded number of accusations. Each item is
+ * sent often enough to reach all members with high probability (SWIM, section 4.1). Items with the fewest transmissions
+ * are sent first.
  */
 final class DisseminationQueue {
 
     private static final int MAX_ACCUSATIONS = 128;
-    /** Multiple of the logarithm of the fleet's size: SWIM's lambda. */
-    private static final int RETRANSMIT_MULTIPLE = 4;
+    /** The transmissions of an item as a multiple of the logarithm of the member count (lambda in SWIM). */
+    private static final int TRANSMISSION_MULTIPLE = 4;
 
-    /** How often an item is sent that is to be sent rarely. */
-    private static final int RARELY = 2;
+    /** The transmissions of an item that is enqueued with reduced transmissions. */
+    private static final int REDUCED_TRANSMISSIONS = 2;
 
+    /** An update or an accusation; the other one is null. A stale item was replaced or dropped and is skipped. */
     private static final class Item {
         private final Update update;
         private final Accusation accusation;
-        private int sentCount;
+        private int transmissions;
         private boolean stale;
 
         Item(Update update, Accusation accusation) {
@@ -36,39 +38,40 @@
 
     private final Map<Integer, Item> updates = new HashMap<>();
     private final Map<Accusation, Item> accusations = new HashMap<>();
-    private final List<Deque<Item>> bySentCount = new ArrayList<>();
+    /** The queued items by their number of transmissions so far. */
+    private final List<Deque<Item>> byTransmissions = new ArrayList<>();
 
     DisseminationQueue(int memberCount) {
-        int maxSentCount = RETRANSMIT_MULTIPLE * (int) Math.ceil(Math.log10(memberCount + 1.0));
-        for (int i = 0; i < maxSentCount; i++) {
-            bySentCount.add(new ArrayDeque<>());
+        int maxTransmissions = TRANSMISSION_MULTIPLE * (int) Math.ceil(Math.log10(memberCount + 1.0));
+        for (int i = 0; i < maxTransmissions; i++) {
+            byTransmissions.add(new ArrayDeque<>());
         }
     }
 
-    /** Disseminates an update, in place of an earlier one on that peer. */
-    void put(Update update) {
-        put(update, false);
+    /** Enqueues an update and replaces an earlier one on the same peer. */
+    void enqueue(Update update) {
+        enqueue(update, false);
     }
 
     /**
-     * Disseminates an update, in place of an earlier one on that peer.
+     * Enqueues an update and replaces an earlier one on the same peer.
      *
-     * @param rarely it need not reach all members this way, and counts as sent most of its times already
+     * @param reducedTransmissions whether the update need not reach all members this way and is sent only a few times
      */
-    void put(Update update, boolean rarely) {
-        Item fresh = new Item(update, null);
-        fresh.sentCount = rarely ? Math.max(0, bySentCount.size() - RARELY) : 0;
-        markStale(updates.put(update.number(), fresh));
-        bySentCount.get(fresh.sentCount).add(fresh);
+    void enqueue(Update update, boolean reducedTransmissions) {
+        Item item = new Item(update, null);
+        item.transmissions = reducedTransmissions ? Math.max(0, byTransmissions.size() - REDUCED_TRANSMISSIONS) : 0;
+        markStale(updates.put(update.number(), item));
+        byTransmissions.get(item.transmissions).add(item);
     }
 
-    /** Disseminates an accusation, if there is room; rarely as above. */
-    void put(Accusation accusation, boolean rarely) {
+    /** Enqueues an accusation unless the queue of accusations is full; for {@code reducedTransmissions} see above. */
+    void enqueue(Accusation accusation, boolean reducedTransmissions) {
         if (accusations.size() < MAX_ACCUSATIONS && !accusations.containsKey(accusation)) {
-            Item fresh = new Item(null, accusation);
-            fresh.sentCount = rarely ? Math.max(0, bySentCount.size() - RARELY) : 0;
-            accusations.put(accusation, fresh);
-            bySentCount.get(fresh.sentCount).add(fresh);
+            Item item = new Item(null, accusation);
+            item.transmissions = reducedTransmissions ? Math.max(0, byTransmissions.size() - REDUCED_TRANSMISSIONS) : 0;
+            accusations.put(accusation, item);
+            byTransmissions.get(item.transmissions).add(item);
         }
     }
 
@@ -91,16 +94,17 @@
         return updates.isEmpty() && accusations.isEmpty();
     }
 
+    /** Returns the number of updates and accusations that are queued. */
     int size() {
         return updates.size() + accusations.size();
     }
 
-    /** Takes what fits into so many bytes, and counts it as sent once more. */
-    void fill(int bytes, List<Update> sentUpdates, List<Accusation> sentAccusations) {
-        int left = bytes - 2 * MessageCodec.SECTION;
+    /** Adds the items that fit into {@code maxBytes} to the lists and counts one transmission for each. */
+    void fill(int maxBytes, List<Update> sentUpdates, List<Accusation> sentAccusations) {
+        int remainingBytes = maxBytes - 2 * MessageCodec.SECTION_HEADER_BYTES;
         List<Item> taken = new ArrayList<>();
-        for (Deque<Item> items : bySentCount) {
-            while (!items.isEmpty() && left >= MessageCodec.ACCUSATION) {
+        for (Deque<Item> items : byTransmissions) {
+            while (!items.isEmpty() && remainingBytes >= MessageCodec.ACCUSATION_BYTES) {
                 Item item = items.poll();
                 if (item.stale) {
                     continue;
@@ -108,17 +112,17 @@
                 taken.add(item);
                 if (item.update != null) {
                     sentUpdates.add(item.update);
-                    left -= MessageCodec.UPDATE;
+                    remainingBytes -= MessageCodec.UPDATE_BYTES;
                 } else {
                     sentAccusations.add(item.accusation);
-                    left -= MessageCodec.ACCUSATION;
+                    remainingBytes -= MessageCodec.ACCUSATION_BYTES;
                 }
             }
         }
-        // Only now: otherwise an item could be sent twice in one message.
+        // Items are requeued after the loop: otherwise one could be sent twice in one message.
         for (Item item : taken) {
-            if (++item.sentCount < bySentCount.size()) {
-                bySentCount.get(item.sentCount).add(item);
+            if (++item.transmissions < byTransmissions.size()) {
+                byTransmissions.get(item.transmissions).add(item);
             } else if (item.update != null) {
                 updates.remove(item.update.number(), item);
             } else {
--- a/sidecar/src/main/java/martenlatch/gossip/FailureDetector.java
+++ b/sidecar/src/main/java/martenlatch/gossip/FailureDetector.java
@@ -9,25 +9,30 @@
 import martenlatch.gossip.Message.Update;
 
 /**
- * Probes peers, directly and through others, and accuses those that do not answer (SWIM's failure detector, with the
- * watched peers on rings as in Rapid).
+ * Probes peers directly and through other members, and accuses those that do not answer (the failure detector of SWIM,
+ * with the probed peers chosen on rings as in Rapid).
  */
 final class FailureDetector {
 
-    /** Peers that are asked to probe on this member's behalf. */
-    private static final int HELPERS = 3;
-    /** Own suspects that are probed again in each period. */
-    private static final int RETRIED_SUSPECTS = 4;
-    /** In a partition of one half, six probes find two more with probability 0.89, and each of those goes on. */
-    private static final int WIDENING = 6;
+    /** The number of peers that are asked to probe on behalf of this member. */
+    private static final int HELPER_COUNT = 3;
+    /** The maximum number of suspects accused by this member that are probed again in each period. */
+    private static final int MAX_RETRIED_SUSPECTS = 4;
+    /**
+     * The additional probes after a failed one. In a partition into halves, six probes find two more unreachable peers
+     * with probability 0.89, and each of these starts more probes.
+     */
+    private static final int EXTRA_PROBES = 6;
 
     private static final int MAX_PROBES = 64;
     private static final int MAX_RELAYS = 64;
-    private static final double RELAY_MS = 3000;
+    /** How long the answer to a relayed probe is awaited. */
+    private static final double RELAY_TIMEOUT_MS = 3000;
+
     private static final int SEQUENCE_MASK = 0xffff;
 
     /** A probe on behalf of another member. */
-    private record Relay(int origin, int sequence, int subject, double untilMs) {}
+    private record Relay(int origin, int sequence, int subject, double expiresMs) {}
 
     private final GossipSettings settings;
     private final LocalMember self;
@@ -41,9 +46,9 @@
     private final GossipMetrics metrics;
     private final SplittableRandom random;
     private final DigestCursor digests;
-    /** Probes in flight, by sequence number. */
+    /** The probes in flight, by sequence number. */
     private final Map<Integer, Probe> probes = new LinkedHashMap<>();
-    /** Probes that have failed: a late answer still tells how long answers take. */
+    /** The latest failed probes: a late answer to one still shows how long answers take. */
     private final Map<Integer, Probe> failed = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<Integer, Probe> eldest) {
@@ -83,23 +88,30 @@
         this.digests = digests;
     }
 
+    /** Starts probing at a random time within the first slot. */
     void start(double nowMs) {
         nextSlotMs = nowMs + random.nextDouble() * slotMs();
     }
 
-    /** Each ring has a slot in a period, and one is for peers that are not known to be alive. */
+    /**
+     * Returns the length of a probe slot. A period has one slot for each ring and one for peers that are not known to
+     * be alive.
+     */
     private double slotMs() {
         return settings.periodMs() / (ProbeRings.COUNT + 1);
     }
 
-    /** This member was paused: answers that it missed speak against nobody. */
+    /** Called when this member was paused: answers that it missed are no evidence against a peer. */
     void onPaused() {
         probes.clear();
         relays.clear();
         partitions.clear();
     }
 
-    /** Probes the peer whose turn it is. A member that is unwell goes on: otherwise it would not be heard either. */
+    /**
+     * Probes the next peer if a probe slot has begun. An unreliable member probes too: otherwise its peers would not
+     * receive messages from it either.
+     */
     void probeNextWhenDue(double nowMs) {
         if (nowMs >= nextSlotMs) {
             nextSlotMs = Math.max(nextSlotMs + slotMs(), nowMs);
@@ -116,22 +128,22 @@
             }
             return;
         }
-        int silent =
+        int notAlive =
                 selector.random(number -> !selector.isAlive(number) && members.get(number).state != PeerState.LEFT);
-        if (silent >= 0) {
-            probe(nowMs, silent, false);
+        if (notAlive >= 0) {
+            probe(nowMs, notAlive, false);
         }
         if (changes.isPartitioned(nowMs)) {
-            widen(nowMs, WIDENING / 2);
+            probeMore(nowMs, EXTRA_PROBES / 2);
         }
         retryOwnSuspects(nowMs);
     }
 
     private void retryOwnSuspects(double nowMs) {
-        List<Member> own = new ArrayList<>(members.suspects());
-        own.removeIf(suspect -> !suspect.suspicion.own);
-        for (int i = 0; i < Math.min(RETRIED_SUSPECTS, own.size()); i++) {
-            probe(nowMs, own.get(random.nextInt(own.size())).number, true);
+        List<Member> ownSuspects = new ArrayList<>(members.suspects());
+        ownSuspects.removeIf(suspect -> !suspect.suspicion.ownProbeFailed);
+        for (int i = 0; i < Math.min(MAX_RETRIED_SUSPECTS, ownSuspects.size()); i++) {
+            probe(nowMs, ownSuspects.get(random.nextInt(ownSuspects.size())).number, true);
         }
     }
 
@@ -139,24 +151,27 @@
         return probes.values().stream().anyMatch(probe -> probe.subject == number);
     }
 
-    /** Starts a probe; its failure accuses the subject, or it is only to find out. */
-    void probe(double nowMs, int subject, boolean accuses) {
+    /**
+     * Starts a probe. If {@code accusesOnFailure}, its failure accuses the subject; otherwise it only checks whether
+     * the subject answers.
+     */
+    void probe(double nowMs, int subject, boolean accusesOnFailure) {
         if (probes.size() >= MAX_PROBES) {
             return;
         }
-        Probe probe = new Probe(subject, nextSequence(), nowMs, accuses, metrics.heard);
+        Probe probe = new Probe(subject, nextSequence(), nowMs, accusesOnFailure, metrics.received);
         if (ping(nowMs, probe)) {
             metrics.probes++;
             probes.put(probe.sequence, probe);
         }
     }
 
-    /** Starts a probe that compares so many parts of the tables; it is not repeated, and accuses nobody. */
-    void compare(double nowMs, int subject, List<Message.Digest> parts) {
-        Probe probe = new Probe(subject, nextSequence(), nowMs, false, metrics.heard);
-        probe.pings = AdaptiveTimeout.PINGS;
-        probe.comparedParts = parts.size();
-        if (probes.size() < MAX_PROBES && sender.compare(nowMs, subject, probe.sequence, parts)) {
+    /** Starts a probe that compares buckets of the member table; it is not repeated and accuses nobody. */
+    void compare(double nowMs, int subject, List<Message.Digest> bucketDigests) {
+        Probe probe = new Probe(subject, nextSequence(), nowMs, false, metrics.received);
+        probe.pings = AdaptiveTimeout.PINGS_PER_PROBE;
+        probe.comparedBuckets = bucketDigests.size();
+        if (probes.size() < MAX_PROBES && sender.compare(nowMs, subject, probe.sequence, bucketDigests)) {
             probes.put(probe.sequence, probe);
         }
     }
@@ -166,7 +181,7 @@
         return sequence;
     }
 
-    /** What a peer must know to refute it. */
+    /** Returns the update that a peer must receive in order to refute it, or none. */
     private List<Update> updatesToRefute(int number) {
         Member subject = members.get(number);
         boolean hasEnded = subject.isIn(PeerState.FAULTY) || subject.isIn(PeerState.LEFT);
@@ -187,20 +202,20 @@
                 digests.next(self.incarnation()));
     }
 
-    /** Repeats pings, asks others for help, and ends the probes that nobody has answered. */
+    /** Repeats pings, requests indirect probes, and ends the probes that were not answered in time. */
     void advanceProbes(double nowMs) {
         for (Probe probe : List.copyOf(probes.values())) {
             double waitedMs = nowMs - probe.sentMs;
-            if (waitedMs >= timeout.probeMs()) {
+            if (waitedMs >= timeout.probeTimeoutMs()) {
                 probes.remove(probe.sequence);
                 failed.put(probe.sequence, probe);
                 onFailed(nowMs, probe);
-            } else if (probe.pings < AdaptiveTimeout.PINGS && waitedMs >= probe.pings * timeout.pingGapMs()) {
+            } else if (probe.pings < AdaptiveTimeout.PINGS_PER_PROBE && waitedMs >= probe.pings * timeout.pingGapMs()) {
                 probe.pings++;
                 ping(nowMs, probe);
             } else if (needsHelp(nowMs, probe, waitedMs)) {
                 probe.helpRequested = true;
-                selector.randomAliveExcept(probe.subject, HELPERS)
+                selector.randomAliveExcept(probe.subject, HELPER_COUNT)
                         .forEach(helper -> sender.requestProbe(nowMs, helper, probe.sequence, probe.subject));
             }
         }
@@ -208,37 +223,38 @@
 
     private boolean needsHelp(double nowMs, Probe probe, double waitedMs) {
         return !probe.helpRequested
-                && probe.accuses
+                && probe.accusesOnFailure
                 && !changes.isPartitioned(nowMs)
-                && waitedMs >= (AdaptiveTimeout.PINGS - 1) * timeout.pingGapMs();
+                && waitedMs >= (AdaptiveTimeout.PINGS_PER_PROBE - 1) * timeout.pingGapMs();
     }
 
     private void onFailed(double nowMs, Probe probe) {
-        if (!probe.accuses) {
+        if (!probe.accusesOnFailure) {
             return;
         }
         metrics.failedProbes++;
         Member subject = members.get(probe.subject);
-        // A member that heard nobody meanwhile has learned about itself, and has to go on to be heard.
-        boolean heardNobody = metrics.heard == probe.heardBefore;
-        if (subject.isIn(PeerState.ALIVE) && !heardNobody) {
+        // A member that received nothing in the meantime may itself be cut off. It keeps probing so that others receive
+        // its messages.
+        boolean receivedNothing = metrics.received == probe.receivedBefore;
+        if (subject.isIn(PeerState.ALIVE) && !receivedNothing) {
             timeout.onUnhealthy();
         }
-        boolean unreliable = heardNobody || self.isUnreliable(nowMs);
-        if (unreliable || subject.heardMs >= probe.sentMs || !subject.mayLive()) {
+        boolean unreliable = receivedNothing || self.isUnreliable(nowMs);
+        if (unreliable || subject.lastHeardMs >= probe.sentMs || !subject.mayBeAlive()) {
             return;
         }
         metrics.accused++;
         partitions.onProbeEnded(nowMs, probe.subject, false);
-        boolean isNew = !subject.isIn(PeerState.SUSPECT) || !subject.suspicion.own;
+        boolean isNew = !subject.isIn(PeerState.SUSPECT) || !subject.suspicion.ownProbeFailed;
         if (!changes.isPartitioned(nowMs) && isNew) {
-            widen(nowMs, WIDENING);
+            probeMore(nowMs, EXTRA_PROBES);
         }
         suspicions.accuse(nowMs, subject);
     }
 
-    /** Probes some more peers at once: a partition must show before a death is believed. */
-    private void widen(double nowMs, int count) {
+    /** Probes more random peers at once: a partition must be detected before suspects are declared faulty. */
+    private void probeMore(double nowMs, int count) {
         for (int i = 0; i < count; i++) {
             int other = selector.randomAlive();
             if (other >= 0 && !isProbing(other)) {
@@ -247,27 +263,29 @@
         }
     }
 
-    /** A peer asks this member to probe another. */
+    /** Called when a peer requests that this member probes another. */
     void onProbeRequest(double nowMs, Member peer, Message message) {
         int subject = message.target();
         if (subject >= members.size() || subject == self.number() || relays.size() >= MAX_RELAYS) {
             return;
         }
-        int own = nextSequence();
-        relays.put(own, new Relay(peer.number, message.sequence(), subject, nowMs + RELAY_MS));
-        sender.pingForOther(nowMs, subject, own, updatesToRefute(subject));
+        int relaySequence = nextSequence();
+        relays.put(relaySequence, new Relay(peer.number, message.sequence(), subject, nowMs + RELAY_TIMEOUT_MS));
+        sender.pingForOther(nowMs, subject, relaySequence, updatesToRefute(subject));
     }
 
-    void dropOldRelays(double nowMs) {
-        relays.values().removeIf(relay -> relay.untilMs() < nowMs);
+    /** Removes the relays whose subject has not answered in time. */
+    void removeExpiredRelays(double nowMs) {
+        relays.values().removeIf(relay -> relay.expiresMs() < nowMs);
     }
 
-    /** The parts of the tables that the probe which this message answers has compared; 0 if it answers none. */
-    int comparedParts(Member peer, Message message) {
+    /** Returns the number of buckets that the probe answered by this message compared, or 0 if it answers none. */
+    int comparedBuckets(Member peer, Message message) {
         Probe probe = probes.get(message.sequence());
-        return probe != null && probe.subject == peer.number ? probe.comparedParts : 0;
+        return probe != null && probe.subject == peer.number ? probe.comparedBuckets : 0;
     }
 
+    /** Called when an answer to a probe of this member, or to a relayed one, arrives. */
     void onAck(double nowMs, Member peer, Message message) {
         Relay relay = relays.remove(message.sequence());
         if (relay != null && relay.subject() == peer.number) {
@@ -291,17 +309,17 @@
 
     private void onAnswered(double nowMs, Probe probe, boolean direct) {
         timeout.onHealthy();
-        if (probe.accuses) {
+        if (probe.accusesOnFailure) {
             partitions.onProbeEnded(nowMs, probe.subject, true);
         }
         Member subject = members.get(probe.subject);
         if (!direct && subject.isIn(PeerState.SUSPECT)) {
-            // Another member has just had its answer.
-            suspicions.acquit(nowMs, subject);
+            // The subject has just answered another member.
+            suspicions.onSubjectHeard(nowMs, subject);
         }
     }
 
-    /** The numbers of probes and of relays in the tables. */
+    /** Returns the numbers of probes and of relays in the tables. */
     List<Integer> tableSizes() {
         return List.of(probes.size() + failed.size(), relays.size());
     }
--- a/sidecar/src/main/java/martenlatch/gossip/GossipMembership.java
+++ b/sidecar/src/main/java/martenlatch/gossip/GossipMembership.java
@@ -8,40 +8,44 @@
 import martenlatch.gossip.Message.Update;
 
 /**
- * Membership among the sidecars of a tier. Each member probes the peers that it watches once a period; a peer that
- * answers neither directly nor through others is suspected, and declared faulty by those that found out themselves
- * once nobody has heard it for long enough. News travels with probes and as gossip. After SWIM (Das, Gupta, Motivala,
- * DSN 2002), with Lifeguard's local health, watchers on rings as in Rapid, and two rules of its own: a member that
- * hears a suspect says so, and many silent at once are a partition and not many deaths.
+ * Tracks the membership of the sidecars of a tier. Each member probes the peers that it watches once a period. A peer
+ * that answers neither directly nor through other members is suspected. A suspect from which no member receives a
+ * message for long enough is declared faulty by the members whose own probes of it failed. Updates are carried by
+ * probes and by gossip messages.
  *
- * <p>No I/O, no clock, one thread. Times are milliseconds since 1970 on a clock that does not go back.
+ * <p>The protocol follows SWIM (Das, Gupta, Motivala, DSN 2002), with the local health of Lifeguard and the probing
+ * rings of Rapid, and has two rules of its own: a member that receives a message from a suspect reports this, and many
+ * peers that fall silent at once are treated as a partition and not as that many deaths.
+ *
+ * <p>The class does no I/O, reads no clock and is used by one thread. Times are milliseconds since 1970 on a clock that
+ * does not go back.
  */
 public final class GossipMembership {
 
-    /** Carries out what a member decides. */
+    /** Sends the datagrams of a member and receives its state changes. */
     public interface Environment {
-        /** Sends a datagram to a peer, by its number. */
+        /** Sends a datagram to the peer with the number {@code to}. */
         void send(int to, byte[] datagram);
 
-        /** Something else is believed of a peer from now on. */
-        void onStateChanged(int peer, PeerState before, PeerState now);
+        /** Called when the state of a peer changes in the view of this member. */
+        void onStateChanged(int peer, PeerState previous, PeerState current);
     }
 
     /** The interval at which {@link #tick} is to be called, in milliseconds. */
     public static final double TICK_MS = 50;
-    /** A tick so late is no inaccuracy of a timer: the process was paused. */
-    private static final double PAUSED_MS = 300;
-    /** A pause so long may have had this member suspected. */
-    private static final double SUSPECTED_MS = 700;
+    /** A tick that is later than this shows that the process was paused, and not that a timer is inaccurate. */
+    private static final double MIN_PAUSE_MS = 300;
+    /** After a pause of this length other members may suspect this one. */
+    private static final double LONG_PAUSE_MS = 700;
 
     private static final double GOSSIP_INTERVAL_MS = 200;
     private static final int GOSSIP_FANOUT = 3;
-    /** How often a member that hears nobody announces itself: others may hear it. */
-    private static final double CUT_OFF_ANNOUNCE_MS = 5000;
-    /** Random peers that hear of a start, beside the neighbours on the rings. */
-    private static final int GREETED = 5;
-    /** Random peers that hear of a leave, beside the watchers. */
-    private static final int TOLD_OF_LEAVE = 8;
+    /** The interval at which a member that receives no messages announces itself: others may still receive its own. */
+    private static final double CUT_OFF_ANNOUNCE_INTERVAL_MS = 5000;
+    /** The number of random peers to which a member announces itself, in addition to its neighbours on the rings. */
+    private static final int ANNOUNCE_RANDOM_PEERS = 5;
+    /** The number of random peers that are notified of a leave, in addition to the watchers. */
+    private static final int LEAVE_RANDOM_PEERS = 8;
 
     private final GossipSettings settings;
     private final SplittableRandom random;
@@ -58,17 +62,17 @@
     private final UpdateMerger merger;
     private double nextGossipMs;
     private double nextAnnounceMs;
-    /** When the next tick is due; NaN before the start. */
-    private double dueMs = Double.NaN;
+    /** The time of the next tick; NaN before the start. */
+    private double nextTickMs = Double.NaN;
 
     /** Creates a member that has not started. */
     public GossipMembership(GossipSettings settings, long seed, Environment environment) {
         this.settings = settings;
         random = new SplittableRandom(seed);
-        members = new MemberTable(settings.told());
-        disseminationQueue = new DisseminationQueue(settings.told());
+        members = new MemberTable(settings.memberCount());
+        disseminationQueue = new DisseminationQueue(settings.memberCount());
         AdaptiveTimeout timeout = new AdaptiveTimeout();
-        PartitionDetector partitions = new PartitionDetector(settings.told());
+        PartitionDetector partitions = new PartitionDetector(settings.memberCount());
         self = new LocalMember(settings, disseminationQueue, timeout, metrics);
         sender = new GossipSender(
                 settings,
@@ -96,23 +100,23 @@
         merger = new UpdateMerger(self, members, changes, suspicions, failureDetector, antiEntropy, sender, metrics);
     }
 
-    /** Starts a new life, and tells some peers of it; returns when the first tick is due. */
+    /** Starts a new incarnation and announces it to some peers; returns the time of the first tick. */
     public double start(double nowMs) {
         self.start(nowMs);
-        nextAnnounceMs = nowMs + CUT_OFF_ANNOUNCE_MS;
+        nextAnnounceMs = nowMs + CUT_OFF_ANNOUNCE_INTERVAL_MS;
         failureDetector.start(nowMs);
         nextGossipMs = nowMs + random.nextDouble() * GOSSIP_INTERVAL_MS;
         antiEntropy.start(nowMs, random);
-        greet(nowMs, number -> true);
-        dueMs = nowMs + TICK_MS;
-        return dueMs;
+        announce(nowMs, number -> true);
+        nextTickMs = nowMs + TICK_MS;
+        return nextTickMs;
     }
 
-    /** To be called when it is due; returns when it is due next. */
+    /** Does the periodic work; returns the time of the next tick. */
     public double tick(double nowMs) {
         checkForPause(nowMs);
         failureDetector.advanceProbes(nowMs);
-        suspicions.review(nowMs);
+        suspicions.checkExpiry(nowMs);
         failureDetector.probeNextWhenDue(nowMs);
         antiEntropy.compareWhenDue(nowMs);
         if (nowMs >= nextGossipMs) {
@@ -120,31 +124,31 @@
             gossip(nowMs);
         }
         if (self.isCutOff(nowMs) && nowMs >= nextAnnounceMs) {
-            nextAnnounceMs = nowMs + CUT_OFF_ANNOUNCE_MS;
-            self.announceAnew(self.incarnation());
-            greet(nowMs, number -> true);
+            nextAnnounceMs = nowMs + CUT_OFF_ANNOUNCE_INTERVAL_MS;
+            self.raiseIncarnation(self.incarnation());
+            announce(nowMs, number -> true);
         }
-        failureDetector.dropOldRelays(nowMs);
-        dueMs = nowMs + TICK_MS;
-        return dueMs;
+        failureDetector.removeExpiredRelays(nowMs);
+        nextTickMs = nowMs + TICK_MS;
+        return nextTickMs;
     }
 
-    /** Leaves; {@link #tick} goes on telling that for as long as the process exists. */
+    /** Starts to leave. {@link #tick} keeps reporting the leave for as long as the process exists. */
     public void leave(double nowMs) {
         if (self.isLeaving()) {
             return;
         }
         self.startLeaving();
         Update left = self.asUpdate();
-        disseminationQueue.put(left);
-        Set<Integer> told = selector.watchersAnd(TOLD_OF_LEAVE);
-        told.forEach(to -> sender.tell(nowMs, to, List.of(left)));
+        disseminationQueue.enqueue(left);
+        Set<Integer> notified = selector.watchersAndRandom(LEAVE_RANDOM_PEERS);
+        notified.forEach(to -> sender.sendUpdates(nowMs, to, List.of(left)));
     }
 
     /**
-     * A datagram has been received.
+     * Called when a datagram arrives.
      *
-     * @param address the number of the peer from whose address it came, or below 0 for nobody's
+     * @param address the number of the peer from whose address it came, or below 0 if the address is no peer's
      */
     public void receive(double nowMs, int address, byte[] datagram) {
         checkForPause(nowMs);
@@ -152,11 +156,11 @@
         if (message == null || message.from() >= members.size()) {
             metrics.malformed++;
         } else if (address < 0 || message.from() != address || message.from() == settings.self()) {
-            metrics.foreign++;
+            metrics.wrongSender++;
         } else if (message.tier() != settings.tier()) {
             metrics.otherTier++;
-        } else if (!Incarnations.isSane(message.incarnation(), nowMs)) {
-            metrics.insane++;
+        } else if (!Incarnations.isPlausible(message.incarnation(), nowMs)) {
+            metrics.implausibleIncarnation++;
         } else {
             accept(nowMs, members.get(message.from()), message);
         }
@@ -164,12 +168,12 @@
 
     private void accept(double nowMs, Member peer, Message message) {
         if (message.incarnation() < peer.incarnation) {
-            metrics.earlierLife++;
-            // A process that was started with its clock set back needs to know what it has to exceed.
-            sender.tell(nowMs, peer.number, List.of(peer.asUpdate()));
+            metrics.earlierIncarnation++;
+            // A process that was restarted with its clock set back must know which incarnation it has to exceed.
+            sender.sendUpdates(nowMs, peer.number, List.of(peer.asUpdate()));
             return;
         }
-        metrics.heard++;
+        metrics.received++;
         self.onHeard(nowMs);
         merger.onHeard(nowMs, peer, message);
         merger.merge(nowMs, peer, message);
@@ -182,36 +186,37 @@
                 }
             }
             case ACK -> failureDetector.onAck(nowMs, peer, message);
-            case TRY -> failureDetector.onProbeRequest(nowMs, peer, message);
+            case PROBE_REQUEST -> failureDetector.onProbeRequest(nowMs, peer, message);
             default -> {}
         }
     }
 
-    /** A pause of this process shows at the first thing that happens after it. */
+    /** Detects a pause of this process at the first tick or datagram after it. */
     private void checkForPause(double nowMs) {
-        double lateMs = nowMs - dueMs;
-        if (Double.isNaN(lateMs) || lateMs <= PAUSED_MS) {
+        double lateMs = nowMs - nextTickMs;
+        if (Double.isNaN(lateMs) || lateMs <= MIN_PAUSE_MS) {
             return;
         }
-        dueMs = nowMs + TICK_MS;
+        nextTickMs = nowMs + TICK_MS;
         metrics.pauses++;
         self.onPaused(nowMs);
         failureDetector.onPaused();
         suspicions.onPaused(lateMs);
-        if (lateMs >= SUSPECTED_MS) {
-            self.announceAnew(self.incarnation());
-            greet(nowMs, selector::isAlive);
+        if (lateMs >= LONG_PAUSE_MS) {
+            self.raiseIncarnation(self.incarnation());
+            announce(nowMs, selector::isAlive);
             antiEntropy.onPaused(nowMs, lateMs);
         }
     }
 
-    private void greet(double nowMs, IntPredicate wanted) {
-        selector.neighboursAnd(GREETED, wanted).forEach(to -> failureDetector.probe(nowMs, to, false));
+    private void announce(double nowMs, IntPredicate filter) {
+        selector.neighboursAndRandom(ANNOUNCE_RANDOM_PEERS, filter)
+                .forEach(to -> failureDetector.probe(nowMs, to, false));
     }
 
     private void gossip(double nowMs) {
         for (int i = 0; i < GOSSIP_FANOUT && !disseminationQueue.isEmpty(); i++) {
-            int to = selector.random(number -> members.get(number).mayLive());
+            int to = selector.random(number -> members.get(number).mayBeAlive());
             if (to < 0 || !sender.mayGossip(nowMs)) {
                 return;
             }
@@ -219,30 +224,32 @@
         }
     }
 
-    /** What is believed now. */
+    /** Returns the current view of the membership. */
     public PeerView view(double nowMs) {
         boolean cutOff = self.isCutOff(nowMs);
         boolean partitioned = changes.isPartitioned(nowMs);
-        boolean unsure = cutOff || partitioned || antiEntropy.isCatchingUp(nowMs);
+        boolean uncertain = cutOff || partitioned || antiEntropy.isCatchingUp(nowMs);
         ViewBuilder builder = new ViewBuilder(settings.zone());
         for (int i = 0; i < members.size(); i++) {
             if (i != settings.self()) {
                 Member peer = members.get(i);
-                boolean lives = peer.isIn(PeerState.ALIVE) && !cutOff;
-                boolean mayLive = peer.mayLive() || (unsure && !peer.isIn(PeerState.LEFT));
-                builder.add(peer.zone, lives, mayLive);
+                boolean alive = peer.isIn(PeerState.ALIVE) && !cutOff;
+                boolean mayBeAlive = peer.mayBeAlive() || (uncertain && !peer.isIn(PeerState.LEFT));
+                builder.add(peer.zone, alive, mayBeAlive);
             }
         }
         return new PeerView(members.size(), builder.atLeast(), builder.atMost(), builder.zones(), cutOff, partitioned);
     }
 
-    /** Counts members by zone, this one among them. */
+    /** Counts members by zone, including this one. */
     private static final class ViewBuilder {
+        /** The lower and upper bound of each zone, without members of unknown zone. */
         private final List<int[]> byZone = new ArrayList<>();
+
         private int atLeast = 1;
         private int atMost = 1;
-        /** Members that may be alive in a zone that is not known. */
-        private int unknownZone;
+        /** The members that may be alive and whose zone is not known. */
+        private int mayBeAliveInUnknownZone;
 
         ViewBuilder(int ownZone) {
             counts(ownZone)[0]++;
@@ -256,14 +263,14 @@
             return byZone.get(zone);
         }
 
-        void add(int zone, boolean lives, boolean mayLive) {
-            atLeast += lives ? 1 : 0;
-            atMost += mayLive ? 1 : 0;
+        void add(int zone, boolean alive, boolean mayBeAlive) {
+            atLeast += alive ? 1 : 0;
+            atMost += mayBeAlive ? 1 : 0;
             if (zone < 0) {
-                unknownZone += mayLive ? 1 : 0;
+                mayBeAliveInUnknownZone += mayBeAlive ? 1 : 0;
             } else {
-                counts(zone)[0] += lives ? 1 : 0;
-                counts(zone)[1] += mayLive ? 1 : 0;
+                counts(zone)[0] += alive ? 1 : 0;
+                counts(zone)[1] += mayBeAlive ? 1 : 0;
             }
         }
 
@@ -277,12 +284,12 @@
 
         List<PeerView.Bounds> zones() {
             return byZone.stream()
-                    .map(counts -> new PeerView.Bounds(counts[0], counts[1] + unknownZone))
+                    .map(counts -> new PeerView.Bounds(counts[0], counts[1] + mayBeAliveInUnknownZone))
                     .toList();
         }
     }
 
-    /** What is believed of one peer. */
+    /** Returns the state of a peer in the view of this member. */
     public PeerState state(int peer) {
         if (peer != settings.self()) {
             return members.get(peer).state;
@@ -290,17 +297,17 @@
         return self.isLeaving() ? PeerState.LEFT : PeerState.ALIVE;
     }
 
-    /** What this member has sent, received and dropped. */
+    /** Returns the counters of sent, received and dropped messages. */
     public GossipMetrics metrics() {
         return metrics;
     }
 
-    /** The number that tells this life, and what it says of itself, from earlier ones. */
+    /** Returns the current incarnation, which orders the runs of this member and its refutations. */
     public long incarnation() {
         return self.incarnation();
     }
 
-    /** The sizes of the tables: probes, relays, and what waits to be disseminated. */
+    /** Returns the sizes of the tables: probes, relays, and items queued for dissemination. */
     public List<Integer> tableSizes() {
         List<Integer> sizes = new ArrayList<>(failureDetector.tableSizes());
         sizes.add(disseminationQueue.size());
--- a/sidecar/src/main/java/martenlatch/gossip/GossipSender.java
+++ b/sidecar/src/main/java/martenlatch/gossip/GossipSender.java
@@ -6,66 +6,66 @@
 import martenlatch.gossip.Message.Kind;
 import martenlatch.gossip.Message.Update;
 
-/** Sends each kind of message, with what this member tells of itself. */
+/** Builds and sends each kind of message, with the sender fields of this member. */
 final class GossipSender {
 
     private final GossipSettings settings;
     private final LocalMember self;
-    private final BandwidthLimitedSender limited;
+    private final BandwidthLimitedSender limitedSender;
 
-    GossipSender(GossipSettings settings, LocalMember self, BandwidthLimitedSender limited) {
+    GossipSender(GossipSettings settings, LocalMember self, BandwidthLimitedSender limitedSender) {
         this.settings = settings;
         this.self = self;
-        this.limited = limited;
+        this.limitedSender = limitedSender;
     }
 
-    /** Whether there is bandwidth for more than bare probes and their answers. */
-    boolean mayTell(double nowMs) {
-        return limited.mayTell(nowMs);
+    /** Returns whether there is bandwidth for more than probes and answers without updates. */
+    boolean maySendUpdates(double nowMs) {
+        return limitedSender.maySendUpdates(nowMs);
     }
 
-    /** Whether there is bandwidth for gossip and for comparing whole tables. */
+    /** Returns whether there is bandwidth for gossip and for table comparisons. */
     boolean mayGossip(double nowMs) {
-        return limited.mayGossip(nowMs);
+        return limitedSender.mayGossip(nowMs);
     }
 
-    /** Tells a peer just these updates. */
-    void tell(double nowMs, int to, List<Update> updates) {
+    /** Sends only the given updates to a peer. */
+    void sendUpdates(double nowMs, int to, List<Update> updates) {
         send(nowMs, to, Kind.GOSSIP, 0, to, updates, List.of(), List.of(), false);
     }
 
-    /** Gossips what waits to be disseminated. */
+    /** Sends queued updates and accusations to a peer as gossip. */
     void gossip(double nowMs, int to) {
         send(nowMs, to, Kind.GOSSIP, 0, to, List.of(), List.of(), List.of(), true);
     }
 
-    /** Probes a peer, with what it must know to refute it, and with what waits to be disseminated. */
+    /** Probes a peer; the message also carries the updates that the peer may have to refute, and queued items. */
     boolean ping(
             double nowMs, int to, int sequence, List<Update> updates, List<Accusation> accusations, Digest digest) {
         return send(nowMs, to, Kind.PING, sequence, to, updates, accusations, List.of(digest), true);
     }
 
-    /** Probes a peer on behalf of another. */
+    /** Probes a peer on behalf of another member. */
     void pingForOther(double nowMs, int to, int sequence, List<Update> updates) {
         send(nowMs, to, Kind.PING, sequence, to, updates, List.of(), List.of(), false);
     }
 
-    /** Asks a peer to compare these parts of its table with this member's. */
+    /** Requests that a peer compares these buckets of its table with those of this member. */
     boolean compare(double nowMs, int to, int sequence, List<Digest> digests) {
         return send(nowMs, to, Kind.PING, sequence, to, List.of(), List.of(), digests, false);
     }
 
-    /** Asks a peer to probe another. */
+    /** Requests that a peer probes another member. */
     void requestProbe(double nowMs, int to, int sequence, int subject) {
-        send(nowMs, to, Kind.TRY, sequence, subject, List.of(), List.of(), List.of(), false);
+        send(nowMs, to, Kind.PROBE_REQUEST, sequence, subject, List.of(), List.of(), List.of(), false);
     }
 
-    /** Answers a probe; without updates of its own the answer carries what waits to be disseminated. */
+    /** Answers a probe. If {@code updates} is empty, the answer carries queued items instead. */
     void ack(double nowMs, int to, int sequence, List<Update> updates) {
         send(nowMs, to, Kind.ACK, sequence, self.number(), updates, List.of(), List.of(), updates.isEmpty());
     }
 
-    /** Passes on the answer of a peer that was probed on behalf of another. */
+    /** Forwards the answer of a peer that was probed on behalf of another member. */
     void ackForOther(double nowMs, int to, int sequence, int subject) {
         send(nowMs, to, Kind.ACK, sequence, subject, List.of(), List.of(), List.of(), false);
     }
@@ -79,7 +79,7 @@
             List<Update> updates,
             List<Accusation> accusations,
             List<Digest> digests,
-            boolean withDisseminated) {
+            boolean mayPiggyback) {
         Message message = new Message(
                 kind,
                 settings.tier(),
@@ -92,6 +92,6 @@
                 updates,
                 accusations,
                 digests);
-        return limited.send(nowMs, to, message, withDisseminated);
+        return limitedSender.send(nowMs, to, message, mayPiggyback);
     }
 }
--- a/sidecar/src/main/java/martenlatch/gossip/Incarnations.java
+++ b/sidecar/src/main/java/martenlatch/gossip/Incarnations.java
@@ -1,30 +1,34 @@
 package martenlatch.gossip;
 
 /**
- * Numbers that order a member's lives, and what it says of itself after what was said of it before: the second of its
- * start at first, and one more with each refutation. Within 32 bits until 2156.
+ * Computes incarnations: numbers that order the runs of a member, and its reports about itself relative to reports by
+ * others. An incarnation starts as the second of the start and increases by one with each refutation. It fits into 32
+ * bits until 2156.
  */
 final class Incarnations {
 
-    /** The first of January 2020. */
+    /** 2020-01-01T00:00:00Z. */
     static final long EPOCH_S = 1_577_836_800L;
     /**
-     * No member can have refuted so often that its number is further ahead of the clock: such a number is broken or a
-     * lie, and would leave its subject none to refute it with.
+     * The maximum by which an incarnation may exceed the clock. No member can have refuted more often, so a higher
+     * number is corrupt or false, and would leave its subject no number to refute it with.
      */
     static final long MAX_AHEAD_S = 86_400;
 
-    private static final long MAX = 0xffffffffL;
+    private static final long MAX_INCARNATION = 0xffffffffL;
 
     private Incarnations() {}
 
-    /** The incarnation of a life that begins now, in milliseconds since 1970; a clock before 2020 gives 1. */
+    /**
+     * Returns the incarnation of a member that starts at {@code nowMs}, in milliseconds since 1970, or 1 if that is
+     * before 2020.
+     */
     static long at(double nowMs) {
-        return Math.max(1, Math.min(MAX, (long) (nowMs / 1000) - EPOCH_S));
+        return Math.max(1, Math.min(MAX_INCARNATION, (long) (nowMs / 1000) - EPOCH_S));
     }
 
-    /** Whether a number can be true at this time. */
-    static boolean isSane(long incarnation, double nowMs) {
+    /** Returns whether an incarnation is possible at this time. */
+    static boolean isPlausible(long incarnation, double nowMs) {
         return incarnation >= 1 && incarnation <= at(nowMs) + MAX_AHEAD_S;
     }
 }
--- a/sidecar/src/main/java/martenlatch/gossip/LocalMember.java
+++ b/sidecar/src/main/java/martenlatch/gossip/LocalMember.java
@@ -1,14 +1,14 @@
 package martenlatch.gossip;
 
+import martenlatch.gossip.Message.Status;
 import martenlatch.gossip.Message.Update;
-import martenlatch.gossip.Message.Word;
 
-/** What a member knows of itself: its incarnation, whether it is leaving, and whether it is well connected. */
+/** Holds the state of this member: its incarnation, whether it is leaving, and whether it is well connected. */
 final class LocalMember {
 
-    /** After so many periods without any message a member takes itself to be cut off. */
+    /** The number of periods without any message after which a member considers itself cut off. */
     private static final double CUT_OFF_PERIODS = 1.5;
-    /** The shortest time between two refutations, in milliseconds. */
+    /** The minimum interval between two refutations. */
     private static final double REFUTE_INTERVAL_MS = 200;
 
     private final GossipSettings settings;
@@ -17,9 +17,9 @@
     private final GossipMetrics metrics;
     private long incarnation;
     private boolean leaving;
-    /** Until this time the member was paused lately, and accuses nobody. */
+    /** Until this time the member counts as recently paused and accuses nobody. */
     private double pausedUntilMs = Double.NEGATIVE_INFINITY;
-    /** When a message of any peer was last received. */
+    /** The time at which a message of any peer was last received. */
     private double lastHeardMs;
 
     private double lastRefutedMs = Double.NEGATIVE_INFINITY;
@@ -60,13 +60,13 @@
         lastHeardMs = nowMs;
     }
 
-    /** The process was paused: what was missed speaks against nobody, for a period. */
+    /** Called when the process was paused: messages missed are no evidence against peers for one period. */
     void onPaused(double nowMs) {
         pausedUntilMs = nowMs + settings.periodMs();
         lastHeardMs = nowMs;
     }
 
-    /** Whether silence of others may be the fault of this member. */
+    /** Returns whether missing answers may be the fault of this member. */
     boolean isUnreliable(double nowMs) {
         return wasPaused(nowMs) || isCutOff(nowMs);
     }
@@ -75,35 +75,40 @@
         return nowMs < pausedUntilMs;
     }
 
+    /** Returns whether no message of any peer was received lately. */
     boolean isCutOff(double nowMs) {
-        return settings.told() > 1 && nowMs - lastHeardMs > CUT_OFF_PERIODS * settings.periodMs();
+        return settings.memberCount() > 1 && nowMs - lastHeardMs > CUT_OFF_PERIODS * settings.periodMs();
     }
 
-    /** Announces this member with a higher incarnation than anybody has heard of, and than {@code above}. */
-    void announceAnew(long above) {
+    /** Raises the incarnation above the current one and {@code above}, and disseminates it. */
+    void raiseIncarnation(long above) {
         incarnation = Math.max(incarnation, above) + 1;
-        disseminationQueue.put(asUpdate());
+        disseminationQueue.enqueue(asUpdate());
     }
 
-    /** Contradicts what was said of this member, under this incarnation or a later one. */
-    void refute(double nowMs, long saidIncarnation) {
-        if (saidIncarnation < incarnation || nowMs - lastRefutedMs < REFUTE_INTERVAL_MS) {
+    /**
+     * Refutes a report about this member with the given incarnation, unless the current incarnation is higher or the
+     * last refutation was too recent.
+     */
+    void refute(double nowMs, long reportedIncarnation) {
+        if (reportedIncarnation < incarnation || nowMs - lastRefutedMs < REFUTE_INTERVAL_MS) {
             return;
         }
         lastRefutedMs = nowMs;
-        metrics.refuted++;
+        metrics.refutations++;
         timeout.onUnhealthy();
-        announceAnew(saidIncarnation);
+        raiseIncarnation(reportedIncarnation);
     }
 
+    /** Returns the update that this member sends about itself. */
     Update asUpdate() {
-        return new Update(settings.self(), leaving ? Word.LEFT : Word.ALIVE, settings.zone(), incarnation);
+        return new Update(settings.self(), leaving ? Status.LEFT : Status.ALIVE, settings.zone(), incarnation);
     }
 
-    /** What the member tells of itself in every message. */
+    /** Returns the flags that the member sends in every message. */
     int flags(double nowMs) {
         return (leaving ? Message.LEAVING : 0)
-                | (wasPaused(nowMs) ? Message.WAS_AWAY : 0)
-                | (isCutOff(nowMs) ? Message.DEAF : 0);
+                | (wasPaused(nowMs) ? Message.WAS_PAUSED : 0)
+                | (isCutOff(nowMs) ? Message.CUT_OFF : 0);
     }
 }
--- a/sidecar/src/main/java/martenlatch/gossip/Member.java
+++ b/sidecar/src/main/java/martenlatch/gossip/Member.java
@@ -4,30 +4,31 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** What is known of one peer. */
+/** Holds what is known of one peer. */
 final class Member {
 
-    /** More accusers than this change nothing. */
+    /** The maximum number of accusers kept: further ones have no effect. */
     private static final int MAX_ACCUSERS = 8;
 
-    /** Some members did not get an answer from the peer. */
+    /** A suspicion: the peer did not answer some members. */
     static final class Suspicion {
         private final Set<Integer> accusers = new TreeSet<>();
-        /** This member is one of them. */
-        boolean own;
+        /** Whether a probe by this member failed, so that this member is one of the accusers. */
+        boolean ownProbeFailed;
 
+        /** The time at which the suspicion began. */
         double sinceMs;
 
         Suspicion(double sinceMs) {
             this.sinceMs = sinceMs;
         }
 
-        /** Adds an accuser; true if it is new. */
+        /** Adds an accuser; returns true if it is new. */
         boolean add(int accuser) {
             return accusers.size() < MAX_ACCUSERS && accusers.add(accuser);
         }
 
-        /** The numbers of the accusers. */
+        /** Returns the numbers of the accusers. */
         List<Integer> accusers() {
             return List.copyOf(accusers);
         }
@@ -35,17 +36,18 @@
 
     final int number;
     PeerState state = PeerState.ABSENT;
-    /** The incarnation of the life that is known; 0 before any is. */
+    /** The highest known incarnation of the peer; 0 if none is known. */
     long incarnation;
 
+    /** The zone of the peer, or -1 if it is not known. */
     int zone = -1;
-    /** When a message of this life was last received from the peer. */
-    double heardMs = Double.NEGATIVE_INFINITY;
-    /** When a suspicion last came to nothing. */
-    double clearedMs = Double.NEGATIVE_INFINITY;
-    /** When this member last told others that it had heard the peer. */
-    double toldHeardMs = Double.NEGATIVE_INFINITY;
-    /** Null unless the peer is suspected. */
+    /** The time at which a message of this incarnation was last received from the peer. */
+    double lastHeardMs = Double.NEGATIVE_INFINITY;
+    /** The time at which a suspicion was last cleared. */
+    double suspicionClearedMs = Double.NEGATIVE_INFINITY;
+    /** The time at which this member last reported that it had received a message from the peer. */
+    double lastReportedHeardMs = Double.NEGATIVE_INFINITY;
+    /** The suspicion against the peer, or null if it is not suspected. */
     Suspicion suspicion;
 
     Member(int number) {
@@ -56,19 +58,19 @@
         return state == other;
     }
 
-    /** Whether the peer may answer. */
-    boolean mayLive() {
+    /** Returns whether the peer may be alive. */
+    boolean mayBeAlive() {
         return state == PeerState.ALIVE || state == PeerState.SUSPECT;
     }
 
-    /** What is known of the peer, as it is told to others. */
+    /** Returns the update on the peer to send to other members. */
     Message.Update asUpdate() {
         return new Message.Update(
                 number,
                 switch (state) {
-                    case FAULTY -> Message.Word.FAULTY;
-                    case LEFT -> Message.Word.LEFT;
-                    default -> Message.Word.ALIVE;
+                    case FAULTY -> Message.Status.FAULTY;
+                    case LEFT -> Message.Status.LEFT;
+                    default -> Message.Status.ALIVE;
                 },
                 Math.max(0, zone),
                 incarnation);
--- a/sidecar/src/main/java/martenlatch/gossip/MemberChanges.java
+++ b/sidecar/src/main/java/martenlatch/gossip/MemberChanges.java
@@ -1,10 +1,13 @@
 package martenlatch.gossip;
 
-/** Changes what is believed of peers, and has it disseminated. */
+/** Changes the states of peers and disseminates them. */
 final class MemberChanges {
 
-    /** With so many updates waiting, further ones are disseminated less often: two messages full. */
-    private static final int MANY_UPDATES = 64;
+    /**
+     * With more items than this in the queue, which fill two messages, updates are disseminated with reduced
+     * transmissions.
+     */
+    private static final int REDUCED_TRANSMISSION_THRESHOLD = 64;
 
     private final MemberTable members;
     private final DisseminationQueue disseminationQueue;
@@ -22,14 +25,15 @@
         this.environment = environment;
     }
 
-    /** Whether so many are silent at once that it looks like a partition, and not like that many deaths. */
+    /** Returns whether so many peers are silent at once that a partition is likelier than that many deaths. */
     boolean isPartitioned(double nowMs) {
         return partitions.isPartitioned(nowMs, members.suspects().size(), members.alive() + 1);
     }
 
-    void move(double nowMs, Member peer, PeerState next) {
+    /** Sets the state of a peer, and notifies the partition detector and the environment of a change. */
+    void setState(double nowMs, Member peer, PeerState next) {
         PeerState before = peer.state;
-        members.move(peer, next);
+        members.setState(peer, next);
         if (next == PeerState.FAULTY && before != next) {
             partitions.onDeclaredFaulty(nowMs);
         }
@@ -38,40 +42,42 @@
         }
     }
 
-    /** A peer was heard: a suspicion against it ends. */
-    void clear(double nowMs, Member peer) {
-        peer.clearedMs = nowMs;
-        move(nowMs, peer, PeerState.ALIVE);
+    /** Ends the suspicion against a peer and marks it as alive. */
+    void clearSuspicion(double nowMs, Member peer) {
+        peer.suspicionClearedMs = nowMs;
+        setState(nowMs, peer, PeerState.ALIVE);
     }
 
+    /** Marks a peer as suspected unless it is already. */
     void suspect(double nowMs, Member peer) {
         if (!peer.isIn(PeerState.SUSPECT)) {
-            move(nowMs, peer, PeerState.SUSPECT);
+            setState(nowMs, peer, PeerState.SUSPECT);
             peer.suspicion = new Member.Suspicion(nowMs);
         }
     }
 
-    /** A peer is said to be faulty; during a partition it only counts as silent. */
+    /** Marks a peer that was reported as faulty; during a partition it is only suspected. */
     void declareFaulty(double nowMs, Member peer) {
         if (isPartitioned(nowMs)) {
             suspect(nowMs, peer);
         } else {
-            move(nowMs, peer, PeerState.FAULTY);
+            setState(nowMs, peer, PeerState.FAULTY);
         }
     }
 
+    /** Disseminates the state of a peer that was known before. */
     void disseminate(Member peer) {
         disseminate(peer, false);
     }
 
     /**
-     * Disseminates what is believed of a peer. That a peer exists at all, where nothing was known of it, is also found
-     * by comparing tables, and of a whole fleet at once when that starts: it is told less often. So is everything
-     * while much is waiting: telling all of it often would take longer than comparing.
+     * Disseminates the state of a peer. Updates on newly discovered peers get reduced transmissions: comparing tables
+     * finds them too, and when a fleet starts there are many at once. So do all updates while the queue is long:
+     * sending them often would take longer than comparing tables.
      */
-    void disseminate(Member peer, boolean firstHeardOf) {
+    void disseminate(Member peer, boolean newlyDiscovered) {
         disseminationQueue.dropAccusations(peer.number);
-        boolean rarely = firstHeardOf || disseminationQueue.size() > MANY_UPDATES;
-        disseminationQueue.put(peer.asUpdate(), rarely);
+        boolean reducedTransmissions = newlyDiscovered || disseminationQueue.size() > REDUCED_TRANSMISSION_THRESHOLD;
+        disseminationQueue.enqueue(peer.asUpdate(), reducedTransmissions);
     }
 }
--- a/sidecar/src/main/java/martenlatch/gossip/MemberTable.java
+++ b/sidecar/src/main/java/martenlatch/gossip/MemberTable.java
@@ -10,13 +10,13 @@
 import martenlatch.gossip.Message.Update;
 
 /**
- * All members by number. The table is divided into parts of some members each, with a digest of what is known of each
- * part, so that two members that know otherwise find out for six bytes.
+ * Holds all members by number. The table is divided into buckets of several members. Each bucket has a digest, so that
+ * two members detect a difference in a bucket with six bytes.
  */
 final class MemberTable {
 
-    /** Members in a part: two parts fit into one message. */
-    static final int PART_SIZE = 16;
+    /** The number of members in a bucket: the updates of two buckets fit into one message. */
+    static final int BUCKET_SIZE = 16;
 
     private static final int ENTRY_BYTES = 9;
 
@@ -39,6 +39,7 @@
         return members.length;
     }
 
+    /** Returns the number of peers that are alive. */
     int alive() {
         return alive;
     }
@@ -47,8 +48,8 @@
         return suspects;
     }
 
-    /** Puts a member into another state. */
-    void move(Member member, PeerState next) {
+    /** Sets the state of a member and updates the counts. */
+    void setState(Member member, PeerState next) {
         alive += (next == PeerState.ALIVE ? 1 : 0) - (member.state == PeerState.ALIVE ? 1 : 0);
         member.state = next;
         if (next == PeerState.SUSPECT) {
@@ -59,32 +60,33 @@
         }
     }
 
-    int parts() {
-        return (members.length + PART_SIZE - 1) / PART_SIZE;
+    /** Returns the number of buckets. */
+    int bucketCount() {
+        return (members.length + BUCKET_SIZE - 1) / BUCKET_SIZE;
     }
 
-    /** The digest of one part; in it this member counts as it knows itself. */
-    Digest digest(int part, int self, long incarnation) {
+    /** Returns the digest of a bucket. The entry of this member has the given incarnation and counts as alive. */
+    Digest digest(int bucket, int self, long incarnation) {
         CRC32C checksum = new CRC32C();
         ByteBuffer entry = ByteBuffer.allocate(ENTRY_BYTES);
-        for (int i = part * PART_SIZE; i < Math.min(members.length, (part + 1) * PART_SIZE); i++) {
+        for (int i = bucket * BUCKET_SIZE; i < Math.min(members.length, (bucket + 1) * BUCKET_SIZE); i++) {
             Member member = members[i];
-            boolean own = i == self;
-            if (own || member.incarnation > 0) {
+            boolean isSelf = i == self;
+            if (isSelf || member.incarnation > 0) {
                 entry.clear();
                 entry.putInt(i)
-                        .put((byte) (own || member.mayLive() ? 0 : member.state.code()))
-                        .putInt((int) (own ? incarnation : member.incarnation));
+                        .put((byte) (isSelf || member.mayBeAlive() ? 0 : member.state.code()))
+                        .putInt((int) (isSelf ? incarnation : member.incarnation));
                 checksum.update(entry.array(), 0, ENTRY_BYTES);
             }
         }
-        return new Digest(part, (int) checksum.getValue());
+        return new Digest(bucket, (int) checksum.getValue());
     }
 
-    /** What is known of the members in a part. */
-    List<Update> part(int part, Update self) {
+    /** Returns the updates on the known members of a bucket. */
+    List<Update> bucketUpdates(int bucket, Update self) {
         List<Update> known = new ArrayList<>();
-        for (int i = part * PART_SIZE; i < Math.min(members.length, (part + 1) * PART_SIZE); i++) {
+        for (int i = bucket * BUCKET_SIZE; i < Math.min(members.length, (bucket + 1) * BUCKET_SIZE); i++) {
             if (i == self.number()) {
                 known.add(self);
             } else if (members[i].incarnation > 0) {
--- a/sidecar/src/main/java/martenlatch/gossip/Message.java
+++ b/sidecar/src/main/java/martenlatch/gossip/Message.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * A message from one member to another; {@link MessageCodec} has its form on the wire.
+ * A message from one member to another; {@link MessageCodec} defines its format on the wire.
  *
- * @param kind what the message is for
- * @param tier the sender's tier, as the settings number it
+ * @param kind the purpose of the message
+ * @param tier the number of the sender's tier in the settings
  * @param zone the sender's zone
  * @param from the sender's number
- * @param incarnation the sender's incarnation, seconds since {@link Incarnations#EPOCH_S}
- * @param sequence the probe that the message belongs to, by its prober's count
- * @param target the member that is to be probed, or whose answer this is
- * @param flags what the sender tells of itself, see {@link #LEAVING}, {@link #WAS_AWAY} and {@link #DEAF}
- * @param updates what the sender knows of members
- * @param accusations members that have not answered others
- * @param digests digests of parts of the sender's table: a member that knows otherwise answers with that part
+ * @param incarnation the sender's incarnation, in seconds since {@link Incarnations#EPOCH_S} plus refutations
+ * @param sequence the sequence number of the probe that the message belongs to, assigned by the prober
+ * @param target the member that is to be probed or that has answered
+ * @param flags the state of the sender, see {@link #LEAVING}, {@link #WAS_PAUSED} and {@link #CUT_OFF}
+ * @param updates states of members known to the sender
+ * @param accusations reports that members have not answered others
+ * @param digests digests of buckets of the sender's table; a receiver whose bucket differs answers with its updates
  */
 record Message(
         Kind kind,
@@ -31,22 +31,22 @@
         List<Accusation> accusations,
         List<Digest> digests) {
 
-    /** The sender leaves, and does not come back in this life. */
+    /** The sender is leaving and does not return with this incarnation. */
     static final int LEAVING = 1;
-    /** The sender was paused for a while and knows it. */
-    static final int WAS_AWAY = 2;
+    /** The sender was recently paused. */
+    static final int WAS_PAUSED = 2;
     /** The sender receives no messages. */
-    static final int DEAF = 4;
+    static final int CUT_OFF = 4;
 
-    /** Kinds of messages. */
+    /** The kinds of messages. */
     enum Kind {
-        /** Asks for an answer. */
+        /** A ping: requests an answer. */
         PING(1),
-        /** Answers a probe, for the sender or for a member that it was asked to probe. */
+        /** Answers a probe, for the sender or for a member that the sender was asked to probe. */
         ACK(2),
-        /** Asks the receiver to probe another member. */
-        TRY(3),
-        /** Carries news only. */
+        /** Requests that the receiver probes another member (ping-req in SWIM). */
+        PROBE_REQUEST(3),
+        /** Carries updates and accusations only. */
         GOSSIP(4);
 
         private final int code;
@@ -55,12 +55,12 @@
             this.code = code;
         }
 
-        /** The number that stands for it on the wire. */
+        /** Returns the code on the wire. */
         int code() {
             return code;
         }
 
-        /** The kind with this number, or null. */
+        /** Returns the kind with this code, or null. */
         static Kind ofCode(int code) {
             return Arrays.stream(values())
                     .filter(kind -> kind.code == code)
@@ -69,44 +69,44 @@
         }
     }
 
-    /** What an update tells of a peer. */
-    enum Word {
-        /** It is alive. */
+    /** The status of a peer in an update. */
+    enum Status {
+        /** The peer is alive. */
         ALIVE(1),
-        /** It was declared faulty. */
+        /** The peer was declared faulty. */
         FAULTY(2),
-        /** It has left. */
+        /** The peer has left. */
         LEFT(3),
-        /** It was heard: a suspicion is unfounded. */
+        /** A message from the peer was received, so a suspicion against it is unfounded. */
         HEARD(4);
 
         private final int code;
 
-        Word(int code) {
+        Status(int code) {
             this.code = code;
         }
 
-        /** The number that stands for it on the wire. */
+        /** Returns the code on the wire. */
         int code() {
             return code;
         }
 
-        /** The word with this number, or null. */
-        static Word ofCode(int code) {
+        /** Returns the status with this code, or null. */
+        static Status ofCode(int code) {
             return Arrays.stream(values())
-                    .filter(word -> word.code == code)
+                    .filter(status -> status.code == code)
                     .findFirst()
                     .orElse(null);
         }
     }
 
-    /** What is known of one peer. */
-    record Update(int number, Word word, int zone, long incarnation) {}
+    /** The known status, zone and incarnation of a peer. */
+    record Update(int number, Status status, int zone, long incarnation) {}
 
-    /** A member did not answer another. */
+    /** A report that the peer {@code number} did not answer {@code accuser}. */
     record Accusation(int number, long incarnation, int accuser) {}
 
-    /** The digest of one part of the member table. */
+    /** The digest of one bucket of the member table. */
     record Digest(int bucket, int hash) {}
 
     Message {
--- a/sidecar/src/main/java/martenlatch/gossip/MessageCodec.java
+++ b/sidecar/src/main/java/martenlatch/gossip/MessageCodec.java
@@ -9,16 +9,16 @@
 import martenlatch.gossip.Message.Accusation;
 import martenlatch.gossip.Message.Digest;
 import martenlatch.gossip.Message.Kind;
+import martenlatch.gossip.Message.Status;
 import martenlatch.gossip.Message.Update;
-import martenlatch.gossip.Message.Word;
 
 /**
- * Messages between peers as datagrams of at most {@link #MAX_BYTES} bytes, numbers with the highest byte first:
+ * Encodes messages as datagrams of at most {@link #MAX_DATAGRAM_BYTES} bytes and decodes them. Numbers are big-endian:
  *
  * <pre>
  * 0  2  0x4D4C
- * 2  1  version, 1: readers accept any and skip what they do not know
- * 3  1  kind: 1 ping, 2 ack, 3 try, 4 gossip
+ * 2  1  version, 1: readers accept any version and skip sections of unknown type
+ * 3  1  kind: 1 ping, 2 ack, 3 probe request, 4 gossip
  * 4  1  tier
  * 5  1  zone
  * 6  2  from
@@ -26,9 +26,9 @@
  * 12 2  sequence
  * 14 2  target
  * 16 1  flags
- * 17 4  CRC-32C of the whole with these four bytes as zeros
- * 21    sections: 1 byte of type, 1 of length, and so many bytes
- *       1: updates of 7 bytes: number 2, word (upper three bits: 1 alive, 2 faulty, 3 left, 4 heard) and zone
+ * 17 4  CRC-32C of the datagram with these four bytes set to zero
+ * 21    sections: type 1, length in bytes 1, then the entries
+ *       1: updates of 7 bytes: number 2, status (upper three bits: 1 alive, 2 faulty, 3 left, 4 heard) and zone
  *          (lower five) 1, incarnation 4
  *       2: accusations of 8 bytes: number 2, incarnation 4, accuser 2
  *       3: digests of 6 bytes: bucket 2, hash 4
@@ -36,42 +36,44 @@
  */
 final class MessageCodec {
 
-    /** The platform's bound on a datagram. */
-    static final int MAX_BYTES = 256;
+    /** The maximum size of a datagram on this platform. */
+    static final int MAX_DATAGRAM_BYTES = 256;
 
-    static final int HEADER = 21;
-    static final int UPDATE = 7;
-    static final int ACCUSATION = 8;
-    static final int DIGEST = 6;
-    /** The bytes of a section's head. */
-    static final int SECTION = 2;
+    static final int HEADER_BYTES = 21;
+    static final int UPDATE_BYTES = 7;
+    static final int ACCUSATION_BYTES = 8;
+    static final int DIGEST_BYTES = 6;
+    /** The size of the type and length of a section. */
+    static final int SECTION_HEADER_BYTES = 2;
 
     static final int MAX_ZONE = 31;
     private static final int MAGIC = 0x4D4C;
     private static final int VERSION = 1;
-    private static final int CHECK_AT = 17;
-    private static final int UPDATES = 1;
-    private static final int ACCUSATIONS = 2;
-    private static final int DIGESTS = 3;
+    private static final int CHECKSUM_OFFSET = 17;
+    private static final int UPDATES_SECTION = 1;
+    private static final int ACCUSATIONS_SECTION = 2;
+    private static final int DIGESTS_SECTION = 3;
     private static final int ZONE_BITS = 5;
 
     private MessageCodec() {}
 
-    /** The size of a message with so many entries, in bytes. */
+    /** Returns the size in bytes of a message with the given numbers of entries. */
     static int size(int updates, int accusations, int digests) {
-        return HEADER
-                + (updates == 0 ? 0 : SECTION + updates * UPDATE)
-                + (accusations == 0 ? 0 : SECTION + accusations * ACCUSATION)
-                + (digests == 0 ? 0 : SECTION + digests * DIGEST);
+        return HEADER_BYTES
+                + (updates == 0 ? 0 : SECTION_HEADER_BYTES + updates * UPDATE_BYTES)
+                + (accusations == 0 ? 0 : SECTION_HEADER_BYTES + accusations * ACCUSATION_BYTES)
+                + (digests == 0 ? 0 : SECTION_HEADER_BYTES + digests * DIGEST_BYTES);
     }
 
+    /** Encodes a message; throws {@link IllegalArgumentException} if it exceeds the maximum size. */
     static byte[] encode(Message message) {
         int size = size(
                 message.updates().size(),
                 message.accusations().size(),
                 message.digests().size());
-        if (size > MAX_BYTES) {
-            throw new IllegalArgumentException("a message must have at most " + MAX_BYTES + " bytes but has " + size);
+        if (size > MAX_DATAGRAM_BYTES) {
+            throw new IllegalArgumentException(
+                    "a message must have at most " + MAX_DATAGRAM_BYTES + " bytes but has " + size);
         }
         ByteBuffer out = ByteBuffer.allocate(size);
         out.putShort((short) MAGIC)
@@ -85,46 +87,48 @@
                 .putShort((short) message.target())
                 .put((byte) message.flags())
                 .putInt(0);
-        section(out, UPDATES, message.updates().size(), UPDATE);
-        for (Update one : message.updates()) {
-            out.putShort((short) one.number())
-                    .put((byte) (one.word().code() << ZONE_BITS | Math.min(MAX_ZONE, one.zone())))
-                    .putInt((int) one.incarnation());
+        putSectionHeader(out, UPDATES_SECTION, message.updates().size(), UPDATE_BYTES);
+        for (Update update : message.updates()) {
+            out.putShort((short) update.number())
+                    .put((byte) (update.status().code() << ZONE_BITS | Math.min(MAX_ZONE, update.zone())))
+                    .putInt((int) update.incarnation());
         }
-        section(out, ACCUSATIONS, message.accusations().size(), ACCUSATION);
-        for (Accusation one : message.accusations()) {
-            out.putShort((short) one.number()).putInt((int) one.incarnation()).putShort((short) one.accuser());
+        putSectionHeader(out, ACCUSATIONS_SECTION, message.accusations().size(), ACCUSATION_BYTES);
+        for (Accusation accusation : message.accusations()) {
+            out.putShort((short) accusation.number())
+                    .putInt((int) accusation.incarnation())
+                    .putShort((short) accusation.accuser());
         }
-        section(out, DIGESTS, message.digests().size(), DIGEST);
-        for (Digest one : message.digests()) {
-            out.putShort((short) one.bucket()).putInt(one.hash());
+        putSectionHeader(out, DIGESTS_SECTION, message.digests().size(), DIGEST_BYTES);
+        for (Digest digest : message.digests()) {
+            out.putShort((short) digest.bucket()).putInt(digest.hash());
         }
         byte[] bytes = out.array();
-        out.putInt(CHECK_AT, check(bytes));
+        out.putInt(CHECKSUM_OFFSET, checksum(bytes));
         return bytes;
     }
 
-    private static void section(ByteBuffer out, int type, int entries, int each) {
+    private static void putSectionHeader(ByteBuffer out, int type, int entries, int entryBytes) {
         if (entries > 0) {
-            out.put((byte) type).put((byte) (entries * each));
+            out.put((byte) type).put((byte) (entries * entryBytes));
         }
     }
 
-    private static int check(byte[] bytes) {
-        byte[] blank = bytes.clone();
-        Arrays.fill(blank, CHECK_AT, HEADER, (byte) 0);
-        CRC32C check = new CRC32C();
-        check.update(blank);
-        return (int) check.getValue();
+    private static int checksum(byte[] bytes) {
+        byte[] withoutChecksum = bytes.clone();
+        Arrays.fill(withoutChecksum, CHECKSUM_OFFSET, HEADER_BYTES, (byte) 0);
+        CRC32C crc = new CRC32C();
+        crc.update(withoutChecksum);
+        return (int) crc.getValue();
     }
 
-    /** Decodes a datagram; null if it is not a message, or was damaged. */
+    /** Decodes a datagram; returns null if it is not a message or is damaged. */
     static Message decode(byte[] bytes) {
-        if (bytes.length < HEADER || bytes.length > MAX_BYTES) {
+        if (bytes.length < HEADER_BYTES || bytes.length > MAX_DATAGRAM_BYTES) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
-        if ((in.getShort() & 0xffff) != MAGIC || in.get() < 1 || in.getInt(CHECK_AT) != check(bytes)) {
+        if ((in.getShort() & 0xffff) != MAGIC || in.get() < 1 || in.getInt(CHECKSUM_OFFSET) != checksum(bytes)) {
             return null;
         }
         Kind kind = Kind.ofCode(in.get());
@@ -138,7 +142,7 @@
         int sequence = in.getShort() & 0xffff;
         int target = in.getShort() & 0xffff;
         int flags = in.get() & 0xff;
-        in.position(HEADER);
+        in.position(HEADER_BYTES);
         List<Update> updates = new ArrayList<>();
         List<Accusation> accusations = new ArrayList<>();
         List<Digest> digests = new ArrayList<>();
@@ -150,20 +154,20 @@
                 if (end > in.limit()) {
                     return null;
                 }
-                while (type == UPDATES && in.position() + UPDATE <= end) {
+                while (type == UPDATES_SECTION && in.position() + UPDATE_BYTES <= end) {
                     int number = in.getShort() & 0xffff;
-                    int word = in.get() & 0xff;
-                    long of = in.getInt() & 0xffffffffL;
-                    Word known = Word.ofCode(word >> ZONE_BITS);
-                    if (known != null) {
-                        updates.add(new Update(number, known, word & MAX_ZONE, of));
+                    int statusAndZone = in.get() & 0xff;
+                    long memberIncarnation = in.getInt() & 0xffffffffL;
+                    Status status = Status.ofCode(statusAndZone >> ZONE_BITS);
+                    if (status != null) {
+                        updates.add(new Update(number, status, statusAndZone & MAX_ZONE, memberIncarnation));
                     }
                 }
-                while (type == ACCUSATIONS && in.position() + ACCUSATION <= end) {
+                while (type == ACCUSATIONS_SECTION && in.position() + ACCUSATION_BYTES <= end) {
                     accusations.add(
                             new Accusation(in.getShort() & 0xffff, in.getInt() & 0xffffffffL, in.getShort() & 0xffff));
                 }
-                while (type == DIGESTS && in.position() + DIGEST <= end) {
+                while (type == DIGESTS_SECTION && in.position() + DIGEST_BYTES <= end) {
                     digests.add(new Digest(in.getShort() & 0xffff, in.getInt()));
                 }
                 in.position(end);
--- a/sidecar/src/main/java/martenlatch/gossip/PartitionDetector.java
+++ b/sidecar/src/main/java/martenlatch/gossip/PartitionDetector.java
@@ -6,24 +6,29 @@
 import java.util.Set;
 
 /**
- * Whether so many peers are silent at once that it looks like a partition, and not like that many deaths. What members
- * tell of each other arrives late and little by little; how this member's own probes have ended lately is a sample of
- * the fleet.
+ * Detects partitions: decides whether so many peers are silent at once that a partition is likelier than that many
+ * deaths. Reports by other members arrive late and gradually, so the recent results of this member's own probes are
+ * used as a sample of the fleet.
  */
 final class PartitionDetector {
 
-    /** So many silent peers, and this share of all: a zone, or a half. */
+    /**
+     * A partition needs at least this many silent peers, and at least {@link #MIN_SILENT_SHARE} of all: a zone or half
+     * of the fleet.
+     */
     private static final int MIN_SILENT = 3;
 
     private static final double MIN_SILENT_SHARE = 0.25;
-    /** Peers declared faulty within this time count too; a partition is believed for so long after its last sign. */
+    /**
+     * Peers declared faulty within this time count as silent. A partition is assumed for this time after its last sign.
+     */
     private static final double WINDOW_MS = 10_000;
-    /** How long an own probe counts. */
-    private static final double SAMPLE_MS = 3000;
+    /** How long the result of an own probe counts. */
+    private static final double SAMPLE_LIFETIME_MS = 3000;
 
     private static final int MAX_SAMPLES = 64;
 
-    /** How one of this member's probes ended. */
+    /** The result of one of this member's probes. */
     private record Sample(double atMs, int subject, boolean answered) {}
 
     private final int memberCount;
@@ -35,7 +40,7 @@
         this.memberCount = memberCount;
     }
 
-    /** One of this member's probes has ended. */
+    /** Called when one of this member's probes was answered or has failed. */
     void onProbeEnded(double nowMs, int subject, boolean answered) {
         samples.addLast(new Sample(nowMs, subject, answered));
         if (samples.size() > MAX_SAMPLES) {
@@ -43,7 +48,7 @@
         }
     }
 
-    /** A peer was declared faulty, by any member. */
+    /** Called when a peer was declared faulty by any member. */
     void onDeclaredFaulty(double nowMs) {
         declaredFaultyMs.addLast(nowMs);
         if (declaredFaultyMs.size() > memberCount) {
@@ -51,27 +56,30 @@
         }
     }
 
-    /** This member was paused: earlier samples tell nothing about now. */
+    /** Called when this member was paused: earlier samples are no evidence about the present. */
     void clear() {
         samples.clear();
     }
 
-    /** Whether it looks like a partition, with so many suspects, and so many alive with this member among them. */
+    /**
+     * Returns whether a partition is likely, given the number of suspects and the number of members alive including
+     * this one.
+     */
     boolean isPartitioned(double nowMs, int suspects, int alive) {
         while (!declaredFaultyMs.isEmpty() && nowMs - declaredFaultyMs.peekFirst() > WINDOW_MS) {
             declaredFaultyMs.removeFirst();
         }
-        while (!samples.isEmpty() && nowMs - samples.peekFirst().atMs() > SAMPLE_MS) {
+        while (!samples.isEmpty() && nowMs - samples.peekFirst().atMs() > SAMPLE_LIFETIME_MS) {
             samples.removeFirst();
         }
         int silent = suspects + declaredFaultyMs.size();
-        if (isMany(silent, silent + alive) || (samples.size() >= MIN_SILENT && sampleIsMany())) {
+        if (exceedsThreshold(silent, silent + alive) || (samples.size() >= MIN_SILENT && sampleExceedsThreshold())) {
             partitionedUntilMs = nowMs + WINDOW_MS;
         }
         return nowMs < partitionedUntilMs;
     }
 
-    private boolean sampleIsMany() {
+    private boolean sampleExceedsThreshold() {
         Set<Integer> silent = new HashSet<>();
         Set<Integer> all = new HashSet<>();
         for (Sample sample : samples) {
@@ -80,10 +88,10 @@
                 silent.add(sample.subject());
             }
         }
-        return isMany(silent.size(), all.size());
+        return exceedsThreshold(silent.size(), all.size());
     }
 
-    private static boolean isMany(int silent, int of) {
-        return silent >= MIN_SILENT && silent >= MIN_SILENT_SHARE * of;
+    private static boolean exceedsThreshold(int silent, int total) {
+        return silent >= MIN_SILENT && silent >= MIN_SILENT_SHARE * total;
     }
 }
--- a/sidecar/src/main/java/martenlatch/gossip/PeerState.java
+++ b/sidecar/src/main/java/martenlatch/gossip/PeerState.java
@@ -1,16 +1,16 @@
 package martenlatch.gossip;
 
-/** What is believed of a peer. */
+/** The state of a peer in the view of this member. */
 public enum PeerState {
-    /** In the configuration, and never heard of. */
+    /** The peer is configured, and no member has reported it yet. */
     ABSENT(0),
-    /** Heard, by this member or by others. */
+    /** A message from the peer was received, by this member or by others. */
     ALIVE(1),
-    /** Did not answer some member; it may yet show that it is alive. */
+    /** The peer did not answer some member; it may still prove to be alive. */
     SUSPECT(2),
-    /** Did not answer its watchers, and nobody has heard it since. */
+    /** The peer did not answer its watchers, and no member has received a message from it since. */
     FAULTY(3),
-    /** Has said that it leaves. */
+    /** The peer announced that it is leaving. */
     LEFT(4);
 
     private final int code;
@@ -19,7 +19,7 @@
         this.code = code;
     }
 
-    /** The number that stands for it in digests of the member table. */
+    /** Returns the code in digests of the member table. */
     int code() {
         return code;
     }
--- a/sidecar/src/main/java/martenlatch/gossip/PeerView.java
+++ b/sidecar/src/main/java/martenlatch/gossip/PeerView.java
@@ -3,23 +3,24 @@
 import java.util.List;
 
 /**
- * Which members are alive, as far as can be told from here. Bounds, not a number: of what a fleet shares, a member may
- * take what is safe if each half of a partition does the same, and so divides by {@code atMost}.
+ * The members that are alive as far as this member can determine, as bounds. A member may take a share of a fleet-wide
+ * limit only if it is safe when each half of a partition does the same, and so divides the limit by {@code atMost}.
  *
  * @param memberCount the number of configured members
- * @param atLeast members that are certainly alive, this one among them
- * @param atMost members that may be alive
- * @param zones the same by zone, by its index in the settings
- * @param cutOff this member hears nobody: more likely its own fault than that of all others
- * @param partitioned so many are silent at once that it looks like a partition: none of them is declared faulty
+ * @param atLeast the number of members that are certainly alive, including this one
+ * @param atMost the number of members that may be alive
+ * @param zones the same bounds for each zone, by its index in the settings
+ * @param cutOff whether this member receives no messages, which is more likely its own fault than that of all others
+ * @param partitioned whether so many members are silent at once that a partition is likely; none of them is declared
+ *     faulty then
  */
 public record PeerView(
         int memberCount, int atLeast, int atMost, List<Bounds> zones, boolean cutOff, boolean partitioned) {
 
-    /** How many members of a zone are alive. */
+    /** The bounds on the number of members alive in a zone. */
     public record Bounds(int atLeast, int atMost) {}
 
-    /** Copies the list. */
+    /** Copies the list of zones. */
     public PeerView {
         zones = List.copyOf(zones);
     }
--- a/sidecar/src/main/java/martenlatch/gossip/SuspicionTracker.java
+++ b/sidecar/src/main/java/martenlatch/gossip/SuspicionTracker.java
@@ -2,24 +2,33 @@
 
 import java.util.List;
 import martenlatch.gossip.Message.Accusation;
+import martenlatch.gossip.Message.Status;
 import martenlatch.gossip.Message.Update;
-import martenlatch.gossip.Message.Word;
 
 /**
- * Suspicions: who accuses whom, when a suspicion ends because its subject was heard, and when it becomes a fault
- * (SWIM's suspicion, with Lifeguard's shortening by agreement).
+ * Tracks suspicions: which members accuse a peer, when a message from the peer clears the suspicion, and when the peer
+ * is declared faulty (the suspicion mechanism of SWIM, shortened by confirmations as in Lifeguard).
  */
 final class SuspicionTracker {
 
-    /** A peer heard within this time is alive: less than a probe takes to fail, so it was heard after its start. */
-    private static final double FRESH_MS = 600;
-    /** The shortest a suspicion lasts when several members agree: news goes there and back within it. */
+    /**
+     * A peer from which a message was received within this time is alive. It is shorter than a probe takes to fail, so
+     * the message arrived after the start of the probe.
+     */
+    private static final double RECENTLY_HEARD_MS = 600;
+    /**
+     * The duration of a suspicion that several members confirm: enough for an update to reach the peer and a refutation
+     * to return.
+     */
     private static final double MIN_SUSPICION_MS = 1500;
-    /** How many times as long it lasts where nobody else has found the same. */
-    private static final double ALONE_MULTIPLE = 3;
-    /** The number of others that agree which shortens a suspicion to its minimum (Lifeguard, section IV-C). */
-    private static final int AGREEING = 2;
-    /** Longer than operators and networks take to mend a partition; after it silence is death after all. */
+    /** The multiple of the minimum duration for a suspicion that no other member confirms. */
+    private static final double UNCONFIRMED_MULTIPLE = 3;
+    /** The number of confirmations by others that shortens a suspicion to its minimum (Lifeguard, section IV-C). */
+    private static final int CONFIRMATIONS_FOR_MINIMUM = 2;
+    /**
+     * During a partition, a suspect is declared faulty after this time, which is longer than operators and networks
+     * take to repair one.
+     */
     private static final double MAX_PARTITION_MS = 120_000;
 
     private final GossipSettings settings;
@@ -50,53 +59,57 @@
         this.metrics = metrics;
     }
 
-    static boolean isFresh(double nowMs, Member peer) {
-        return nowMs - peer.heardMs <= FRESH_MS;
+    /** Returns whether a message from the peer was received recently. */
+    static boolean wasHeardRecently(double nowMs, Member peer) {
+        return nowMs - peer.lastHeardMs <= RECENTLY_HEARD_MS;
     }
 
-    /** This member was paused for so long: its suspicions wait on. */
+    /** Called when this member was paused: extends the suspicions by the length of the pause. */
     void onPaused(double pausedMs) {
         for (Member suspect : members.suspects()) {
             suspect.suspicion.sinceMs += pausedMs;
         }
     }
 
-    /** A suspect was heard by this member, or by one that probed it on its behalf. */
-    void acquit(double nowMs, Member peer) {
+    /** Called when a message from a suspect arrives at this member, or at one that probed it on its behalf. */
+    void onSubjectHeard(double nowMs, Member peer) {
         List<Integer> accusers = peer.suspicion.accusers();
-        changes.clear(nowMs, peer);
+        changes.clearSuspicion(nowMs, peer);
         disseminationQueue.dropAccusations(peer.number);
-        tellHeard(nowMs, peer, accusers);
+        reportHeard(nowMs, peer, accusers);
     }
 
-    /** Another member has heard a suspect. */
+    /** Called when another member reports a message from a suspect. */
     void onHeardByOther(double nowMs, Member peer, Update heard) {
-        changes.clear(nowMs, peer);
+        changes.clearSuspicion(nowMs, peer);
         disseminationQueue.dropAccusations(peer.number);
-        disseminationQueue.put(heard);
+        disseminationQueue.enqueue(heard);
     }
 
-    /** Tells that a peer was heard, first those that accuse it: it is they who would declare it faulty. */
-    void tellHeard(double nowMs, Member peer, List<Integer> accusers) {
-        if (nowMs - peer.toldHeardMs < settings.periodMs() / 2) {
+    /**
+     * Reports that a message from a peer was received. The accusers are notified first, because they would declare the
+     * peer faulty.
+     */
+    void reportHeard(double nowMs, Member peer, List<Integer> accusers) {
+        if (nowMs - peer.lastReportedHeardMs < settings.periodMs() / 2) {
             return;
         }
-        peer.toldHeardMs = nowMs;
-        Update heard = new Update(peer.number, Word.HEARD, peer.zone, peer.incarnation);
-        disseminationQueue.put(heard);
+        peer.lastReportedHeardMs = nowMs;
+        Update heard = new Update(peer.number, Status.HEARD, peer.zone, peer.incarnation);
+        disseminationQueue.enqueue(heard);
         for (int accuser : accusers) {
             if (accuser != self.number() && accuser != peer.number) {
-                sender.tell(nowMs, accuser, List.of(heard));
+                sender.sendUpdates(nowMs, accuser, List.of(heard));
             }
         }
     }
 
-    /** A member accuses a peer of not answering. */
+    /** Called when a member accuses a peer of not answering. */
     void onAccusation(double nowMs, Accusation accusation) {
         if (accusation.number() >= members.size() || accusation.accuser() >= members.size()) {
             metrics.malformed++;
-        } else if (!Incarnations.isSane(accusation.incarnation(), nowMs)) {
-            metrics.insane++;
+        } else if (!Incarnations.isPlausible(accusation.incarnation(), nowMs)) {
+            metrics.implausibleIncarnation++;
         } else if (accusation.number() == self.number()) {
             if (!self.isLeaving()) {
                 self.refute(nowMs, accusation.incarnation());
@@ -107,38 +120,38 @@
     }
 
     private void onAccusationOfPeer(double nowMs, Member peer, Accusation accusation) {
-        if (accusation.incarnation() != peer.incarnation || !peer.mayLive()) {
+        if (accusation.incarnation() != peer.incarnation || !peer.mayBeAlive()) {
             return;
         }
-        if (isFresh(nowMs, peer)) {
-            tellHeard(nowMs, peer, List.of(accusation.accuser()));
-        } else if (nowMs - peer.clearedMs > MIN_SUSPICION_MS) {
+        if (wasHeardRecently(nowMs, peer)) {
+            reportHeard(nowMs, peer, List.of(accusation.accuser()));
+        } else if (nowMs - peer.suspicionClearedMs > MIN_SUSPICION_MS) {
             changes.suspect(nowMs, peer);
             if (peer.suspicion.add(accusation.accuser())) {
-                spread(nowMs, accusation);
+                disseminate(nowMs, accusation);
             }
         }
     }
 
-    /** A probe of this member has failed. */
+    /** Called when a probe by this member has failed: accuses the peer. */
     void accuse(double nowMs, Member peer) {
         changes.suspect(nowMs, peer);
-        peer.suspicion.own = true;
+        peer.suspicion.ownProbeFailed = true;
         peer.suspicion.add(self.number());
-        spread(nowMs, new Accusation(peer.number, peer.incarnation, self.number()));
+        disseminate(nowMs, new Accusation(peer.number, peer.incarnation, self.number()));
     }
 
-    /** During a partition it is enough to tell that somebody was accused at all. */
-    private void spread(double nowMs, Accusation accusation) {
+    /** Disseminates an accusation. During a partition only the first accusation of a peer is disseminated. */
+    private void disseminate(double nowMs, Accusation accusation) {
         boolean partitioned = changes.isPartitioned(nowMs);
         Member peer = members.get(accusation.number());
         if (!partitioned || peer.suspicion.accusers().size() == 1) {
-            disseminationQueue.put(accusation, partitioned);
+            disseminationQueue.enqueue(accusation, partitioned);
         }
     }
 
     /** Ends the suspicions that have lasted long enough. */
-    void review(double nowMs) {
+    void checkExpiry(double nowMs) {
         if (members.suspects().isEmpty()) {
             return;
         }
@@ -146,38 +159,43 @@
         if (self.isUnreliable(nowMs)) {
             return;
         }
-        double minMs = MIN_SUSPICION_MS + 2 * timeout.tailMs();
+        double minDurationMs = MIN_SUSPICION_MS + 2 * timeout.tailLatencyMs();
         for (Member peer : List.copyOf(members.suspects())) {
-            double silentMs = nowMs - peer.suspicion.sinceMs;
+            double suspectedForMs = nowMs - peer.suspicion.sinceMs;
             if (partitioned) {
-                reviewInPartition(nowMs, peer, silentMs);
+                checkExpiryInPartition(nowMs, peer, suspectedForMs);
             } else {
-                review(nowMs, peer, silentMs, minMs);
+                checkExpiry(nowMs, peer, suspectedForMs, minDurationMs);
             }
         }
     }
 
-    private void reviewInPartition(double nowMs, Member peer, double silentMs) {
-        if (silentMs >= MAX_PARTITION_MS) {
-            changes.move(nowMs, peer, PeerState.FAULTY);
+    private void checkExpiryInPartition(double nowMs, Member peer, double suspectedForMs) {
+        if (suspectedForMs >= MAX_PARTITION_MS) {
+            changes.setState(nowMs, peer, PeerState.FAULTY);
             changes.disseminate(peer);
         }
     }
 
-    private void review(double nowMs, Member peer, double silentMs, double minMs) {
-        if (peer.suspicion.own && silentMs >= durationMs(minMs, peer)) {
+    private void checkExpiry(double nowMs, Member peer, double suspectedForMs, double minDurationMs) {
+        if (peer.suspicion.ownProbeFailed && suspectedForMs >= durationMs(minDurationMs, peer)) {
             metrics.declaredFaulty++;
-            changes.move(nowMs, peer, PeerState.FAULTY);
+            changes.setState(nowMs, peer, PeerState.FAULTY);
             changes.disseminate(peer);
-        } else if (!peer.suspicion.own && silentMs >= 2 * ALONE_MULTIPLE * minMs) {
-            // Those that accused it have not declared it faulty: they would have told by now.
-            changes.clear(nowMs, peer);
+        } else if (!peer.suspicion.ownProbeFailed && suspectedForMs >= 2 * UNCONFIRMED_MULTIPLE * minDurationMs) {
+            // The accusers have not declared the peer faulty: a report would have arrived by now.
+            changes.clearSuspicion(nowMs, peer);
         }
     }
 
-    /** The more members have found the same, the shorter a suspicion lasts. */
-    private static double durationMs(double minMs, Member peer) {
-        double agree = Math.min(AGREEING, peer.suspicion.accusers().size() - 1);
-        return minMs * (ALONE_MULTIPLE - (ALONE_MULTIPLE - 1) * Math.log(agree + 1) / Math.log(AGREEING + 1));
+    /** Returns the duration of a suspicion: the more members confirm it, the shorter. */
+    private static double durationMs(double minDurationMs, Member peer) {
+        double confirmations =
+                Math.min(CONFIRMATIONS_FOR_MINIMUM, peer.suspicion.accusers().size() - 1);
+        return minDurationMs
+                * (UNCONFIRMED_MULTIPLE
+                        - (UNCONFIRMED_MULTIPLE - 1)
+                                * Math.log(confirmations + 1)
+                                / Math.log(CONFIRMATIONS_FOR_MINIMUM + 1));
     }
 }
--- a/sidecar/src/main/java/martenlatch/gossip/UpdateMerger.java
+++ b/sidecar/src/main/java/martenlatch/gossip/UpdateMerger.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import martenlatch.gossip.Message.Kind;
+import martenlatch.gossip.Message.Status;
 import martenlatch.gossip.Message.Update;
-import martenlatch.gossip.Message.Word;
 
-/** Merges what peers tell of members, and what their messages show of themselves, into the member table. */
+/** Merges the updates of peers, and the state that the messages of a sender show, into the member table. */
 final class UpdateMerger {
 
     private final LocalMember self;
@@ -37,56 +37,60 @@
         this.metrics = metrics;
     }
 
-    /** A message of this or a later life of its sender shows that it is alive, or is leaving. */
+    /**
+     * Called when a message of the current or a later incarnation of its sender arrives: the sender is alive or
+     * leaving.
+     */
     void onHeard(double nowMs, Member peer, Message message) {
         peer.zone = message.zone();
         boolean leaving = message.hasFlag(Message.LEAVING);
         if (message.incarnation() > peer.incarnation) {
-            boolean first = peer.isIn(PeerState.ABSENT);
+            boolean newlyDiscovered = peer.isIn(PeerState.ABSENT);
             peer.incarnation = message.incarnation();
-            peer.heardMs = nowMs;
-            changes.move(nowMs, peer, leaving ? PeerState.LEFT : PeerState.ALIVE);
-            changes.disseminate(peer, first);
+            peer.lastHeardMs = nowMs;
+            changes.setState(nowMs, peer, leaving ? PeerState.LEFT : PeerState.ALIVE);
+            changes.disseminate(peer, newlyDiscovered);
             return;
         }
         if (peer.isIn(PeerState.FAULTY) || peer.isIn(PeerState.LEFT)) {
-            // An ended life does not come back: a member that is alive announces a higher incarnation when told.
+            // An incarnation that was declared faulty or has left does not return. If the member is alive, it announces
+            // a higher one once it is notified.
             return;
         }
-        peer.heardMs = nowMs;
+        peer.lastHeardMs = nowMs;
         if (leaving) {
-            changes.move(nowMs, peer, PeerState.LEFT);
+            changes.setState(nowMs, peer, PeerState.LEFT);
             changes.disseminate(peer);
         } else if (peer.isIn(PeerState.SUSPECT)) {
-            suspicions.acquit(nowMs, peer);
-        } else if (message.hasFlag(Message.DEAF)) {
-            // It cannot answer anybody: those that probe it should know that it was heard.
-            suspicions.tellHeard(nowMs, peer, List.of());
+            suspicions.onSubjectHeard(nowMs, peer);
+        } else if (message.hasFlag(Message.CUT_OFF)) {
+            // The sender cannot answer probes, so its probers are notified that it is alive.
+            suspicions.reportHeard(nowMs, peer, List.of());
         }
     }
 
-    /** Merges the updates of a message, and tells its sender what it does not know yet. */
+    /** Merges the updates of a message, and sends newer ones back to its sender. */
     void merge(double nowMs, Member peer, Message message) {
-        int unknownLives = 0;
+        int unknownIncarnations = 0;
         List<Update> newer = new ArrayList<>();
         for (Update update : message.updates()) {
             if (merge(nowMs, update)) {
-                unknownLives++;
+                unknownIncarnations++;
             } else if (isOutdated(update)) {
                 newer.add(members.get(update.number()).asUpdate());
             }
         }
-        antiEntropy.onUnknownLives(nowMs, unknownLives);
+        antiEntropy.onUnknownIncarnations(nowMs, unknownIncarnations);
         if (message.kind() != Kind.ACK) {
             return;
         }
-        int comparedParts = failureDetector.comparedParts(peer, message);
-        if (comparedParts > 0) {
-            antiEntropy.onCompared(comparedParts, unknownLives + newer.size() == 0);
+        int comparedBuckets = failureDetector.comparedBuckets(peer, message);
+        if (comparedBuckets > 0) {
+            antiEntropy.onCompared(comparedBuckets, unknownIncarnations + newer.size() == 0);
         }
-        // Only answers are answered so: two members that disagree would otherwise go on for ever.
-        if (!newer.isEmpty() && sender.mayTell(nowMs)) {
-            sender.tell(nowMs, peer.number, newer);
+        // Newer updates are sent only in response to answers: otherwise two members that disagree would go on for ever.
+        if (!newer.isEmpty() && sender.maySendUpdates(nowMs)) {
+            sender.sendUpdates(nowMs, peer.number, newer);
         }
     }
 
@@ -96,56 +100,57 @@
                 && update.incarnation() < members.get(update.number()).incarnation;
     }
 
-    /** Merges one update; true if it is of a life that was not known. */
+    /** Merges one update; returns true if its incarnation was not known. */
     private boolean merge(double nowMs, Update update) {
         if (update.number() >= members.size()) {
             metrics.malformed++;
             return false;
         }
-        if (!Incarnations.isSane(update.incarnation(), nowMs)) {
-            metrics.insane++;
+        if (!Incarnations.isPlausible(update.incarnation(), nowMs)) {
+            metrics.implausibleIncarnation++;
             return false;
         }
         if (update.number() == self.number()) {
-            mergeOwn(nowMs, update);
+            mergeAboutSelf(nowMs, update);
             return false;
         }
         Member peer = members.get(update.number());
         if (update.incarnation() > peer.incarnation) {
-            startLife(nowMs, peer, update);
+            applyNewIncarnation(nowMs, peer, update);
             return true;
         }
         if (update.incarnation() == peer.incarnation) {
-            continueLife(nowMs, peer, update);
+            applySameIncarnation(nowMs, peer, update);
         }
         return false;
     }
 
-    private void mergeOwn(double nowMs, Update update) {
-        boolean wrong = update.word() == Word.FAULTY || (update.word() == Word.LEFT && !self.isLeaving());
-        // A higher incarnation is of an earlier life with another clock, or of another process with this number.
+    private void mergeAboutSelf(double nowMs, Update update) {
+        boolean wrong = update.status() == Status.FAULTY || (update.status() == Status.LEFT && !self.isLeaving());
+        // A higher incarnation comes from an earlier run with another clock, or from another process with the same
+        // number.
         if (wrong || update.incarnation() > self.incarnation()) {
             self.refute(nowMs, update.incarnation());
         }
     }
 
-    private void startLife(double nowMs, Member peer, Update update) {
-        boolean first = peer.isIn(PeerState.ABSENT);
+    private void applyNewIncarnation(double nowMs, Member peer, Update update) {
+        boolean newlyDiscovered = peer.isIn(PeerState.ABSENT);
         peer.incarnation = update.incarnation();
         peer.zone = update.zone();
-        peer.heardMs = Double.NEGATIVE_INFINITY;
-        switch (update.word()) {
+        peer.lastHeardMs = Double.NEGATIVE_INFINITY;
+        switch (update.status()) {
             case FAULTY -> changes.declareFaulty(nowMs, peer);
-            case LEFT -> changes.move(nowMs, peer, PeerState.LEFT);
-            default -> changes.move(nowMs, peer, PeerState.ALIVE);
+            case LEFT -> changes.setState(nowMs, peer, PeerState.LEFT);
+            default -> changes.setState(nowMs, peer, PeerState.ALIVE);
         }
         if (!peer.isIn(PeerState.SUSPECT)) {
-            changes.disseminate(peer, first);
+            changes.disseminate(peer, newlyDiscovered);
         }
     }
 
-    private void continueLife(double nowMs, Member peer, Update update) {
-        switch (update.word()) {
+    private void applySameIncarnation(double nowMs, Member peer, Update update) {
+        switch (update.status()) {
             case HEARD -> {
                 if (peer.isIn(PeerState.SUSPECT)) {
                     suspicions.onHeardByOther(nowMs, peer, update);
@@ -154,7 +159,7 @@
             case FAULTY -> onDeclaredFaulty(nowMs, peer);
             case LEFT -> {
                 if (!peer.isIn(PeerState.LEFT)) {
-                    changes.move(nowMs, peer, PeerState.LEFT);
+                    changes.setState(nowMs, peer, PeerState.LEFT);
                     changes.disseminate(peer);
                 }
             }
@@ -163,11 +168,11 @@
     }
 
     private void onDeclaredFaulty(double nowMs, Member peer) {
-        if (!peer.mayLive()) {
+        if (!peer.mayBeAlive()) {
             return;
         }
-        if (SuspicionTracker.isFresh(nowMs, peer)) {
-            suspicions.tellHeard(nowMs, peer, List.of());
+        if (SuspicionTracker.wasHeardRecently(nowMs, peer)) {
+            suspicions.reportHeard(nowMs, peer, List.of());
             return;
         }
         changes.declareFaulty(nowMs, peer);
--- a/sidecar/src/main/java/martenlatch/gossip/package-info.java
+++ b/sidecar/src/main/java/martenlatch/gossip/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Membership among the sidecars of a tier: who is alive, as far as can be told, and what the members tell each other.
- * Protocol logic only: datagrams, time and random numbers come in, datagrams and changes go out; it uses no other
- * package and no I/O.
+ * Gossip membership among the sidecars of a tier: which of them are alive, and the protocol that they use to find out.
+ * The package holds protocol logic only: datagrams, times and random numbers are its inputs, datagrams and state
+ * changes its outputs. It depends on no other package and does no I/O.
  */
 package martenlatch.gossip;
