--- a/fleet/src/main/java/martenlatch/fleet/cli/Main.java
+++ b/fleet/src/main/java/martenlatch/fleet/cli/Main.java
@@ -289,7 +289,7 @@
             SimRun run = new SimRun(scenario);
             History history = run.play(at -> {
                 if (!reportOptions.quiet) {
-                    System.out.printf(Locale.ROOT, "%4.0f s  %d tasks%n", at / 1000, run.ran());
+                    System.out.printf(Locale.ROOT, "%4.0f s  %d tasks%n", at / 1000, run.tasksRun());
                 }
             });
             double seconds = (System.nanoTime() - startNanos) / 1e9;
@@ -297,7 +297,7 @@
                     Locale.ROOT,
                     "simulated in %.1f s of real time, %.0f tasks a second, heap %d MB, " + "history %s%n",
                     seconds,
-                    run.ran() / seconds,
+                    run.tasksRun() / seconds,
                     (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 20,
                     history.digest());
             return reportOptions.report(scenario, history);
--- a/fleet/src/main/java/martenlatch/fleet/cli/PeersCommand.java
+++ b/fleet/src/main/java/martenlatch/fleet/cli/PeersCommand.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
-import martenlatch.fleet.gossip.PeerMeasure;
+import martenlatch.fleet.gossip.MembershipComparison;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -41,11 +41,11 @@
         System.out.println("| case | way | members | wrongly faulty a play | bytes/s a member "
                 + "| messages, worst second | first | all (p99) | whole at the end |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-        for (String caseName : cases == null ? PeerMeasure.cases() : cases) {
+        for (String caseName : cases == null ? MembershipComparison.cases() : cases) {
             for (int size : members) {
-                for (String protocol : ways == null ? new ArrayList<>(PeerMeasure.ways()) : ways) {
-                    System.out.println(
-                            PeerMeasure.measure(protocol, caseName, size, seeds).row());
+                for (String protocol : ways == null ? new ArrayList<>(MembershipComparison.ways()) : ways) {
+                    System.out.println(MembershipComparison.measure(protocol, caseName, size, seeds)
+                            .row());
                 }
             }
         }
--- a/fleet/src/main/java/martenlatch/fleet/explore/RandomFaults.java
+++ b/fleet/src/main/java/martenlatch/fleet/explore/RandomFaults.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Random;
-import martenlatch.fleet.link.Conduct;
+import martenlatch.fleet.link.LinkConditions;
 import martenlatch.fleet.scenario.Fault;
 import martenlatch.fleet.scenario.Fault.What;
 import martenlatch.fleet.scenario.Scenario;
@@ -86,8 +86,8 @@
                         what,
                         drawParts(scenario, Group.SIDECAR, random),
                         List.of(),
-                        Conduct.CLEAR,
-                        Conduct.CLEAR,
+                        LinkConditions.CLEAR,
+                        LinkConditions.CLEAR,
                         share,
                         "",
                         false);
@@ -99,8 +99,8 @@
                         what,
                         drawParts(scenario, Group.ENDPOINT, random),
                         List.of(),
-                        Conduct.CLEAR,
-                        Conduct.CLEAR,
+                        LinkConditions.CLEAR,
+                        LinkConditions.CLEAR,
                         share,
                         "",
                         false);
@@ -112,8 +112,8 @@
                         what,
                         List.of(Group.DISCOVERY.name(0)),
                         List.of(),
-                        Conduct.CLEAR,
-                        Conduct.CLEAR,
+                        LinkConditions.CLEAR,
+                        LinkConditions.CLEAR,
                         share,
                         "",
                         false);
@@ -122,9 +122,9 @@
     }
 
     private static Fault drawLinkFault(Scenario scenario, Random random, double atMs, double durationMs, What what) {
-        Conduct conduct = random.nextBoolean()
-                ? Conduct.SILENT
-                : new Conduct(
+        LinkConditions conditions = random.nextBoolean()
+                ? LinkConditions.SILENT
+                : new LinkConditions(
                         random.nextInt(300),
                         random.nextInt(100),
                         random.nextDouble() * MAX_SHARE,
@@ -142,8 +142,8 @@
                 what,
                 drawParts(scenario, Group.SIDECAR, random),
                 toDiscovery ? List.of(Group.DISCOVERY.name(0)) : drawParts(scenario, Group.ENDPOINT, random),
-                direction == 1 ? Conduct.CLEAR : conduct,
-                direction == 2 ? Conduct.CLEAR : conduct,
+                direction == 1 ? LinkConditions.CLEAR : conditions,
+                direction == 2 ? LinkConditions.CLEAR : conditions,
                 MAX_SHARE,
                 "",
                 false);
--- a/fleet/src/main/java/martenlatch/fleet/scenario/LinkFaults.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/LinkFaults.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import martenlatch.fleet.link.Conduct;
+import martenlatch.fleet.link.LinkConditions;
 
 /** Tracks the link faults that are active and combines them; used by the relays and by the simulation. */
 public final class LinkFaults {
@@ -25,11 +25,11 @@
     }
 
     /** Returns how a link treats data: from sender to target if {@code onwards}, otherwise from target to sender. */
-    public Conduct conduct(String from, String to, boolean onwards) {
-        Conduct combined = Conduct.CLEAR;
+    public LinkConditions conduct(String from, String to, boolean onwards) {
+        LinkConditions combined = LinkConditions.CLEAR;
         for (ActiveFault activeFault : active) {
             if (activeFault.from().contains(from) && activeFault.to().contains(to)) {
-                combined = combined.and(
+                combined = combined.combinedWith(
                         onwards
                                 ? activeFault.fault().onwards()
                                 : activeFault.fault().backwards());
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Scenario.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Scenario.java
@@ -10,7 +10,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.SplittableRandom;
-import martenlatch.fleet.link.Conduct;
+import martenlatch.fleet.link.LinkConditions;
 import martenlatch.load.Kind;
 import martenlatch.toml.TomlFile;
 import martenlatch.world.ServiceTime;
@@ -264,8 +264,8 @@
                     what,
                     who.resolve(sizes, random),
                     List.of(),
-                    Conduct.CLEAR,
-                    Conduct.CLEAR,
+                    LinkConditions.CLEAR,
+                    LinkConditions.CLEAR,
                     share,
                     node.path("jar").asText(""),
                     node.path("moves").asBoolean(false));
@@ -277,7 +277,7 @@
                     + " (clients to sidecars; sidecars to endpoints, discovery or sidecars) but is "
                     + node.path("to"));
         }
-        Conduct conduct = conduct(node);
+        LinkConditions conditions = conditions(node);
         String direction = node.path("direction").asText("both");
         if (!List.of("both", "onwards", "backwards").contains(direction)) {
             throw new IllegalArgumentException(
@@ -290,8 +290,8 @@
                 what,
                 from.resolve(sizes, random),
                 to.resolve(sizes, random),
-                direction.equals("backwards") ? Conduct.CLEAR : conduct,
-                direction.equals("onwards") ? Conduct.CLEAR : conduct,
+                direction.equals("backwards") ? LinkConditions.CLEAR : conditions,
+                direction.equals("onwards") ? LinkConditions.CLEAR : conditions,
                 share,
                 "",
                 false);
@@ -302,9 +302,9 @@
                 || from == Selector.Group.SIDECAR && to != Selector.Group.CLIENTS;
     }
 
-    private static Conduct conduct(JsonNode node) {
+    private static LinkConditions conditions(JsonNode node) {
         try {
-            return new Conduct(
+            return new LinkConditions(
                     TomlFile.number("fault.delay-ms", node.path("delay-ms"), 0),
                     TomlFile.number("fault.jitter-ms", node.path("jitter-ms"), 0),
                     TomlFile.number("fault.loss", node.path("loss"), 0),
