--- a/fleet/src/main/java/martenlatch/fleet/judge/RunRecord.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/RunRecord.java
@@ -39,10 +39,12 @@
             return sidecar;
         }
 
+        /** Returns the request class. */
         public String kind() {
             return kind;
         }
 
+        /** Returns whether running the request twice would take effect twice. */
         public boolean isUnsafe() {
             return unsafe;
         }
@@ -52,22 +54,27 @@
             return askedAtMs;
         }
 
+        /** Returns the deadline of the request, since the start of the run. */
         public double deadlineAtMs() {
             return deadlineAtMs;
         }
 
+        /** Returns the events that ended the request for its client; more than one is a violation. */
         public List<Event> ends() {
             return ends;
         }
 
+        /** Returns the attempts that sidecars sent to endpoints. */
         public List<Event> attempts() {
             return attempts;
         }
 
+        /** Returns the events of endpoints that started to run the request. */
         public List<Event> executions() {
             return executions;
         }
 
+        /** Returns the events of endpoints that rejected the request. */
         public List<Event> turnedAway() {
             return turnedAway;
         }
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Fault.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Fault.java
@@ -58,18 +58,27 @@
         TWIN(Aim.SIDECARS, false),
         /** The process does not start with the others but when the fault ends. */
         LATE(Aim.SIDECARS, true),
+        /** The endpoint runs requests and never answers them. */
         HANG(Aim.ENDPOINTS, false),
+        /** The endpoint answers every request with status 500. */
         ERROR(Aim.ENDPOINTS, false),
+        /** The endpoint takes ten times as long for each request. */
         SLOW(Aim.ENDPOINTS, false),
+        /** The endpoint runs requests and breaks the connection instead of answering. */
         RESET(Aim.ENDPOINTS, false),
+        /** The endpoint runs requests and breaks the connection in the middle of the answer. */
         HALF(Aim.ENDPOINTS, false),
+        /** The endpoint accepts connections and never reads from them. */
         DEAF(Aim.ENDPOINTS, false),
         /** The process of an endpoint dies; when the fault ends, it starts again, cold. */
         DIE(Aim.ENDPOINTS, false),
         /** The endpoint drains, and discovery lists it as draining; when the fault ends, it starts again, cold. */
         DRAIN(Aim.ENDPOINTS, false),
+        /** Discovery does not answer calls. */
         SILENT(Aim.DISCOVERY, false),
+        /** Discovery answers calls with status 503. */
         DOWN(Aim.DISCOVERY, false),
+        /** Discovery answers calls with data that is no endpoint list. */
         WRONG(Aim.DISCOVERY, false),
         /** Links treat data as the fault describes. */
         LINK(Aim.LINKS, false),
