--- a/extproc/src/main/java/martenlatch/extproc/BaselineServer.java
+++ b/extproc/src/main/java/martenlatch/extproc/BaselineServer.java
@@ -8,12 +8,12 @@
 import martenlatch.frontend.extproc.ProcessingResponses;
 
 /**
- * A processor that decides nothing and answers every message with a constant: it shows what the gRPC stack costs, for
- * measurements beside the real processor.
+ * A processor that answers every message with a constant. Its measurements show the cost of the gRPC stack alone, for
+ * comparison with the real processor.
  */
 final class BaselineServer extends ExternalProcessorGrpc.ExternalProcessorImplBase {
 
-    private static final ProcessingResponse DECISION = new EndpointDestination("127.0.0.1:1").decision(1000);
+    private static final ProcessingResponse FIXED_DECISION = new EndpointDestination("127.0.0.1:1").decision(1000);
 
     @Override
     public StreamObserver<ProcessingRequest> process(StreamObserver<ProcessingResponse> out) {
@@ -21,7 +21,7 @@
             @Override
             public void onNext(ProcessingRequest message) {
                 if (message.hasRequestHeaders()) {
-                    out.onNext(DECISION);
+                    out.onNext(FIXED_DECISION);
                 } else {
                     out.onNext(ProcessingResponses.PASS);
                     out.onCompleted();
@@ -30,7 +30,7 @@
 
             @Override
             public void onError(Throwable cause) {
-                // The stream has ended, and nothing has to be released.
+                // The stream has ended, and there is nothing to release.
                 return;
             }
 
--- a/extproc/src/main/java/martenlatch/extproc/ExtProcServer.java
+++ b/extproc/src/main/java/martenlatch/extproc/ExtProcServer.java
@@ -31,17 +31,17 @@
 import martenlatch.request.Scheduler;
 import martenlatch.site.SiteConfig;
 
-/** One external processor: its parts on one event loop, which is the only thread that touches any of them. */
+/** An external processor. All of its components run on one event loop and are accessed from no other thread. */
 final class ExtProcServer {
 
-    /** A head of 8 KiB, as the HTTP frontend accepts it, with its envelope. */
+    /** Fits request headers of 8 KiB, the limit of the HTTP frontend, with their protobuf encoding. */
     private static final int MAX_MESSAGE_BYTES = 32 * 1024;
-    /** The metadata of a stream: a proxy adds little to it. */
+    /** Limits the gRPC metadata of a stream, to which proxies add little. */
     private static final int MAX_METADATA_BYTES = 8 * 1024;
-    /** Messages are small: a window of this size holds many, and bounds what a peer can make this process hold. */
+    /** Holds many messages, which are small, and bounds the data that a peer can make this process buffer. */
     private static final int FLOW_CONTROL_WINDOW_BYTES = 256 * 1024;
 
-    private static final int EMPTY_POLL_MS = 10;
+    private static final int OPEN_STREAMS_POLL_MS = 10;
 
     private final Path siteFile;
     private final PrintStream log;
@@ -51,7 +51,7 @@
     private DiscoveryClient discovery;
     private RequestTracker requestTracker;
     private Server server;
-    /** Completes when proxies may be answered from the endpoint list. */
+    /** Completes when the endpoint list is recent enough for decisions. */
     private final CompletableFuture<EndpointListGate.Reason> endpointListReady = new CompletableFuture<>();
     /** The longest deadline of any request class. */
     private double maxDeadlineMs;
@@ -63,10 +63,10 @@
         loop = (EventLoop) group.next();
     }
 
-    /** Reads both files, warms up and listens. */
-    static ExtProcServer start(Path siteFile, Path ownFile, PrintStream log) throws IOException {
+    /** Reads both files, runs the warm-up, waits for the endpoint list and starts to listen. */
+    static ExtProcServer start(Path siteFile, Path settingsFile, PrintStream log) throws IOException {
         SiteConfig config = SiteConfig.read(siteFile);
-        ExtProcSettings settings = ExtProcSettings.read(ownFile).requireValidWith(config.settings());
+        ExtProcSettings settings = ExtProcSettings.read(settingsFile).requireValidWith(config.settings());
         ExtProcServer server = new ExtProcServer(siteFile, log);
         server.loop.submit(() -> server.build(config, settings)).syncUninterruptibly();
         try {
@@ -74,7 +74,7 @@
             Warmup.run(config, settings, server.loop);
             log.println("martenlatch: warm-up finished after "
                     + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos) + " ms");
-            // The list in the file may be of any age, and proxies must not be sent to endpoints that have left.
+            // The cached list may be of any age, and requests must not be sent to endpoints that have left.
             EndpointListGate.Reason reason = server.endpointListReady.join();
             log.println("martenlatch: endpoint list: " + reason);
             server.server = listen(settings, server.processor, server.loop);
@@ -117,7 +117,7 @@
         processor = new Processor(scheduler, loop, logger, requestTracker, addresses, settings, config.settings());
     }
 
-    /** Starts a gRPC server on the one event loop: calls run on it as they are read, without a hand-over. */
+    /** Starts a gRPC server whose calls run directly on the event loop, without a hand-over to another thread. */
     static Server listen(ExtProcSettings settings, BindableService processor, EventLoop loop) throws IOException {
         return NettyServerBuilder.forAddress(settings.listen())
                 .channelType(NioServerSocketChannel.class)
@@ -150,13 +150,13 @@
         return loop;
     }
 
-    /** Reads the site's configuration again, and moves to the discovery that it names. */
+    /** Reads the site's configuration again and switches to the discovery address that it names. */
     void reload() {
         loop.execute(() -> {
             try {
-                InetSocketAddress named = SiteConfig.read(siteFile).discovery();
-                log.println("martenlatch: configuration reloaded: discovery at " + named);
-                discovery.moveTo(named);
+                InetSocketAddress discoveryAddress = SiteConfig.read(siteFile).discovery();
+                log.println("martenlatch: configuration reloaded: discovery at " + discoveryAddress);
+                discovery.moveTo(discoveryAddress);
             } catch (IOException | RuntimeException e) {
                 log.println("martenlatch: configuration not reloaded: " + e.getMessage());
             }
@@ -164,8 +164,8 @@
     }
 
     /**
-     * Sends proxies away (GOAWAY: their connections take no new streams) and waits for open streams; every request is
-     * over by the longest deadline.
+     * Sends GOAWAY to all proxies, so that their connections accept no new streams, and waits for open streams. The
+     * wait is limited to the longest deadline, by which every request has ended.
      */
     void drain() {
         log.println("martenlatch: draining");
@@ -178,14 +178,14 @@
                         drained.countDown();
                     }
                 },
-                EMPTY_POLL_MS,
-                EMPTY_POLL_MS,
+                OPEN_STREAMS_POLL_MS,
+                OPEN_STREAMS_POLL_MS,
                 TimeUnit.MILLISECONDS);
         boolean complete = false;
         try {
             complete = drained.await((long) maxDeadlineMs, TimeUnit.MILLISECONDS);
             server.shutdownNow();
-            // Messages that it still has to write are sent by then.
+            // Gives the server time to write its remaining messages.
             server.awaitTermination(1, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -194,7 +194,7 @@
         stop();
     }
 
-    /** Ends everything at once. */
+    /** Stops the server and its event loop without waiting for open streams. */
     void stop() {
         if (server != null) {
             server.shutdownNow();
--- a/extproc/src/main/java/martenlatch/extproc/Main.java
+++ b/extproc/src/main/java/martenlatch/extproc/Main.java
@@ -16,7 +16,7 @@
 import martenlatch.world.StandInProxy;
 import sun.misc.Signal;
 
-/** The command line of the external processor and of the proxy that stands in for a real one. */
+/** The command line of the external processor, of the stand-in proxy and of the measurement tools. */
 public final class Main {
 
     private static final String USAGE = """
@@ -39,6 +39,7 @@
         }
     }
 
+    /** Runs a command and returns the exit status. */
     static int run(String[] args, String configFile, PrintStream errors) {
         try {
             if (args.length == 2 && args[0].equals("extproc")) {
@@ -46,14 +47,14 @@
             } else if (args.length == 3 && args[0].equals("proxy")) {
                 proxy(SocketAddresses.parse("LISTEN", args[1]), SocketAddresses.parse("PROCESSOR", args[2]), errors);
             } else if (args.length == 2 && args[0].equals("floor")) {
-                ExtProcServer.listen(ExtProcSettings.read(Path.of(args[1])), new BaselineServer(), loop());
+                ExtProcServer.listen(ExtProcSettings.read(Path.of(args[1])), new BaselineServer(), newEventLoop());
             } else if (args.length == 6 && args[0].equals("load")) {
                 ProcessingStreamLoad.run(
                         SocketAddresses.parse("PROCESSOR", args[1]),
-                        wholeNumber("RATE", args[2], 0),
-                        wholeNumber("STREAMS", args[3], 1),
+                        parseWholeNumber("RATE", args[2], 0),
+                        parseWholeNumber("STREAMS", args[3], 1),
                         args[4],
-                        wholeNumber("SECONDS", args[5], 1),
+                        parseWholeNumber("SECONDS", args[5], 1),
                         System.out);
             } else {
                 errors.println(USAGE);
@@ -72,11 +73,12 @@
         }
     }
 
-    private static EventLoop loop() {
+    /** Returns the event loop of a new one-thread group. */
+    private static EventLoop newEventLoop() {
         return (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     }
 
-    private static int wholeNumber(String field, String text, int min) {
+    private static int parseWholeNumber(String field, String text, int min) {
         try {
             int value = Integer.parseInt(text);
             if (value >= min && value <= 1_000_000) {
@@ -89,7 +91,7 @@
     }
 
     private static void extproc(String configFile, Path settings, PrintStream log) throws IOException {
-        // First of all: until there is a handler, SIGHUP ends the process.
+        // The handler is installed first, because SIGHUP terminates a process that has none.
         CompletableFuture<ExtProcServer> running = new CompletableFuture<>();
         Signal.handle(new Signal("HUP"), signal -> running.thenAccept(ExtProcServer::reload));
         if (configFile == null || configFile.isBlank()) {
@@ -109,13 +111,13 @@
 
     private static void proxy(InetSocketAddress listen, InetSocketAddress processor, PrintStream log)
             throws IOException {
-        EventLoop loop = loop();
+        EventLoop loop = newEventLoop();
         var bound = new StandInProxy(
                         loop,
                         new EventLoopScheduler(loop),
                         processor,
-                        new StandInProxy.Options(100, 250, 3, StandInProxy.WhenAway.FAIL, null),
-                        StandInProxy.Conduct.GOOD)
+                        new StandInProxy.Options(100, 250, 3, StandInProxy.ProcessorFailureMode.FAIL, null),
+                        StandInProxy.Behavior.CORRECT)
                 .listen(listen)
                 .awaitUninterruptibly();
         if (!bound.isSuccess()) {
--- a/extproc/src/main/java/martenlatch/extproc/Warmup.java
+++ b/extproc/src/main/java/martenlatch/extproc/Warmup.java
@@ -36,17 +36,17 @@
 import martenlatch.site.SiteConfig;
 
 /**
- * Runs synthetic streams through a second set of the parts, on a port of its own, before proxies are accepted: the
- * first streams load the classes, and would take longer than a proxy waits. No endpoint is involved.
+ * Runs synthetic streams through a separate processor on an ephemeral port before proxies are accepted. The first
+ * streams load the classes and would otherwise take longer than a proxy waits. No endpoint is involved.
  */
 final class Warmup {
 
-    /** Enough for every class to be loaded and the compiler to have started. */
+    /** Enough streams to load all Java classes and to start the JIT compiler. */
     private static final int STREAMS = 200;
-    /** The longest warm-up, in milliseconds: a busy machine must not keep a processor from starting. */
-    private static final int MAX_MS = 5000;
+    /** Limits the warm-up, so that a busy machine does not keep a processor from starting. */
+    private static final int MAX_WARMUP_MS = 5000;
 
-    private static final int DEADLINE_MS = 1000;
+    private static final int REQUEST_DEADLINE_MS = 1000;
 
     private final ExternalProcessorGrpc.ExternalProcessorStub stub;
     private final List<RequestClass> classes;
@@ -54,13 +54,15 @@
     private final CountDownLatch done = new CountDownLatch(1);
     private int finishedStreams;
 
-    private Warmup(ManagedChannel channel, BalancerSettings site) {
+    private Warmup(ManagedChannel channel, BalancerSettings balancerSettings) {
         stub = ExternalProcessorGrpc.newStub(channel);
-        classes = site.classes();
-        tenant = site.tenants().isEmpty() ? "" : site.tenants().get(0).name();
+        classes = balancerSettings.classes();
+        tenant = balancerSettings.tenants().isEmpty()
+                ? ""
+                : balancerSettings.tenants().get(0).name();
     }
 
-    /** Returns when it is warm, or after some seconds; not to be called on the event loop. */
+    /** Blocks until the warm-up is complete or its time limit has passed; must not be called on the event loop. */
     static void run(SiteConfig config, ExtProcSettings settings, EventLoop loop) throws IOException {
         InetSocketAddress ephemeral = new InetSocketAddress(settings.listen().getAddress(), 0);
         Processor processor = loop.submit(() -> createProcessor(config, settings, loop))
@@ -77,7 +79,7 @@
         try {
             Warmup warmup = new Warmup(channel, config.settings());
             loop.execute(warmup::openStream);
-            warmup.done.await(MAX_MS, TimeUnit.MILLISECONDS);
+            warmup.done.await(MAX_WARMUP_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -88,7 +90,8 @@
 
     private static Processor createProcessor(SiteConfig config, ExtProcSettings settings, EventLoop loop) {
         Scheduler scheduler = new EventLoopScheduler(loop);
-        RateLimitedLogger silent = new RateLimitedLogger(scheduler, new PrintStream(OutputStream.nullOutputStream()));
+        RateLimitedLogger discardingLogger =
+                new RateLimitedLogger(scheduler, new PrintStream(OutputStream.nullOutputStream()));
         EndpointAddresses addresses = new EndpointAddresses();
         EndpointList list = new EndpointList(
                 0,
@@ -97,8 +100,15 @@
                         new Endpoint("warm-up", config.settings().ownZone(), 0, 0, 0, EndpointStatus.READY, 1),
                         settings.listen())));
         RequestTracker requestTracker = new RequestTracker(
-                scheduler, silent, addresses, () -> {}, config.settings(), config.seed(), list, RequestObserver.NONE);
-        return new Processor(scheduler, loop, silent, requestTracker, addresses, settings, config.settings());
+                scheduler,
+                discardingLogger,
+                addresses,
+                () -> {},
+                config.settings(),
+                config.seed(),
+                list,
+                RequestObserver.NONE);
+        return new Processor(scheduler, loop, discardingLogger, requestTracker, addresses, settings, config.settings());
     }
 
     private void openStream() {
@@ -108,7 +118,7 @@
                 .addHeaders(header("x-request-id", "warm-up-" + finishedStreams))
                 .addHeaders(header("x-class", requestClass.name()))
                 .addHeaders(header("x-tenant", tenant))
-                .addHeaders(header("x-deadline-ms", Integer.toString(DEADLINE_MS)));
+                .addHeaders(header("x-deadline-ms", Integer.toString(REQUEST_DEADLINE_MS)));
         Responses responses = new Responses();
         responses.requests = stub.process(responses);
         responses.requests.onNext(ProcessingRequest.newBuilder()
--- a/extproc/src/main/java/martenlatch/frontend/extproc/EndpointAddresses.java
+++ b/extproc/src/main/java/martenlatch/frontend/extproc/EndpointAddresses.java
@@ -9,23 +9,23 @@
 import martenlatch.request.EndpointConnections;
 import martenlatch.request.EndpointList;
 
-/** The addresses of the endpoints that take new requests, as proxies are told. */
+/** Holds the destinations of all endpoints that accept new requests. */
 public final class EndpointAddresses implements EndpointConnections {
 
-    private final Map<String, EndpointDestination> ready = new HashMap<>();
+    private final Map<String, EndpointDestination> readyDestinations = new HashMap<>();
 
     @Override
     public void update(EndpointList list) {
         if (list.full()) {
-            Set<String> named = new HashSet<>();
-            list.entries().forEach(entry -> named.add(entry.endpoint().id()));
-            ready.keySet().retainAll(named);
+            Set<String> listedIds = new HashSet<>();
+            list.entries().forEach(entry -> listedIds.add(entry.endpoint().id()));
+            readyDestinations.keySet().retainAll(listedIds);
         }
         for (EndpointList.Entry entry : list.entries()) {
             if (entry.endpoint().status() == EndpointStatus.READY) {
-                ready.put(entry.endpoint().id(), new EndpointDestination(format(entry.address())));
+                readyDestinations.put(entry.endpoint().id(), new EndpointDestination(format(entry.address())));
             } else {
-                ready.remove(entry.endpoint().id());
+                readyDestinations.remove(entry.endpoint().id());
             }
         }
     }
@@ -35,18 +35,18 @@
         return (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":" + address.getPort();
     }
 
-    /** The destination of an endpoint, or null if it takes nothing new. */
+    /** Returns the destination of an endpoint, or null if it accepts no new requests. */
     EndpointDestination find(String endpointId) {
-        return ready.get(endpointId);
+        return readyDestinations.get(endpointId);
     }
 
     @Override
     public void withdrawAttempts() {
-        // Attempts are the proxies': they report whether they were sent.
+        // The proxies send the attempts and report whether they were sent.
     }
 
     @Override
     public void closeIdleConnections(String endpointId) {
-        // Connections are the proxies', which close them when they are idle.
+        // The proxies own the connections and close them when they are idle.
     }
 }
--- a/extproc/src/main/java/martenlatch/frontend/extproc/EndpointDestination.java
+++ b/extproc/src/main/java/martenlatch/frontend/extproc/EndpointDestination.java
@@ -5,7 +5,7 @@
 import io.envoyproxy.envoy.config.core.v3.HeaderValueOption;
 import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingResponse;
 
-/** An endpoint as decisions name it to proxies. */
+/** The address of an endpoint in the form in which decisions carry it. */
 public final class EndpointDestination {
 
     private final HeaderValueOption header;
@@ -15,21 +15,22 @@
 
     /** Creates the destination for an address such as {@code 10.0.0.1:80}. */
     public EndpointDestination(String address) {
-        header = ProcessingResponses.header(ProcessingResponses.DESTINATION, address);
+        header = ProcessingResponses.header(ProcessingResponses.DESTINATION_HEADER, address);
         Value name = Value.newBuilder().setStringValue(address).build();
         Struct fields = Struct.newBuilder()
-                .putFields(ProcessingResponses.DESTINATION, name)
+                .putFields(ProcessingResponses.DESTINATION_HEADER, name)
                 .build();
         metadata = Struct.newBuilder()
                 .putFields(
-                        ProcessingResponses.METADATA,
+                        ProcessingResponses.METADATA_NAMESPACE,
                         Value.newBuilder().setStructValue(fields).build())
                 .build();
     }
 
     /**
-     * The decision that the request goes there, and its response may take so long: whole milliseconds, rounded up. Most
-     * times are the same few, and a message that was made before need not be measured again to be written.
+     * Returns the decision to send a request to this endpoint and to wait that long for the response, rounded up to
+     * whole milliseconds. The latest message is cached: wait times repeat, and a reused message keeps its serialized
+     * size.
      */
     public ProcessingResponse decision(double waitMs) {
         long wholeMs = Math.max(1, (long) Math.ceil(waitMs));
--- a/extproc/src/main/java/martenlatch/frontend/extproc/ExtProcSettings.java
+++ b/extproc/src/main/java/martenlatch/frontend/extproc/ExtProcSettings.java
@@ -16,14 +16,14 @@
 import martenlatch.policy.api.RequestClass;
 
 /**
- * The external processor's own settings, from a TOML file; all times are milliseconds.
+ * The external processor's own settings, read from a TOML file.
  *
- * @param listen the address for proxies
- * @param maxStreams the largest number of open streams; more are rejected
- * @param idleTimeoutMs how long a stream may be silent, and an answered one may take to end
- * @param nextStreamMs how long the next attempt of a request waits for its stream
- * @param rememberMs for how long after its end a request that may have executed is remembered
- * @param maxRememberedRequests the number of requests that are remembered, those in flight among them
+ * @param listen the address on which the server listens for proxies
+ * @param maxStreams the maximum number of open streams; further ones are rejected
+ * @param idleTimeoutMs how long a stream may be silent before its request, and after its attempt has timed out
+ * @param nextStreamMs how long the next attempt of a request waits for the proxy to open a stream for it
+ * @param rememberMs how long a request that may have executed is remembered after its end
+ * @param maxRememberedRequests the maximum number of remembered requests, including those in flight
  * @param messageTimeoutMs the proxy's time limit for a message of the processor, as it is configured there
  * @param connectTimeoutMs the proxy's time limit for a connect to an endpoint, as it is configured there
  */
@@ -37,14 +37,14 @@
         double messageTimeoutMs,
         double connectTimeoutMs) {
 
-    /** Time of the drain grace that is reserved for a busy machine, in milliseconds. */
-    static final double GRACE_SLACK_MS = 50;
+    /** The part of the drain grace period that is reserved for scheduling delays on a busy machine. */
+    static final double SCHEDULING_SLACK_MS = 50;
 
     private static final Set<String> FIELDS = Set.of(
             "listen", "max-streams", "silence-ms", "next-consultation-ms", "remember-ms", "remember-most", "proxy");
     private static final Set<String> PROXY_FIELDS = Set.of("message-timeout-ms", "connect-timeout-ms");
 
-    /** Reads the file; anything missing, unknown or out of range is told by name and value. */
+    /** Reads the file; the exception for a missing, unknown or invalid field names the field and its value. */
     public static ExtProcSettings read(Path file) throws IOException {
         try {
             return of(new TomlMapper().readTree(Files.readAllBytes(file)));
@@ -61,13 +61,13 @@
         requireKnownFields("proxy.", proxy, PROXY_FIELDS);
         return new ExtProcSettings(
                 SocketAddresses.parse("listen", file.path("listen").textValue()),
-                whole("max-streams", file.path("max-streams"), 1, 100_000),
-                whole("silence-ms", file.path("silence-ms"), 10, 60_000),
-                whole("next-consultation-ms", file.path("next-consultation-ms"), 1, 10_000),
-                whole("remember-ms", file.path("remember-ms"), 1, 600_000),
-                whole("remember-most", file.path("remember-most"), 1, 10_000_000),
-                whole("proxy.message-timeout-ms", proxy.path("message-timeout-ms"), 1, 10_000),
-                whole("proxy.connect-timeout-ms", proxy.path("connect-timeout-ms"), 1, 10_000));
+                parseWholeNumber("max-streams", file.path("max-streams"), 1, 100_000),
+                parseWholeNumber("silence-ms", file.path("silence-ms"), 10, 60_000),
+                parseWholeNumber("next-consultation-ms", file.path("next-consultation-ms"), 1, 10_000),
+                parseWholeNumber("remember-ms", file.path("remember-ms"), 1, 600_000),
+                parseWholeNumber("remember-most", file.path("remember-most"), 1, 10_000_000),
+                parseWholeNumber("proxy.message-timeout-ms", proxy.path("message-timeout-ms"), 1, 10_000),
+                parseWholeNumber("proxy.connect-timeout-ms", proxy.path("connect-timeout-ms"), 1, 10_000));
     }
 
     private static void requireKnownFields(String prefix, JsonNode object, Set<String> names) {
@@ -82,7 +82,7 @@
         }
     }
 
-    private static int whole(String field, JsonNode value, int min, int max) {
+    private static int parseWholeNumber(String field, JsonNode value, int min, int max) {
         if (value.isMissingNode()) {
             throw ConfigurationException.unusable(field, null);
         }
@@ -95,7 +95,7 @@
         return value.intValue();
     }
 
-    /** The same settings with another address for proxies. */
+    /** Returns a copy of these settings with another listen address. */
     public ExtProcSettings withListen(InetSocketAddress address) {
         return new ExtProcSettings(
                 address,
@@ -111,29 +111,31 @@
     /**
      * Checks these settings against those of the load balancer.
      *
-     * @throws ConfigurationException if a decision could be older than a drain allows when it is carried out, or a
-     *     request that must not be repeated could be forgotten while a proxy may still come back with it
+     * @throws ConfigurationException if a proxy could send an attempt to a draining endpoint after the drain grace
+     *     period, or if a request that must not be repeated could be forgotten while a proxy may still retry it
      */
-    public ExtProcSettings requireValidWith(BalancerSettings site) {
-        double grace = site.rules().drainGraceMs();
-        double age = messageTimeoutMs + connectTimeoutMs + GRACE_SLACK_MS;
-        if (age > grace) {
+    public ExtProcSettings requireValidWith(BalancerSettings balancerSettings) {
+        double drainGraceMs = balancerSettings.rules().drainGraceMs();
+        double maxDecisionAgeMs = messageTimeoutMs + connectTimeoutMs + SCHEDULING_SLACK_MS;
+        if (maxDecisionAgeMs > drainGraceMs) {
             throw new ConfigurationException(
                     "proxy.message-timeout-ms",
                     "field proxy.message-timeout-ms is not usable: "
                             + Math.round(messageTimeoutMs) + "; with proxy.connect-timeout-ms ("
-                            + Math.round(connectTimeoutMs) + ") and " + Math.round(GRACE_SLACK_MS)
-                            + " for a busy machine it must stay within the drain's grace of " + Math.round(grace));
+                            + Math.round(connectTimeoutMs) + ") and " + Math.round(SCHEDULING_SLACK_MS)
+                            + " for a busy machine it must stay within the drain's grace of "
+                            + Math.round(drainGraceMs));
         }
-        double longest = 0;
-        for (RequestClass requestClass : site.classes()) {
-            longest = Math.max(longest, requestClass.deadlineMs());
+        double longestDeadlineMs = 0;
+        for (RequestClass requestClass : balancerSettings.classes()) {
+            longestDeadlineMs = Math.max(longestDeadlineMs, requestClass.deadlineMs());
         }
-        if (rememberMs < longest) {
+        if (rememberMs < longestDeadlineMs) {
             throw new ConfigurationException(
                     "remember-ms",
                     "field remember-ms is not usable: " + Math.round(rememberMs)
-                            + "; it must be at least the longest deadline of a class, " + Math.round(longest));
+                            + "; it must be at least the longest deadline of a class, "
+                            + Math.round(longestDeadlineMs));
         }
         return this;
     }
--- a/extproc/src/main/java/martenlatch/frontend/extproc/HeaderView.java
+++ b/extproc/src/main/java/martenlatch/frontend/extproc/HeaderView.java
@@ -7,8 +7,8 @@
 import martenlatch.frontend.RequestHead;
 
 /**
- * The headers of a message, as all fronts read them. A proxy fills in a value as text or as bytes. Names are
- * taken out once: a call is read by a dozen look-ups, and the message's own list is slow to go through.
+ * Adapts the headers of a protobuf message to {@link RequestHead}. A proxy sends a value as text or as bytes. The names
+ * are copied once, because each request needs about a dozen look-ups and iterating the message's own list is slow.
  */
 final class HeaderView implements RequestHead {
 
@@ -30,11 +30,11 @@
 
     @Override
     public String first(String name) {
-        int at = find(name, 0);
-        if (at < 0) {
+        int index = find(name, 0);
+        if (index < 0) {
             return null;
         }
-        HeaderValue found = headers.get(at);
+        HeaderValue found = headers.get(index);
         return found.getRawValue().isEmpty()
                 ? found.getValue()
                 : found.getRawValue().toString(StandardCharsets.ISO_8859_1);
@@ -42,8 +42,8 @@
 
     @Override
     public boolean isRepeated(String name) {
-        int at = find(name, 0);
-        return at >= 0 && find(name, at + 1) >= 0;
+        int index = find(name, 0);
+        return index >= 0 && find(name, index + 1) >= 0;
     }
 
     private int find(String name, int from) {
--- a/extproc/src/main/java/martenlatch/frontend/extproc/IdleStreamMonitor.java
+++ b/extproc/src/main/java/martenlatch/frontend/extproc/IdleStreamMonitor.java
@@ -3,19 +3,19 @@
 import martenlatch.request.Scheduler;
 
 /**
- * Ends streams that are silent for too long. The limit is the same for all, so they are kept in the order in which they
- * are due, with one timer for the first of them: a timer for each would be the most expensive part of most streams.
+ * Ends streams that are silent for too long. All streams have the same time-out, so they are kept in a list in order of
+ * expiry with one timer for the first. A timer per stream would be the most expensive part of most streams.
  */
 final class IdleStreamMonitor {
 
-    /** A stream that may be watched; a node of a doubly linked list while it is. */
+    /** A stream that can be watched; while it is, the entry is a node of a doubly linked list. */
     static final class Entry {
         private final Runnable onTimeout;
         private Entry previous;
         private Entry next;
         private double dueMs;
 
-        /** Creates an entry that is not watched; {@code onTimeout} runs when it was silent for too long. */
+        /** Creates an entry that is not watched yet; {@code onTimeout} runs when its time-out expires. */
         Entry(Runnable onTimeout) {
             this.onTimeout = onTimeout;
         }
@@ -26,23 +26,23 @@
     }
 
     private final Scheduler scheduler;
-    private final double limitMs;
-    /** Linked before the first entry and after the last. */
+    private final double timeoutMs;
+    /** Precedes the first entry and follows the last one. */
     private final Entry sentinel = new Entry(null);
 
     private boolean timerRunning;
 
-    IdleStreamMonitor(Scheduler scheduler, double limitMs) {
+    IdleStreamMonitor(Scheduler scheduler, double timeoutMs) {
         this.scheduler = scheduler;
-        this.limitMs = limitMs;
+        this.timeoutMs = timeoutMs;
         sentinel.previous = sentinel;
         sentinel.next = sentinel;
     }
 
-    /** From now on the stream must send something within the limit. */
+    /** Starts or restarts the stream's time-out. */
     void watch(Entry entry) {
         forget(entry);
-        entry.dueMs = scheduler.now() + limitMs;
+        entry.dueMs = scheduler.now() + timeoutMs;
         entry.previous = sentinel.previous;
         entry.next = sentinel;
         sentinel.previous.next = entry;
@@ -50,7 +50,7 @@
         startTimer();
     }
 
-    /** The stream has sent something, or has ended. */
+    /** Stops watching a stream, which has sent a message or has ended; does nothing if it is not watched. */
     void forget(Entry entry) {
         if (entry.isWatched()) {
             entry.previous.next = entry.next;
@@ -63,11 +63,11 @@
     private void startTimer() {
         if (!timerRunning && sentinel.next != sentinel) {
             timerRunning = true;
-            scheduler.after(sentinel.next.dueMs - scheduler.now(), this::endDue);
+            scheduler.after(sentinel.next.dueMs - scheduler.now(), this::expireDue);
         }
     }
 
-    private void endDue() {
+    private void expireDue() {
         timerRunning = false;
         double nowMs = scheduler.now();
         while (sentinel.next != sentinel && sentinel.next.dueMs <= nowMs) {
--- a/extproc/src/main/java/martenlatch/frontend/extproc/ProcessingStream.java
+++ b/extproc/src/main/java/martenlatch/frontend/extproc/ProcessingStream.java
@@ -7,17 +7,20 @@
 import io.grpc.stub.ServerCallStreamObserver;
 import io.grpc.stub.StreamObserver;
 
-/** One stream of a proxy: it brings a request, gets a decision, reports the result, and ends once. */
+/**
+ * A proxy's gRPC stream for one attempt: the proxy sends the request headers, receives a decision and reports the
+ * result. The stream is closed exactly once.
+ */
 final class ProcessingStream implements StreamObserver<ProcessingRequest> {
 
     private enum State {
-        /** Nothing has been received. */
+        /** Nothing has been received yet. */
         OPENED,
-        /** The head of its request was received and waits for a decision. */
+        /** The request headers were received; the decision is pending. */
         WAITING,
-        /** It has got a decision to send the request. */
+        /** A decision was sent; the result is pending. */
         DECIDED,
-        /** It has got its last message, or has ended by itself. */
+        /** The last message was sent, or the stream was cancelled or failed. */
         ENDED
     }
 
@@ -32,7 +35,7 @@
     ProcessingStream(Processor processor, ServerCallStreamObserver<ProcessingResponse> out) {
         this.processor = processor;
         this.out = out;
-        out.setOnCancelHandler(this::onBroken);
+        out.setOnCancelHandler(this::abort);
         if (!processor.onStreamOpened()) {
             fail(Status.RESOURCE_EXHAUSTED.withDescription(
                     "max-streams (" + processor.settings().maxStreams() + ") are open"));
@@ -41,8 +44,8 @@
         }
     }
 
-    /** Its attempt's time is over: the result must be reported within the time that a stream may be silent. */
-    void limitWait() {
+    /** Called when the attempt has timed out; the proxy must report the result within the idle time-out. */
+    void startResultTimeout() {
         idleReason = "no response_headers within silence-ms after the attempt's time-out";
         processor.idleStreams().watch(idleEntry);
     }
@@ -75,32 +78,33 @@
 
     @Override
     public void onError(Throwable cause) {
-        onBroken();
+        abort();
     }
 
     @Override
     public void onCompleted() {
         if (state != State.ENDED) {
-            onBroken();
+            abort();
             out.onCompleted();
         }
     }
 
-    /** The stream has ended, or is ended, before its proxy reported a result. */
-    private void onBroken() {
+    /** Closes the stream before a result was reported, whichever side ended it. */
+    private void abort() {
         if (state == State.ENDED) {
             return;
         }
-        State last = state;
-        HttpHeaders undecided = head;
+        State previousState = state;
+        HttpHeaders undecidedHead = head;
         close();
-        if (last == State.DECIDED) {
+        if (previousState == State.DECIDED) {
             request.onStreamLost(this);
-        } else if (last == State.WAITING) {
-            processor.onRequestWithdrawn(undecided);
+        } else if (previousState == State.WAITING) {
+            processor.onRequestWithdrawn(undecidedHead);
         }
     }
 
+    /** Marks the stream as ended and releases its resources. */
     private void close() {
         processor.idleStreams().forget(idleEntry);
         state = State.ENDED;
@@ -108,39 +112,39 @@
         processor.onStreamClosed();
     }
 
-    /** Ends the stream with an error. */
+    /** Ends the stream with an error; does nothing if it has ended. */
     void fail(Status status) {
         if (state != State.ENDED) {
-            onBroken();
+            abort();
             out.onError(status.asRuntimeException());
         }
     }
 
-    /** The head of its request, which is parsed now. */
+    /** Returns the request headers and drops the stream's reference to them. */
     HttpHeaders takeHead() {
         HttpHeaders taken = head;
         head = null;
         return taken;
     }
 
-    /** Whether it still waits for a decision. */
+    /** Returns whether the decision is pending. */
     boolean isWaiting() {
         return state == State.WAITING;
     }
 
-    /** Whether it has got a decision, and not reported a result yet. */
+    /** Returns whether a decision was sent and no result was reported yet. */
     boolean hasDecision() {
         return state == State.DECIDED;
     }
 
-    /** Sends a decision; the proxy is to report the result of the attempt. */
+    /** Sends a decision, after which the proxy is expected to report the attempt's result. */
     void sendDecision(ProxiedRequest decided, ProcessingResponse decision) {
         request = decided;
         state = State.DECIDED;
         out.onNext(decision);
     }
 
-    /** Sends the last message of the stream. */
+    /** Sends the last message and completes the stream; does nothing if the stream has ended. */
     void end(ProcessingResponse last) {
         if (state != State.ENDED) {
             close();
--- a/extproc/src/main/java/martenlatch/frontend/extproc/Processor.java
+++ b/extproc/src/main/java/martenlatch/frontend/extproc/Processor.java
@@ -22,23 +22,23 @@
 import martenlatch.request.Scheduler;
 
 /**
- * The frontend for other proxies: each gRPC stream is one attempt of a request that the proxy makes. It runs on one
- * thread; every decision is the load balancer's, which the request tracker asks.
+ * The external processor's gRPC service. Each stream is one attempt of a request that a proxy makes. All methods run on
+ * one thread. The load balancer makes every decision; the request tracker calls it.
  */
 public final class Processor extends ExternalProcessorGrpc.ExternalProcessorImplBase {
 
-    /** The name under which a proxy sends the attributes that it was asked for. */
+    /** The key under which a proxy sends the attributes that it is configured to send. */
     static final String ATTRIBUTES = "envoy.filters.http.ext_proc";
 
     static final String FLAGS_ATTRIBUTE = "response.flags";
-    /** The response flags in words, from a proxy that sends no attributes. */
+    /** Carries the response flags as text, for proxies that send no attributes. */
     static final String FLAGS_HEADER = "x-proxy-response-flags";
 
     static final String ATTEMPT_HEADER = "x-envoy-attempt-count";
-    /** Ids are remembered, so their length is bounded. */
+    /** Limits the memory that the request history needs for an id. */
     private static final int MAX_ID_LENGTH = 256;
-    /** While the table is full, a new request has to wait until an old one is forgotten. */
-    private static final double FULL_RETRY_AFTER_MS = 1000;
+    /** Sent while the request history is full: a new request must wait until an old one is forgotten. */
+    private static final double HISTORY_FULL_RETRY_AFTER_MS = 1000;
 
     private final Scheduler scheduler;
     private final Executor afterReads;
@@ -51,8 +51,8 @@
     private final RequestHistory history;
     private final IdleStreamMonitor idleStreams;
     private final Map<String, ProxiedRequest> requests = new HashMap<>();
-    /** RequestHistory that wait until all that has arrived with them is read. */
-    private final Deque<ProcessingStream> waiting = new ArrayDeque<>();
+    /** Streams that wait for a decision until everything that arrived with them has been read. */
+    private final Deque<ProcessingStream> waitingStreams = new ArrayDeque<>();
 
     private int openStreams;
     private double maxDeadlineMs = Double.POSITIVE_INFINITY;
@@ -60,7 +60,7 @@
     /**
      * Creates a processor without streams.
      *
-     * @param afterReads runs a task on the same thread after the present one, and after what has been received is read
+     * @param afterReads runs a task on the same thread after the current one and after all received data has been read
      */
     public Processor(
             Scheduler scheduler,
@@ -82,7 +82,7 @@
         idleStreams = new IdleStreamMonitor(scheduler, settings.idleTimeoutMs());
     }
 
-    /** From now on every request that is accepted has its final answer within this time. */
+    /** Limits the deadline of every request accepted from now on, so that it is answered within this time. */
     public void drain(double remainingMs) {
         maxDeadlineMs = scheduler.now() + remainingMs;
     }
@@ -115,17 +115,17 @@
         return idleStreams;
     }
 
-    /** The number of open streams. */
+    /** Returns the number of open streams. */
     public int openStreams() {
         return openStreams;
     }
 
-    /** The number of requests without a final answer. */
+    /** Returns the number of requests without a final answer. */
     public int pendingRequests() {
         return requests.size();
     }
 
-    /** The number of ids that are remembered. */
+    /** Returns the number of ids in the request history. */
     int rememberedRequests() {
         history.forgetOld(scheduler.now());
         return history.size();
@@ -136,7 +136,7 @@
         return new ProcessingStream(this, (ServerCallStreamObserver<ProcessingResponse>) out);
     }
 
-    /** A stream was opened; false if that is one too many. */
+    /** Called when a stream is opened; returns false if more than {@code max-streams} are open. */
     boolean onStreamOpened() {
         if (++openStreams > settings.maxStreams()) {
             logger.log("too many streams", settings.maxStreams() + " are open");
@@ -149,23 +149,23 @@
         openStreams--;
     }
 
-    /** A stream has brought a request and waits for a decision. */
+    /** Called when a stream has received its request headers; enqueues the stream for a decision. */
     void onRequest(ProcessingStream stream) {
-        if (waiting.isEmpty()) {
+        if (waitingStreams.isEmpty()) {
             afterReads.execute(this::decideAll);
         }
-        waiting.add(stream);
+        waitingStreams.add(stream);
     }
 
-    /** A request is over. */
+    /** Removes a request that has ended. */
     void remove(ProxiedRequest request) {
         requests.remove(request.id(), request);
     }
 
-    /** Decides on all requests that wait, in their order; those that their proxies have given up are skipped. */
+    /** Decides on all waiting requests in order of arrival; skips those whose streams have ended. */
     private void decideAll() {
-        for (int left = waiting.size(); left > 0; left--) {
-            ProcessingStream next = waiting.poll();
+        for (int remaining = waitingStreams.size(); remaining > 0; remaining--) {
+            ProcessingStream next = waitingStreams.poll();
             if (!next.isWaiting()) {
                 continue;
             }
@@ -189,7 +189,7 @@
             return;
         }
         String id = request.id();
-        int attempt = attempt(head.first(ATTEMPT_HEADER));
+        int attempt = parseAttempt(head.first(ATTEMPT_HEADER));
         if (id.length() > MAX_ID_LENGTH) {
             stream.end(ProcessingResponses.immediate(
                     400, RequestParser.REQUEST_ID_HEADER + " is longer than " + MAX_ID_LENGTH));
@@ -199,7 +199,7 @@
             RequestClass requestClass = balancerSettings.classes().get(request.classIndex());
             boolean pending = requestTracker.isPending(id);
             switch (history.onArrival(nowMs, id, requestClass, attempt, pending)) {
-                case NEW_REQUEST -> accept(stream, request, requestClass);
+                case NEW_REQUEST -> startRequest(stream, request, requestClass);
                 case NEXT_ATTEMPT -> requests.get(id).onNextStream(stream);
                 case IN_FLIGHT ->
                     stream.end(ProcessingResponses.immediate(
@@ -208,39 +208,39 @@
                     stream.end(ProcessingResponses.immediate(500, "it may have run, and may not run again"));
                 case TABLE_FULL -> {
                     logger.log("no more requests can be remembered", history.size() + " are");
-                    stream.end(ProcessingResponses.rejected(FULL_RETRY_AFTER_MS));
+                    stream.end(ProcessingResponses.rejected(HISTORY_FULL_RETRY_AFTER_MS));
                 }
                 default -> throw new IllegalStateException("unknown kind of arrival");
             }
         }
     }
 
-    private void accept(ProcessingStream stream, Request request, RequestClass requestClass) {
+    private void startRequest(ProcessingStream stream, Request request, RequestClass requestClass) {
         ProxiedRequest proxied = new ProxiedRequest(this, request.id(), requestClass, stream);
         requests.put(request.id(), proxied);
         requestTracker.accept(request, proxied, proxied);
         proxied.requireAnswer();
     }
 
-    /** A stream has ended before a decision: the attempt that it came for was not executed. */
-    void onRequestWithdrawn(HttpHeaders undecided) {
-        HeaderView head = new HeaderView(undecided);
+    /** Called when a stream has ended before a decision: its attempt was not executed. */
+    void onRequestWithdrawn(HttpHeaders undecidedHead) {
+        HeaderView head = new HeaderView(undecidedHead);
         Request request;
         try {
             request = parser.parse(head, scheduler.now(), maxDeadlineMs);
         } catch (InvalidRequestException e) {
-            // A request that cannot be accepted has had no attempt.
+            // An invalid request is never accepted, so it has no attempt to record.
             return;
         }
-        int attempt = attempt(head.first(ATTEMPT_HEADER));
+        int attempt = parseAttempt(head.first(ATTEMPT_HEADER));
         if (attempt >= 0 && request.id().length() <= MAX_ID_LENGTH) {
             RequestClass requestClass = balancerSettings.classes().get(request.classIndex());
             history.onNeverExecuted(scheduler.now(), request.id(), requestClass, attempt);
         }
     }
 
-    /** The proxy's count of attempts, 0 where it tells none, or -1 for what is not a count. */
-    private static int attempt(String text) {
+    /** Returns the proxy's attempt count, 0 if the header is absent or empty, or -1 if it is no whole number. */
+    private static int parseAttempt(String text) {
         if (text == null || text.isEmpty()) {
             return 0;
         }
--- a/extproc/src/main/java/martenlatch/frontend/extproc/ProxiedAttempt.java
+++ b/extproc/src/main/java/martenlatch/frontend/extproc/ProxiedAttempt.java
@@ -4,7 +4,7 @@
 import martenlatch.request.EndpointResponse;
 import martenlatch.request.Transport;
 
-/** An attempt that was decided on and that a proxy makes. */
+/** An attempt that the load balancer has decided on and that a proxy makes. */
 final class ProxiedAttempt implements Transport.Attempt {
 
     private final ProxiedRequest request;
@@ -13,7 +13,7 @@
     private final double notAfterMs;
     private final Transport.AttemptListener listener;
     private boolean handedOut;
-    /** Before this attempt, none of the request's attempts can have executed. */
+    /** Whether no earlier attempt of the request can have executed. */
     private boolean first;
 
     ProxiedAttempt(
@@ -33,16 +33,17 @@
         return endpointId;
     }
 
-    /** How long its response will still be waited for, in milliseconds. */
+    /** Returns how much longer the response is waited for, in milliseconds. */
     double remainingMs() {
         return conditions.remainingMs();
     }
 
+    /** Returns whether it is too late to send the attempt. */
     boolean isTooLate(double nowMs) {
         return nowMs > notAfterMs;
     }
 
-    /** A proxy has got the attempt: from here on it may execute. */
+    /** Records that a proxy has received the attempt, which may execute from now on. */
     void markHandedOut(boolean isFirst) {
         handedOut = true;
         first = isFirst;
@@ -52,7 +53,7 @@
         return first;
     }
 
-    /** Reports how the attempt ended; the response is null where none came. */
+    /** Reports the outcome of the attempt; the response is null if the endpoint sent none. */
     void finish(AttemptOutcome outcome, EndpointResponse response) {
         listener.onAttemptFinished(outcome, response);
     }
--- a/extproc/src/main/java/martenlatch/frontend/extproc/ProxiedRequest.java
+++ b/extproc/src/main/java/martenlatch/frontend/extproc/ProxiedRequest.java
@@ -11,7 +11,7 @@
 import martenlatch.request.Scheduler;
 import martenlatch.request.Transport;
 
-/** One request of a proxy, through all of its attempts, each on a stream of its own. */
+/** A proxy's request with all of its attempts, each of which has its own stream. */
 final class ProxiedRequest implements Transport, ResponseListener {
 
     private static final byte[] NO_BODY = {};
@@ -19,44 +19,44 @@
     private final Processor processor;
     private final String id;
     private final RequestClass requestClass;
-    /** The stream that waits for a decision or the final answer, or null. */
-    private ProcessingStream asking;
-    /** The stream that has reported its result and waits for what to do with it, or null. */
-    private ProcessingStream reporting;
-    /** The stream that got the latest decision, or null. */
-    private ProcessingStream holder;
-    /** The attempt that a proxy makes, or null. */
+    /** The stream that waits for a decision or for the final answer, or null. */
+    private ProcessingStream waitingStream;
+    /** The stream that has reported its result and waits for the processor's response to it, or null. */
+    private ProcessingStream reportingStream;
+    /** The stream that received the latest decision, or null. */
+    private ProcessingStream decidedStream;
+    /** The attempt that the proxy is making, or null. */
     private ProxiedAttempt inFlight;
-    /** The attempt that is decided on and waits for its stream, or null. */
+    /** The attempt that was decided on and waits for the proxy to open a stream, or null. */
     private ProxiedAttempt offered;
-    /** Limits the wait for the next stream. */
+    /** Limits the wait for the next stream; null while no wait is limited. */
     private Scheduler.Timer nextStreamTimer;
-    /** The final answer, where it came while no stream waited for it. */
+    /** The final answer, if it became known while no stream waited for it. */
     private ProcessingResponse finalAnswer;
 
     private boolean timedOut;
     private boolean ended;
-    /** The earliest time at which the request may have begun to execute; NaN if it surely has not. */
+    /** The earliest time at which the request may have begun to execute; NaN if it certainly has not. */
     private double mayHaveExecutedMs = Double.NaN;
 
-    ProxiedRequest(Processor processor, String id, RequestClass requestClass, ProcessingStream asking) {
+    ProxiedRequest(Processor processor, String id, RequestClass requestClass, ProcessingStream waitingStream) {
         this.processor = processor;
         this.id = id;
         this.requestClass = requestClass;
-        this.asking = asking;
+        this.waitingStream = waitingStream;
     }
 
-    // ---- what the request tracker asks for ----
+    // ---- called by the request tracker ----
 
     @Override
     public Attempt send(String endpointId, WriteConditions conditions, double notAfterMs, AttemptListener listener) {
         ProxiedAttempt attempt = new ProxiedAttempt(this, endpointId, conditions, notAfterMs, listener);
-        if (asking != null) {
+        if (waitingStream != null) {
             handOut(attempt);
         } else {
             offered = attempt;
             processor.history().onOffered(id);
-            awaitNextStream(attempt, () -> {
+            startNextStreamTimer(attempt, () -> {
                 offered = null;
                 attempt.finish(AttemptOutcome.NOT_EXECUTED, null);
             });
@@ -64,9 +64,12 @@
         return attempt;
     }
 
-    /** Waits for the next stream, no longer than the attempt: its time-out would count against the endpoint. */
-    private void awaitNextStream(ProxiedAttempt attempt, Runnable onTimeout) {
-        stopWaiting();
+    /**
+     * Waits for the next stream, but ends before the attempt times out, because an attempt's time-out would count
+     * against the endpoint.
+     */
+    private void startNextStreamTimer(ProxiedAttempt attempt, Runnable onTimeout) {
+        cancelNextStreamTimer();
         double waitMs = Math.min(processor.settings().nextStreamMs(), attempt.remainingMs() - 1);
         nextStreamTimer = processor.scheduler().after(waitMs, () -> {
             nextStreamTimer = null;
@@ -74,14 +77,14 @@
         });
     }
 
-    private void stopWaiting() {
+    private void cancelNextStreamTimer() {
         if (nextStreamTimer != null) {
             nextStreamTimer.cancel();
             nextStreamTimer = null;
         }
     }
 
-    /** Gives an attempt to the proxy that asks, unless its endpoint takes nothing new any more. */
+    /** Sends an attempt to the waiting stream, unless its endpoint no longer accepts new requests or it is too late. */
     private void handOut(ProxiedAttempt attempt) {
         EndpointDestination destination = processor.addresses().find(attempt.endpointId());
         if (destination == null) {
@@ -93,9 +96,9 @@
             attempt.finish(AttemptOutcome.NOT_EXECUTED, null);
             return;
         }
-        ProcessingStream stream = asking;
-        asking = null;
-        holder = stream;
+        ProcessingStream stream = waitingStream;
+        waitingStream = null;
+        decidedStream = stream;
         inFlight = attempt;
         boolean isFirst = Double.isNaN(mayHaveExecutedMs);
         attempt.markHandedOut(isFirst);
@@ -105,17 +108,17 @@
         stream.sendDecision(this, destination.decision(attempt.remainingMs()));
     }
 
-    /** Nobody waits for this attempt any more. */
+    /** Called when the request tracker no longer waits for this attempt. */
     void onAttemptGivenUp(ProxiedAttempt attempt) {
         if (attempt == offered) {
-            stopWaiting();
+            cancelNextStreamTimer();
             offered = null;
         } else if (attempt == inFlight) {
-            stopWaiting();
+            cancelNextStreamTimer();
             inFlight = null;
             timedOut = true;
-            if (holder.hasDecision()) {
-                holder.limitWait();
+            if (decidedStream.hasDecision()) {
+                decidedStream.startResultTimeout();
             }
         }
     }
@@ -140,13 +143,14 @@
         conclude(ProcessingResponses.immediate(timedOut ? 504 : 500, "failed"));
     }
 
+    /** Ends the request and sends the final answer, or keeps it until a stream reports a late result. */
     private void conclude(ProcessingResponse answer) {
         end();
-        ProcessingStream waiting = asking != null ? asking : reporting;
-        asking = null;
-        reporting = null;
-        if (waiting != null) {
-            waiting.end(answer);
+        ProcessingStream recipient = waitingStream != null ? waitingStream : reportingStream;
+        waitingStream = null;
+        reportingStream = null;
+        if (recipient != null) {
+            recipient.end(answer);
         } else {
             finalAnswer = answer;
         }
@@ -155,14 +159,14 @@
     private void end() {
         if (!ended) {
             ended = true;
-            stopWaiting();
+            cancelNextStreamTimer();
             processor.remove(this);
             processor.history().onEnded(processor.scheduler().now(), id, requestClass, mayHaveExecutedMs);
         }
     }
 
-    /** Ends the request without a final answer: its client is gone as far as can be told. */
-    private void disconnect() {
+    /** Ends the request without a final answer, treating its client as disconnected. */
+    private void endAsDisconnected() {
         processor.requestTracker().onClientDisconnected(id);
         end();
     }
@@ -171,18 +175,19 @@
         return id;
     }
 
-    // ---- what the proxies do ----
+    // ---- called by streams and the processor ----
 
-    /** A stream of a proxy asks for the next attempt. */
+    /** Called when the proxy opens a stream for the next attempt. */
     void onNextStream(ProcessingStream stream) {
-        stopWaiting();
-        asking = stream;
+        cancelNextStreamTimer();
+        waitingStream = stream;
         if (offered != null) {
             ProxiedAttempt attempt = offered;
             offered = null;
             handOut(attempt);
         } else if (inFlight != null) {
-            // Nobody will tell its result: it may have executed, and says nothing about its endpoint.
+            // No result of this attempt will be reported: it may have executed, and must not count against its
+            // endpoint.
             ProxiedAttempt lost = inFlight;
             inFlight = null;
             lost.finish(AttemptOutcome.CANCELED, null);
@@ -190,12 +195,12 @@
         requireAnswer();
     }
 
-    /** The load balancer decides at once; if it has failed to, the proxy must not be kept waiting. */
+    /** Fails the waiting stream if the load balancer, which decides synchronously, has made no decision. */
     void requireAnswer() {
-        if (asking != null) {
+        if (waitingStream != null) {
             processor.logger().log("a stream without a decision", id);
-            ProcessingStream stream = asking;
-            asking = null;
+            ProcessingStream stream = waitingStream;
+            waitingStream = null;
             stream.end(failed());
         }
     }
@@ -204,15 +209,15 @@
         return ProcessingResponses.immediate(500, "failed");
     }
 
-    /** A proxy reports the result of the attempt that its stream was given. */
+    /** Called when a proxy reports the result of the attempt that it received on this stream. */
     void onResult(ProcessingStream stream, ProcessingRequest message) {
         HeaderView head = new HeaderView(message.getResponseHeaders());
-        int status = status(head.first(":status"));
+        int status = parseStatus(head.first(":status"));
         boolean notExecuted = "1".equals(head.first("x-not-run"));
-        long flags = flags(message, head);
+        long flags = readFlags(message, head);
         AttemptOutcome outcome = ProxyOutcome.of(status, notExecuted, flags);
-        if (stream != holder) {
-            // Another stream has taken its place: its result is not the request's answer any more.
+        if (stream != decidedStream) {
+            // A later stream has replaced this one, whose result no longer decides the request's answer.
             stream.end(outcome == AttemptOutcome.OK ? ProcessingResponses.PASS : failed());
             return;
         }
@@ -226,22 +231,22 @@
         if (outcome.neverExecuted() && finished.isFirst()) {
             mayHaveExecutedMs = Double.NaN;
         }
-        reporting = stream;
+        reportingStream = stream;
         boolean isFromEndpoint = flags == 0;
         finished.finish(
                 outcome, isFromEndpoint ? new EndpointResponse(status, notExecuted, false, null, NO_BODY) : null);
-        if (reporting != null) {
-            reporting = null;
+        if (reportingStream != null) {
+            reportingStream = null;
             stream.end(offered != null ? retriable() : failed());
         }
     }
 
-    /** The attempt was given up before: what was decided since holds, unless the result is good. */
+    /** Handles the result of an attempt that was given up: later decisions stand unless the result is a success. */
     private void onLateResult(ProcessingStream stream, AttemptOutcome outcome) {
         if (outcome == AttemptOutcome.OK) {
             stream.end(ProcessingResponses.PASS);
             if (!ended) {
-                disconnect();
+                endAsDisconnected();
             }
         } else if (offered != null) {
             stream.end(retriable());
@@ -250,20 +255,20 @@
         }
     }
 
-    /** The status is the one that is true if the proxy does not come back. */
+    /** Allows a retry, with the status that is correct if the proxy does not retry. */
     private ProcessingResponse retriable() {
         return ProcessingResponses.retriable(Double.isNaN(mayHaveExecutedMs) ? 503 : 500);
     }
 
-    /** A stream that had a decision has ended without a result. */
+    /** Called when a stream that had received a decision has ended without a result. */
     void onStreamLost(ProcessingStream stream) {
-        if (stream != holder || inFlight == null || ended) {
+        if (stream != decidedStream || inFlight == null || ended) {
             return;
         }
         ProxiedAttempt lost = inFlight;
         processor.history().onStreamLost(id);
-        awaitNextStream(lost, () -> {
-            disconnect();
+        startNextStreamTimer(lost, () -> {
+            endAsDisconnected();
             if (inFlight == lost) {
                 inFlight = null;
                 lost.finish(AttemptOutcome.CANCELED, null);
@@ -271,17 +276,17 @@
         });
     }
 
-    private static int status(String text) {
+    private static int parseStatus(String text) {
         return text != null && text.length() == 3 && text.chars().allMatch(c -> c >= '0' && c <= '9')
                 ? Integer.parseInt(text)
                 : 0;
     }
 
-    private static long flags(ProcessingRequest message, HeaderView head) {
+    private static long readFlags(ProcessingRequest message, HeaderView head) {
         Struct attributes = message.getAttributesOrDefault(Processor.ATTRIBUTES, Struct.getDefaultInstance());
-        Value number = attributes.getFieldsOrDefault(Processor.FLAGS_ATTRIBUTE, Value.getDefaultInstance());
-        String words = head.first(Processor.FLAGS_HEADER);
-        return (number.hasNumberValue() ? ProxyOutcome.flags(number.getNumberValue()) : 0)
-                | (words == null ? 0 : ProxyOutcome.flags(words));
+        Value flagBits = attributes.getFieldsOrDefault(Processor.FLAGS_ATTRIBUTE, Value.getDefaultInstance());
+        String flagText = head.first(Processor.FLAGS_HEADER);
+        return (flagBits.hasNumberValue() ? ProxyOutcome.flags(flagBits.getNumberValue()) : 0)
+                | (flagText == null ? 0 : ProxyOutcome.flags(flagText));
     }
 }
--- a/extproc/src/main/java/martenlatch/frontend/extproc/RequestHistory.java
+++ b/extproc/src/main/java/martenlatch/frontend/extproc/RequestHistory.java
@@ -11,47 +11,53 @@
 import martenlatch.policy.api.RequestClass;
 
 /**
- * Tells what a stream's request is, by what is known of its id. The table holds every id that is in flight, and those
- * whose request may have executed and must not simply be repeated, for as long as a proxy may still come back with
- * them. It is bounded: while it is full, new requests are rejected, and nothing is forgotten early. No I/O, no clock;
- * times are milliseconds on the caller's clock.
+ * Classifies a stream's request by the history of its id. The table holds all ids in flight, and those whose request
+ * may have executed and must not simply be repeated, for as long as a proxy may still retry them. Its size is bounded:
+ * while it is full, new requests are rejected, and none of these ids is forgotten early. It does no I/O and reads no
+ * clock; times are milliseconds on the caller's clock.
  */
 final class RequestHistory {
 
-    /** The share of a deduplication window that is used: a proxy's clock of attempts and this one differ a little. */
+    /**
+     * Only this share of a deduplication window is used, because the proxy and this process time an attempt slightly
+     * differently.
+     */
     private static final double WINDOW_SHARE = 0.9;
 
-    /** What a stream's request is. */
+    /** The classification of a stream's request. */
     enum Arrival {
-        /** A request that is not known, is known not to have executed, or may be repeated. */
+        /** The request is unknown, is known not to have executed, or may be repeated. */
         NEW_REQUEST,
-        /** The next attempt of a request in flight whose last one is over, lost, or given up by the proxy. */
+        /**
+         * The next attempt of a request in flight whose latest attempt has ended, is lost, or was given up by the
+         * proxy.
+         */
         NEXT_ATTEMPT,
-        /** A request that a proxy is sending right now. */
+        /** Another stream has a decision for this request, or the request tracker still has one of this id. */
         IN_FLIGHT,
-        /** A request that may have executed and must not be repeated: it has failed. */
+        /** The request may have executed and must not be repeated, so it fails. */
         MAY_HAVE_EXECUTED,
-        /** There is no room to remember it: it is rejected, as it was not executed. */
+        /** The table is full: the request is rejected without having executed. */
         TABLE_FULL
     }
 
     private enum Phase {
-        /** A proxy has a decision, on a stream that exists. */
+        /** A stream is open for it, which has a decision or waits for one. */
         DECIDED,
-        /** A decision was written, and its stream ended without a result. */
+        /** The stream with the decision ended without a result. */
         STREAM_LOST,
-        /** The last attempt is over and the next one decided on; it waits for its stream. */
+        /** The latest attempt has ended; the next one is decided on and waits for its stream. */
         OFFERED,
-        /** The request is over and may have executed. */
+        /** The request has ended and may have executed. */
         ENDED
     }
 
     private static final class Entry {
         final String id;
         Phase phase = Phase.DECIDED;
-        /** The proxy's count of attempts on the latest stream; 0 if it told none. */
+        /** The highest attempt count that the proxy has sent; 0 if it sent none. */
         int attempt;
-        /** The earliest time at which it may have begun to execute; NaN if it surely has not. */
+        /** The earliest time at which it may have begun to execute; NaN if it certainly has not. */
         double mayHaveExecutedMs = Double.NaN;
 
         double forgetMs;
@@ -61,25 +67,25 @@
         }
     }
 
-    /** All attempts of an id up to this one are known not to have executed. */
+    /** Records that all attempts of an id up to this one are known not to have executed. */
     private record NeverExecuted(int attempt, double forgetMs) {}
 
     private final int maxIds;
     private final double rememberMs;
     private final Map<String, Entry> entries = new HashMap<>();
-    /** Entries that have ended, in the order in which they will be forgotten. */
+    /** Entries of ended requests, in the order in which they will be forgotten. */
     private final Deque<Entry> ended = new ArrayDeque<>();
     /**
-     * Requests that are over and surely not executed, the oldest first: a later attempt of one is not an unknown
-     * request. If one is forgotten early, its next attempt fails and nothing worse: so the oldest make room.
+     * Requests that have ended and certainly not executed, oldest first, so that a later attempt of one is not taken
+     * for an unknown request. When it is full the oldest is evicted: its next attempt merely fails.
      */
     private final LinkedHashMap<String, NeverExecuted> neverExecuted = new LinkedHashMap<>();
 
     /**
      * Creates an empty table.
      *
-     * @param maxIds how many ids it may hold, those in flight among them
-     * @param rememberMs for how long after its end an id may still come back, in milliseconds
+     * @param maxIds the maximum number of ids, including those in flight
+     * @param rememberMs how long an id is remembered after its request has ended
      */
     RequestHistory(int maxIds, double rememberMs) {
         this.maxIds = maxIds;
@@ -87,10 +93,10 @@
     }
 
     /**
-     * A stream has brought a request. After {@link Arrival#NEW_REQUEST} and {@link Arrival#NEXT_ATTEMPT} the proxy that
-     * asked has the request; after the others nothing has changed.
+     * Called when a stream has received a request. With {@link Arrival#NEW_REQUEST} and {@link Arrival#NEXT_ATTEMPT}
+     * the request is now recorded as belonging to that stream; with the others it is not.
      *
-     * @param attempt the proxy's count of attempts, from 1; 0 if it tells none
+     * @param attempt the proxy's attempt count, from 1; 0 if it sends none
      * @param pending whether the request tracker still has a request of this id
      */
     Arrival onArrival(double nowMs, String id, RequestClass requestClass, int attempt, boolean pending) {
@@ -99,8 +105,8 @@
         if (known != null && known.phase != Phase.ENDED) {
             return onNextStream(known, attempt);
         }
-        double executedMs = earliestExecution(nowMs, id, requestClass, attempt, known);
-        if (!Double.isNaN(executedMs) && !mayRepeat(nowMs, requestClass, executedMs)) {
+        double earliestExecutionMs = earliestExecution(nowMs, id, requestClass, attempt, known);
+        if (!Double.isNaN(earliestExecutionMs) && !mayRepeat(nowMs, requestClass, earliestExecutionMs)) {
             return Arrival.MAY_HAVE_EXECUTED;
         }
         if (pending) {
@@ -111,15 +117,15 @@
             onNeverExecuted(nowMs, id, requestClass, attempt);
             return Arrival.TABLE_FULL;
         }
-        Entry fresh = new Entry(id);
-        fresh.attempt = attempt;
-        fresh.mayHaveExecutedMs = executedMs;
-        entries.put(id, fresh);
+        Entry added = new Entry(id);
+        added.attempt = attempt;
+        added.mayHaveExecutedMs = earliestExecutionMs;
+        entries.put(id, added);
         neverExecuted.remove(id);
         return Arrival.NEW_REQUEST;
     }
 
-    /** The earliest time at which an earlier attempt may have executed, or NaN if none has. */
+    /** Returns the earliest time at which an earlier attempt may have executed, or NaN if none has. */
     private double earliestExecution(double nowMs, String id, RequestClass requestClass, int attempt, Entry known) {
         if (known != null) {
             return known.mayHaveExecutedMs;
@@ -127,9 +133,9 @@
         return isNeverExecuted(id, attempt - 1) ? Double.NaN : nowMs - requestClass.deadlineMs();
     }
 
-    /** A stream for a request that is in flight. */
+    /** Classifies a stream for a request that is in flight. */
     private static Arrival onNextStream(Entry entry, int attempt) {
-        // A higher count tells that the proxy has given up the earlier attempt, although its stream exists.
+        // A higher count means that the proxy has given up the earlier attempt, although its stream is still open.
         boolean isHigher = entry.attempt != 0 && attempt > entry.attempt;
         if (entry.phase == Phase.DECIDED && !isHigher) {
             return Arrival.IN_FLIGHT;
@@ -140,44 +146,45 @@
     }
 
     /**
-     * Whether all attempts up to one are known not to have executed. One that is not known was decided on by a process
-     * that has ended, or so long ago that it is forgotten; no earlier than its client can have waited.
+     * Returns whether all attempts up to one are known not to have executed. An unknown attempt was decided on by an
+     * earlier process, or so long ago that it is forgotten. Its start is assumed to be one class deadline ago, because
+     * no client waits longer.
      */
     private boolean isNeverExecuted(String id, int upTo) {
         NeverExecuted known = neverExecuted.get(id);
         return upTo <= 0 || (known != null && known.attempt() >= upTo);
     }
 
-    /** A stream got no decision: the attempt that it was for has not executed. */
+    /** Called when a stream received no decision, so that its attempt has not executed. */
     void onNeverExecuted(double nowMs, String id, RequestClass requestClass, int attempt) {
         boolean mayRepeatAnyway = requestClass.idempotency() == Idempotency.IDEMPOTENT;
         if (mayRepeatAnyway || entries.containsKey(id) || !isNeverExecuted(id, attempt - 1)) {
             return;
         }
-        NeverExecuted before = neverExecuted.remove(id);
+        NeverExecuted previous = neverExecuted.remove(id);
         if (neverExecuted.size() >= maxIds) {
             neverExecuted.remove(neverExecuted.keySet().iterator().next());
         }
-        int upTo = before == null ? attempt : Math.max(before.attempt(), attempt);
+        int upTo = previous == null ? attempt : Math.max(previous.attempt(), attempt);
         neverExecuted.put(id, new NeverExecuted(upTo, nowMs + rememberMs));
     }
 
-    /** Whether a request that may have executed may go anywhere; where it executed is not known here any more. */
-    private static boolean mayRepeat(double nowMs, RequestClass requestClass, double executedMs) {
+    /** Returns whether a request that may have executed may be sent to any endpoint; where it executed is unknown. */
+    private static boolean mayRepeat(double nowMs, RequestClass requestClass, double earliestExecutionMs) {
         if (requestClass.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
         return requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
                 && requestClass.deduplicationScope() == DeduplicationScope.ALL
-                && nowMs - executedMs < requestClass.deduplicationWindowMs() * WINDOW_SHARE;
+                && nowMs - earliestExecutionMs < requestClass.deduplicationWindowMs() * WINDOW_SHARE;
     }
 
-    /** The next attempt is decided on and waits for its stream. */
+    /** Called when the next attempt is decided on and waits for its stream. */
     void onOffered(String id) {
         setPhase(id, Phase.OFFERED);
     }
 
-    /** The stream that had a decision has ended, and nothing is known of its result. */
+    /** Called when the stream that had a decision has ended without a result. */
     void onStreamLost(String id) {
         setPhase(id, Phase.STREAM_LOST);
     }
@@ -190,9 +197,9 @@
     }
 
     /**
-     * A request is over, with its final answer or without.
+     * Called when a request has ended, with a final answer or without one.
      *
-     * @param mayHaveExecutedMs the earliest time at which it may have begun to execute; NaN if it surely has not
+     * @param mayHaveExecutedMs the earliest time at which it may have begun to execute; NaN if it certainly has not
      */
     void onEnded(double nowMs, String id, RequestClass requestClass, double mayHaveExecutedMs) {
         forgetOld(nowMs);
@@ -200,7 +207,7 @@
         if (entry == null || entry.phase == Phase.ENDED) {
             return;
         }
-        // An earlier request of this id may have executed as well: the first of all binds.
+        // An earlier request of this id may have executed as well; the earliest time counts.
         if (Double.isNaN(entry.mayHaveExecutedMs) || mayHaveExecutedMs < entry.mayHaveExecutedMs) {
             entry.mayHaveExecutedMs = mayHaveExecutedMs;
         }
@@ -216,11 +223,11 @@
         ended.addLast(entry);
     }
 
-    /** Forgets the requests that no proxy comes back with any more. */
+    /** Forgets the requests that proxies no longer retry. */
     void forgetOld(double nowMs) {
         while (!ended.isEmpty() && ended.peekFirst().forgetMs <= nowMs) {
             Entry old = ended.pollFirst();
-            // One that was repeated within its window has another entry by now.
+            // A request that was repeated within its deduplication window has a newer entry, which must stay.
             entries.remove(old.id, old);
         }
         Iterator<NeverExecuted> oldest = neverExecuted.values().iterator();
@@ -229,7 +236,7 @@
         }
     }
 
-    /** The number of ids in the table. */
+    /** Returns the number of ids in the table. */
     int size() {
         return entries.size() + neverExecuted.size();
     }
--- a/extproc/src/main/java/martenlatch/frontend/extproc/package-info.java
+++ b/extproc/src/main/java/martenlatch/frontend/extproc/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Other proxies over gRPC (Envoy's external processing): each of their requests is a processing stream, answered by the
- * same load balancer. It may use {@code frontend}, {@code request} and {@code policy.api}; it sends nothing to
- * endpoints itself.
+ * The frontend for other proxies, over gRPC (Envoy's external processing). Each attempt of a proxy's request is a
+ * processing stream, for which the same load balancer decides. This package may use {@code frontend}, {@code request}
+ * and {@code policy.api}; it sends nothing to endpoints itself.
  */
 package martenlatch.frontend.extproc;
--- a/extproc/src/main/java/martenlatch/world/ProcessingStreamLoad.java
+++ b/extproc/src/main/java/martenlatch/world/ProcessingStreamLoad.java
@@ -28,37 +28,37 @@
 import org.HdrHistogram.ConcurrentHistogram;
 
 /**
- * Consults a processor as proxies would: at a rate, with arrivals that wait for no answer (latency counts
- * from the intended time to the decision), or as fast as so many streams at once allow. Each consultation is
- * a stream of two messages each way. Bounded in time and in streams that are open at once.
+ * A load generator that opens processing streams as proxies would: either open-loop at a given rate, with latency
+ * measured from the intended send time to the decision, or closed-loop with a given number of concurrent streams. Each
+ * stream carries two messages each way. Both the duration and the number of open streams are bounded.
  */
 public final class ProcessingStreamLoad {
 
     private static final int CONNECTIONS = 4;
-    /** More open streams than this are not waited for: the processor is far behind. */
-    private static final int MOST_OPEN = 20_000;
+    /** Above this number of open streams the processor is far behind, and further streams count as failed. */
+    private static final int MAX_OPEN_STREAMS = 20_000;
 
-    private static final long LONGEST_US = 60_000_000;
-    /** Both sides compile for some seconds under full load before they show what they can do. */
-    private static final int WARM_S = 8;
+    private static final long MAX_LATENCY_US = 60_000_000;
+    /** The JIT compilers of both sides need some seconds under full load before they reach their steady state. */
+    private static final int WARMUP_S = 8;
 
-    private static final int WARM_STREAMS = 64;
-    /** Beyond this lateness of a send its latency would be the load's and not the processor's. */
-    private static final long LATE_NANOS = 1_000_000;
+    private static final int WARMUP_STREAMS = 64;
+    /** Sends later than this are counted, because their latency includes delays of the load generator. */
+    private static final long LATE_SEND_NANOS = 1_000_000;
 
-    private static final int DRAIN_S = 5;
+    private static final int COMPLETION_WAIT_S = 5;
 
     private final List<ExternalProcessorGrpc.ExternalProcessorStub> stubs = new ArrayList<>();
     private final List<ManagedChannel> channels = new ArrayList<>();
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(CONNECTIONS, NioIoHandler.newFactory());
-    private final ConcurrentHistogram decisions = new ConcurrentHistogram(LONGEST_US, 3);
-    private final AtomicLong done = new AtomicLong();
-    private final AtomicLong refused = new AtomicLong();
+    private final ConcurrentHistogram decisionLatenciesUs = new ConcurrentHistogram(MAX_LATENCY_US, 3);
+    private final AtomicLong completed = new AtomicLong();
+    private final AtomicLong rejected = new AtomicLong();
     private final AtomicLong failed = new AtomicLong();
-    private final AtomicInteger open = new AtomicInteger();
-    private final String run = Long.toHexString(ThreadLocalRandom.current().nextLong());
-    private long count;
+    private final AtomicInteger openStreams = new AtomicInteger();
+    private final String runId = Long.toHexString(ThreadLocalRandom.current().nextLong());
+    private long openedStreams;
 
     private ProcessingStreamLoad(InetSocketAddress processor) {
         for (int i = 0; i < CONNECTIONS; i++) {
@@ -74,91 +74,94 @@
     }
 
     /**
-     * Runs one load and prints one line.
+     * Runs one warm-up and one measurement, and prints one line of results.
      *
-     * @param perSecond consultations a second, or 0 for as many as the streams allow
-     * @param streams how many are open at once where no rate is given
-     * @param kind the class that they name
+     * @param perSecond the number of streams to open per second, or 0 to keep a fixed number of streams open
+     * @param streams the number of concurrent streams if no rate is given
+     * @param requestClass the request class that all requests name
      */
     public static void run(
-            InetSocketAddress processor, int perSecond, int streams, String kind, int seconds, PrintStream out)
+            InetSocketAddress processor, int perSecond, int streams, String requestClass, int seconds, PrintStream out)
             throws InterruptedException {
         ProcessingStreamLoad load = new ProcessingStreamLoad(processor);
         try {
-            load.phase(0, WARM_STREAMS, kind, WARM_S);
-            load.decisions.reset();
-            load.done.set(0);
-            load.refused.set(0);
+            load.runPhase(0, WARMUP_STREAMS, requestClass, WARMUP_S);
+            load.decisionLatenciesUs.reset();
+            load.completed.set(0);
+            load.rejected.set(0);
             load.failed.set(0);
-            long late = load.phase(perSecond, streams, kind, seconds);
+            long lateSends = load.runPhase(perSecond, streams, requestClass, seconds);
             out.printf(
                     Locale.ROOT,
                     "%s %d/s: done %.0f/s, refused %d, failed %d, open %d, late sends %d; "
                             + "decision ms p50 %.2f p90 %.2f p99 %.2f p99.9 %.2f max %.2f%n",
                     perSecond == 0 ? streams + " streams," : "rate",
                     perSecond,
-                    load.done.get() / (double) seconds,
-                    load.refused.get(),
+                    load.completed.get() / (double) seconds,
+                    load.rejected.get(),
                     load.failed.get(),
-                    load.open.get(),
-                    late,
-                    load.ms(50),
-                    load.ms(90),
-                    load.ms(99),
-                    load.ms(99.9),
-                    load.ms(100));
+                    load.openStreams.get(),
+                    lateSends,
+                    load.latencyMs(50),
+                    load.latencyMs(90),
+                    load.latencyMs(99),
+                    load.latencyMs(99.9),
+                    load.latencyMs(100));
         } finally {
             load.channels.forEach(ManagedChannel::shutdownNow);
             load.group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
     }
 
-    private double ms(double percentile) {
-        return decisions.getValueAtPercentile(percentile) / 1000.0;
+    private double latencyMs(double percentile) {
+        return decisionLatenciesUs.getValueAtPercentile(percentile) / 1000.0;
     }
 
-    /** Returns how many sends were later than a millisecond. */
-    private long phase(int perSecond, int streams, String kind, int seconds) throws InterruptedException {
-        long began = System.nanoTime();
-        long until = began + seconds * 1_000_000_000L;
-        long late = 0;
+    /** Runs one phase and returns the number of sends that were later than {@link #LATE_SEND_NANOS}. */
+    private long runPhase(int perSecond, int streams, String requestClass, int seconds) throws InterruptedException {
+        long startNanos = System.nanoTime();
+        long endNanos = startNanos + seconds * 1_000_000_000L;
+        long lateSends = 0;
         if (perSecond == 0) {
-            Semaphore room = new Semaphore(streams);
-            while (System.nanoTime() < until) {
-                if (room.tryAcquire(100, TimeUnit.MILLISECONDS)) {
-                    consult(System.nanoTime(), kind, room);
+            Semaphore permits = new Semaphore(streams);
+            while (System.nanoTime() < endNanos) {
+                if (permits.tryAcquire(100, TimeUnit.MILLISECONDS)) {
+                    openStream(System.nanoTime(), requestClass, permits);
                 }
             }
-            room.tryAcquire(streams, DRAIN_S, TimeUnit.SECONDS);
+            permits.tryAcquire(streams, COMPLETION_WAIT_S, TimeUnit.SECONDS);
             return 0;
         }
-        double gap = 1e9 / perSecond;
-        for (long i = 0; began + (long) (i * gap) < until; i++) {
-            long intended = began + (long) (i * gap);
-            for (long left = intended - System.nanoTime(); left > 0; left = intended - System.nanoTime()) {
-                if (left > 100_000) {
-                    LockSupport.parkNanos(left - 50_000);
+        double intervalNanos = 1e9 / perSecond;
+        for (long i = 0; startNanos + (long) (i * intervalNanos) < endNanos; i++) {
+            long intendedNanos = startNanos + (long) (i * intervalNanos);
+            for (long remainingNanos = intendedNanos - System.nanoTime();
+                    remainingNanos > 0;
+                    remainingNanos = intendedNanos - System.nanoTime()) {
+                if (remainingNanos > 100_000) {
+                    LockSupport.parkNanos(remainingNanos - 50_000);
                 } else {
                     Thread.onSpinWait();
                 }
             }
-            late += System.nanoTime() - intended > LATE_NANOS ? 1 : 0;
-            if (open.get() < MOST_OPEN) {
-                consult(intended, kind, null);
+            lateSends += System.nanoTime() - intendedNanos > LATE_SEND_NANOS ? 1 : 0;
+            if (openStreams.get() < MAX_OPEN_STREAMS) {
+                openStream(intendedNanos, requestClass, null);
             } else {
                 failed.incrementAndGet();
             }
         }
-        for (int i = 0; i < DRAIN_S * 100 && open.get() > 0; i++) {
+        for (int i = 0; i < COMPLETION_WAIT_S * 100 && openStreams.get() > 0; i++) {
             Thread.sleep(10);
         }
-        return late;
+        return lateSends;
     }
 
-    private void consult(long intended, String kind, Semaphore room) {
-        open.incrementAndGet();
-        Talk talk = new Talk(intended, room);
-        HeaderMap.Builder heads = HeaderMap.newBuilder()
+    /** Opens a stream and sends its request headers. */
+    private void openStream(long intendedNanos, String requestClass, Semaphore permits) {
+        openStreams.incrementAndGet();
+        LoadStream stream = new LoadStream(intendedNanos, permits);
+        HeaderMap.Builder headers = HeaderMap.newBuilder()
                 .addHeaders(header(":method", "GET"))
                 .addHeaders(header(":path", "/api?day=2026-12-01"))
                 .addHeaders(header(":authority", "app.svc"))
@@ -167,12 +170,12 @@
                 .addHeaders(header("accept", "*/*"))
                 .addHeaders(header("x-forwarded-proto", "http"))
                 .addHeaders(header("x-envoy-attempt-count", "1"))
-                .addHeaders(header("x-request-id", run + "-" + count))
-                .addHeaders(header("x-class", kind))
+                .addHeaders(header("x-request-id", runId + "-" + openedStreams))
+                .addHeaders(header("x-class", requestClass))
                 .addHeaders(header("x-deadline-ms", "1000"));
-        talk.out = stubs.get((int) (count++ % CONNECTIONS)).process(talk);
-        talk.out.onNext(ProcessingRequest.newBuilder()
-                .setRequestHeaders(HttpHeaders.newBuilder().setHeaders(heads))
+        stream.requests = stubs.get((int) (openedStreams++ % CONNECTIONS)).process(stream);
+        stream.requests.onNext(ProcessingRequest.newBuilder()
+                .setRequestHeaders(HttpHeaders.newBuilder().setHeaders(headers))
                 .build());
     }
 
@@ -183,28 +186,29 @@
                 .build();
     }
 
-    private final class Talk implements StreamObserver<ProcessingResponse> {
+    /** One stream; answers a decision with a 200 response. */
+    private final class LoadStream implements StreamObserver<ProcessingResponse> {
         private static final ProcessingRequest SERVED = ProcessingRequest.newBuilder()
                 .setResponseHeaders(HttpHeaders.newBuilder()
                         .setHeaders(HeaderMap.newBuilder().addHeaders(header(":status", "200"))))
                 .build();
 
-        private final long intended;
-        private final Semaphore room;
-        private volatile StreamObserver<ProcessingRequest> out;
+        private final long intendedNanos;
+        private final Semaphore permits;
+        private volatile StreamObserver<ProcessingRequest> requests;
 
-        Talk(long intended, Semaphore room) {
-            this.intended = intended;
-            this.room = room;
+        LoadStream(long intendedNanos, Semaphore permits) {
+            this.intendedNanos = intendedNanos;
+            this.permits = permits;
         }
 
         @Override
         public void onNext(ProcessingResponse message) {
             if (message.hasRequestHeaders()) {
-                decisions.recordValue(Math.min(LONGEST_US, (System.nanoTime() - intended) / 1000));
-                out.onNext(SERVED);
+                decisionLatenciesUs.recordValue(Math.min(MAX_LATENCY_US, (System.nanoTime() - intendedNanos) / 1000));
+                requests.onNext(SERVED);
             } else if (message.hasImmediateResponse()) {
-                refused.incrementAndGet();
+                rejected.incrementAndGet();
             }
         }
 
@@ -216,15 +220,15 @@
 
         @Override
         public void onCompleted() {
-            done.incrementAndGet();
-            out.onCompleted();
+            completed.incrementAndGet();
+            requests.onCompleted();
             end();
         }
 
         private void end() {
-            open.decrementAndGet();
-            if (room != null) {
-                room.release();
+            openStreams.decrementAndGet();
+            if (permits != null) {
+                permits.release();
             }
         }
     }
--- a/extproc/src/main/java/martenlatch/world/StandInProxy.java
+++ b/extproc/src/main/java/martenlatch/world/StandInProxy.java
@@ -51,90 +51,95 @@
 import martenlatch.request.Scheduler;
 
 /**
- * A proxy that consults an external processor for each request over the published protocol
- * ({@code envoy.service.ext_proc.v3}) and sends it where it is told. One thread; one request at a time on a
- * client's connection; bodies of 64 KiB at most. What it does wrong on purpose is up to its {@link Conduct}.
+ * A simple proxy that asks an external processor about each request over the published protocol
+ * ({@code envoy.service.ext_proc.v3}) and sends the request to the endpoint that the processor names. It runs on one
+ * thread, serves one request at a time per client connection and accepts bodies of at most 64 KiB. A {@link Behavior}
+ * can inject faults.
  */
 public final class StandInProxy {
 
-    private static final int MOST_BODY = 64 * 1024;
-    private static final String DESTINATION = "x-gateway-destination-endpoint";
-    private static final String TIMEOUT = "x-envoy-upstream-rq-timeout-ms";
-    private static final String RETRY = "x-martenlatch-retry";
-    /** Bits of Envoy's attribute response.flags. */
-    private static final int UPSTREAM_TIMEOUT = 1 << 2;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final String DESTINATION_HEADER = "x-gateway-destination-endpoint";
+    private static final String TIMEOUT_HEADER = "x-envoy-upstream-rq-timeout-ms";
+    private static final String RETRY_HEADER = "x-martenlatch-retry";
+    /** A bit of Envoy's attribute {@code response.flags}, as are the next two. */
+    private static final int UPSTREAM_TIMEOUT_FLAG = 1 << 2;
 
-    private static final int CONNECTION_FAILURE = 1 << 5;
-    private static final int CONNECTION_TERMINATION = 1 << 6;
+    private static final int CONNECTION_FAILURE_FLAG = 1 << 5;
+    private static final int CONNECTION_TERMINATION_FLAG = 1 << 6;
 
-    /** What to do when the processor does not answer in time, or its stream breaks. */
-    public enum WhenAway {
-        /** The request fails, which is how a proxy before this processor is to be configured. */
+    /** What to do when the processor does not answer in time or its stream fails. */
+    public enum ProcessorFailureMode {
+        /** Fail the request. Proxies that use this processor must be configured so. */
         FAIL,
-        /** Consult again, as the next attempt. */
+        /** Ask the processor again, as the next attempt. */
         ASK_AGAIN,
-        /** Send it to a fixed endpoint with no decision. */
-        GO_ON
+        /** Send the request to a fixed endpoint without a decision. */
+        BYPASS
     }
 
-    /** How the proxy behaves; as it stands here, well. */
-    public interface Conduct {
-        /** A proxy that does all as it should. */
-        Conduct GOOD = new Conduct() {};
+    /** Controls how the proxy behaves; the default methods describe a correct proxy. */
+    public interface Behavior {
+        /** A proxy without faults. */
+        Behavior CORRECT = new Behavior() {};
 
-        /** Milliseconds that pass between a decision and the connect that follows from it. */
-        default double slownessMs(String id, int attempt) {
+        /** Returns the delay between a decision and the connect to its endpoint, in milliseconds. */
+        default double sendDelayMs(String id, int attempt) {
             return 0;
         }
 
-        /** How long an endpoint's answer is waited for, in milliseconds, where so much was told. */
-        default double waitMs(String id, int attempt, double told) {
-            return told;
+        /** Returns how long to wait for an endpoint's response, given the time-out of the decision, in milliseconds. */
+        default double waitMs(String id, int attempt, double timeoutMs) {
+            return timeoutMs;
         }
 
-        /** Whether the stream is broken off once a decision is there; the request goes on without it. */
-        default boolean breaksOff(String id, int attempt) {
+        /** Returns whether to cancel the stream after its decision; the request proceeds without it. */
+        default boolean cancelsStream(String id, int attempt) {
             return false;
         }
 
-        /** Whether another stream asks for the same attempt at the same time; its answer is only noted. */
-        default boolean asksTwice(String id, int attempt) {
+        /** Returns whether to open a second stream for the same attempt, whose decision is not carried out. */
+        default boolean opensSecondStream(String id, int attempt) {
             return false;
         }
 
-        /** What the second stream was told: the status of an immediate response, or 0 for a decision. */
-        default void toldTwice(String id, int status) {}
+        /** Called when the second stream has a result: the status of an immediate response, or 0 for a decision. */
+        default void onSecondResult(String id, int status) {}
     }
 
     /**
-     * What a proxy is configured with; times in milliseconds.
+     * The configuration of a proxy.
      *
-     * @param tries how often a request may be consulted about
-     * @param fallback the endpoint for {@link WhenAway#GO_ON}
+     * @param maxAttempts the maximum number of attempts per request
+     * @param fallback the endpoint for {@link ProcessorFailureMode#BYPASS}, or null
      */
     public record Options(
             double messageTimeoutMs,
             double connectTimeoutMs,
-            int tries,
-            WhenAway whenAway,
+            int maxAttempts,
+            ProcessorFailureMode failureMode,
             InetSocketAddress fallback) {}
 
     private final EventLoop loop;
-    private final Scheduler time;
+    private final Scheduler scheduler;
     private final Options options;
-    private final Conduct conduct;
+    private final Behavior behavior;
     private final ManagedChannel processor;
     private final ExternalProcessorGrpc.ExternalProcessorStub stub;
     private Channel listener;
 
-    /** A proxy that is to consult a processor at an address; it listens only when told to. */
+    /** Creates a proxy that uses the processor at an address; it does not listen yet. */
     public StandInProxy(
-            EventLoop loop, Scheduler time, InetSocketAddress processorAt, Options options, Conduct conduct) {
+            EventLoop loop,
+            Scheduler scheduler,
+            InetSocketAddress processorAddress,
+            Options options,
+            Behavior behavior) {
         this.loop = loop;
-        this.time = time;
+        this.scheduler = scheduler;
         this.options = options;
-        this.conduct = conduct;
-        processor = NettyChannelBuilder.forAddress(processorAt)
+        this.behavior = behavior;
+        processor = NettyChannelBuilder.forAddress(processorAddress)
                 .usePlaintext()
                 .eventLoopGroup(loop)
                 .channelType(NioSocketChannel.class)
@@ -143,7 +148,7 @@
         stub = ExternalProcessorGrpc.newStub(processor);
     }
 
-    /** Takes clients. */
+    /** Starts to listen for clients. */
     public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop)
@@ -154,7 +159,10 @@
                     @Override
                     protected void initChannel(SocketChannel accepted) {
                         accepted.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY), new Downstream());
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(MAX_BODY_BYTES),
+                                        new Downstream());
                     }
                 })
                 .bind(address);
@@ -162,7 +170,7 @@
         return bound;
     }
 
-    /** Stops taking clients and leaves the processor; streams that stand are broken off. */
+    /** Stops listening and disconnects from the processor; open streams are cancelled. */
     public void close() {
         if (listener != null) {
             listener.close();
@@ -170,19 +178,20 @@
         processor.shutdownNow();
     }
 
+    /** Handles one client connection. */
     private final class Downstream extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private Passing passing;
+        private ProxiedRequest proxiedRequest;
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            passing = new Passing(ctx.channel(), request);
-            passing.consult();
+            proxiedRequest = new ProxiedRequest(ctx.channel(), request);
+            proxiedRequest.consult();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (passing != null) {
-                passing.clientGone();
+            if (proxiedRequest != null) {
+                proxiedRequest.onClientDisconnected();
             }
         }
 
@@ -192,15 +201,15 @@
         }
     }
 
-    /** A response on its way to the client. */
+    /** A response for the client. */
     private record Reply(int status, io.netty.handler.codec.http.HttpHeaders headers, byte[] body) {
-        static Reply local(int status, String why) {
-            return new Reply(status, new DefaultHttpHeaders(), (why + "\n").getBytes(StandardCharsets.US_ASCII));
+        static Reply generate(int status, String reason) {
+            return new Reply(status, new DefaultHttpHeaders(), (reason + "\n").getBytes(StandardCharsets.US_ASCII));
         }
     }
 
-    /** One request of a client's, through all of its attempts. */
-    private final class Passing {
+    /** A client's request with all of its attempts. */
+    private final class ProxiedRequest {
         private final Channel client;
         private final HttpMethod method;
         private final String uri;
@@ -208,13 +217,13 @@
         private final byte[] body;
         private final String id;
         private int attempt;
-        private Asking asking;
+        private ProcessorStream stream;
         private Channel upstream;
-        private Scheduler.Timer limit;
-        private Reply held;
-        private boolean over;
+        private Scheduler.Timer timer;
+        private Reply pendingReply;
+        private boolean finished;
 
-        Passing(Channel client, FullHttpRequest request) {
+        ProxiedRequest(Channel client, FullHttpRequest request) {
             this.client = client;
             method = request.method();
             uri = request.uri();
@@ -223,31 +232,32 @@
             id = headers.get("X-Request-Id", "");
         }
 
-        private void limit(double ms, Runnable late) {
-            unlimited();
-            limit = time.after(ms, late);
+        /** Replaces the running timer, if any. */
+        private void startTimer(double ms, Runnable onTimeout) {
+            cancelTimer();
+            timer = scheduler.after(ms, onTimeout);
         }
 
-        private void unlimited() {
-            if (limit != null) {
-                limit.cancel();
-                limit = null;
+        private void cancelTimer() {
+            if (timer != null) {
+                timer.cancel();
+                timer = null;
             }
         }
 
-        // ---- asking the processor ----
+        // ---- the processor ----
 
         void consult() {
             attempt++;
             ProcessingRequest head = ProcessingRequest.newBuilder()
                     .setRequestHeaders(requestHead())
                     .build();
-            asking = new Asking(this);
-            if (conduct.asksTwice(id, attempt)) {
-                new Second(id).ask(head);
+            stream = new ProcessorStream(this);
+            if (behavior.opensSecondStream(id, attempt)) {
+                new SecondStream(id).open(head);
             }
-            limit(options.messageTimeoutMs(), () -> processorAway("no answer in time"));
-            asking.ask(head);
+            startTimer(options.messageTimeoutMs(), () -> onProcessorFailure("no answer in time"));
+            stream.open(head);
         }
 
         private HttpHeaders.Builder requestHead() {
@@ -263,70 +273,72 @@
             return HttpHeaders.newBuilder().setHeaders(map).setEndOfStream(body.length == 0);
         }
 
-        void processorAway(String why) {
-            if (over) {
+        void onProcessorFailure(String reason) {
+            if (finished) {
                 return;
             }
-            unlimited();
-            boolean responding = held != null;
-            asking.leave();
-            if (responding || options.whenAway() == WhenAway.FAIL || attempt >= options.tries()) {
-                answer(Reply.local(responding ? 500 : 504, "processor: " + why));
-            } else if (options.whenAway() == WhenAway.ASK_AGAIN) {
+            cancelTimer();
+            boolean awaitsResponseMutation = pendingReply != null;
+            stream.cancel();
+            if (awaitsResponseMutation
+                    || options.failureMode() == ProcessorFailureMode.FAIL
+                    || attempt >= options.maxAttempts()) {
+                sendToClient(Reply.generate(awaitsResponseMutation ? 500 : 504, "processor: " + reason));
+            } else if (options.failureMode() == ProcessorFailureMode.ASK_AGAIN) {
                 consult();
             } else {
                 connect(options.fallback(), options.connectTimeoutMs(), 0);
             }
         }
 
-        void told(ProcessingResponse message) {
-            if (over) {
+        void onProcessorMessage(ProcessingResponse message) {
+            if (finished) {
                 return;
             }
-            unlimited();
+            cancelTimer();
             if (message.hasImmediateResponse()) {
-                ImmediateResponse made = message.getImmediateResponse();
+                ImmediateResponse immediate = message.getImmediateResponse();
                 Reply reply = new Reply(
-                        made.getStatus().getCodeValue(),
+                        immediate.getStatus().getCodeValue(),
                         new DefaultHttpHeaders(),
-                        made.getBody().toByteArray());
-                mutate(reply.headers(), made.getHeaders());
-                answer(reply);
-            } else if (held == null && message.hasRequestHeaders()) {
-                decided(message.getRequestHeaders().getResponse().getHeaderMutation());
-            } else if (held != null && message.hasResponseHeaders()) {
-                respond(message.getResponseHeaders().getResponse().getHeaderMutation());
+                        immediate.getBody().toByteArray());
+                mutate(reply.headers(), immediate.getHeaders());
+                sendToClient(reply);
+            } else if (pendingReply == null && message.hasRequestHeaders()) {
+                onDecision(message.getRequestHeaders().getResponse().getHeaderMutation());
+            } else if (pendingReply != null && message.hasResponseHeaders()) {
+                applyResponseMutation(message.getResponseHeaders().getResponse().getHeaderMutation());
             } else {
-                processorAway("spurious message " + message.getResponseCase());
+                onProcessorFailure("spurious message " + message.getResponseCase());
             }
         }
 
-        private void decided(HeaderMutation mutation) {
+        private void onDecision(HeaderMutation mutation) {
             mutate(headers, mutation);
-            URI at = URI.create("http://" + headers.get(DESTINATION, ""));
-            double wait = conduct.waitMs(id, attempt, Double.parseDouble(headers.get(TIMEOUT, "15000")));
-            double slowness = conduct.slownessMs(id, attempt);
-            double sendBy = time.now() + options.connectTimeoutMs();
-            if (conduct.breaksOff(id, attempt)) {
-                asking.leave();
+            URI destination = URI.create("http://" + headers.get(DESTINATION_HEADER, ""));
+            double waitMs = behavior.waitMs(id, attempt, Double.parseDouble(headers.get(TIMEOUT_HEADER, "15000")));
+            double delayMs = behavior.sendDelayMs(id, attempt);
+            double sendByMs = scheduler.now() + options.connectTimeoutMs();
+            if (behavior.cancelsStream(id, attempt)) {
+                stream.cancel();
             }
-            InetSocketAddress to = new InetSocketAddress(at.getHost(), at.getPort());
-            if (slowness > 0) {
-                limit(slowness, () -> connectBy(to, sendBy, wait));
+            InetSocketAddress to = new InetSocketAddress(destination.getHost(), destination.getPort());
+            if (delayMs > 0) {
+                startTimer(delayMs, () -> connectBy(to, sendByMs, waitMs));
             } else {
-                connectBy(to, sendBy, wait);
+                connectBy(to, sendByMs, waitMs);
             }
         }
 
         // ---- the endpoint ----
 
-        /** The connect's limit counts from the decision, so that no decision is carried out late. */
-        private void connectBy(InetSocketAddress to, double sendBy, double waitMs) {
-            double left = sendBy - time.now();
-            if (left > 0) {
-                connect(to, left, waitMs);
+        /** Counts the connect time-out from the decision, so that no decision is carried out late. */
+        private void connectBy(InetSocketAddress to, double sendByMs, double waitMs) {
+            double remainingMs = sendByMs - scheduler.now();
+            if (remainingMs > 0) {
+                connect(to, remainingMs, waitMs);
             } else {
-                local(503, CONNECTION_FAILURE);
+                replyLocally(503, CONNECTION_FAILURE_FLAG);
             }
         }
 
@@ -338,20 +350,20 @@
                     .option(ChannelOption.TCP_NODELAY, true)
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
-                        protected void initChannel(SocketChannel fresh) {
-                            fresh.pipeline()
+                        protected void initChannel(SocketChannel channel) {
+                            channel.pipeline()
                                     .addLast(
                                             new HttpClientCodec(),
-                                            new HttpObjectAggregator(MOST_BODY),
-                                            new Upstream(Passing.this));
+                                            new HttpObjectAggregator(MAX_BODY_BYTES),
+                                            new Upstream(ProxiedRequest.this));
                         }
                     })
                     .connect(to);
             upstream = connecting.channel();
             if (waitMs > 0) {
-                limit(waitMs, () -> {
-                    leaveUpstream();
-                    local(504, UPSTREAM_TIMEOUT);
+                startTimer(waitMs, () -> {
+                    closeUpstream();
+                    replyLocally(504, UPSTREAM_TIMEOUT_FLAG);
                 });
             }
             connecting.addListener(connected -> {
@@ -367,23 +379,23 @@
                     upstream.writeAndFlush(request);
                 } else {
                     upstream = null;
-                    local(503, CONNECTION_FAILURE);
+                    replyLocally(503, CONNECTION_FAILURE_FLAG);
                 }
             });
         }
 
-        private void leaveUpstream() {
+        private void closeUpstream() {
             if (upstream != null) {
-                Channel left = upstream;
+                Channel closing = upstream;
                 upstream = null;
-                left.close();
+                closing.close();
             }
         }
 
-        void answered(Channel by, FullHttpResponse response) {
-            if (by == upstream) {
-                leaveUpstream();
-                response(
+        void onUpstreamResponse(Channel channel, FullHttpResponse response) {
+            if (channel == upstream) {
+                closeUpstream();
+                onReply(
                         new Reply(
                                 response.status().code(),
                                 response.headers().copy(),
@@ -392,23 +404,23 @@
             }
         }
 
-        void upstreamLost(Channel lost) {
-            if (lost == upstream) {
+        void onUpstreamDisconnected(Channel channel) {
+            if (channel == upstream) {
                 upstream = null;
-                local(503, CONNECTION_TERMINATION);
+                replyLocally(503, CONNECTION_TERMINATION_FLAG);
             }
         }
 
-        /** A response that the proxy makes itself. */
-        private void local(int status, int flags) {
-            response(Reply.local(status, "no answer of the endpoint"), flags);
+        /** Handles a response that the proxy itself generates. */
+        private void replyLocally(int status, int flags) {
+            onReply(Reply.generate(status, "no answer of the endpoint"), flags);
         }
 
-        private void response(Reply reply, int flags) {
-            unlimited();
-            held = reply;
-            if (!asking.isOpen()) {
-                answer(reply);
+        private void onReply(Reply reply, int flags) {
+            cancelTimer();
+            pendingReply = reply;
+            if (!stream.isOpen()) {
+                sendToClient(reply);
                 return;
             }
             HeaderMap.Builder map =
@@ -416,8 +428,8 @@
             for (Map.Entry<String, String> header : reply.headers()) {
                 map.addHeaders(value(header.getKey(), header.getValue()));
             }
-            limit(options.messageTimeoutMs(), () -> processorAway("no word on the response in time"));
-            asking.say(ProcessingRequest.newBuilder()
+            startTimer(options.messageTimeoutMs(), () -> onProcessorFailure("no word on the response in time"));
+            stream.send(ProcessingRequest.newBuilder()
                     .setResponseHeaders(HttpHeaders.newBuilder().setHeaders(map))
                     .putAttributes(
                             "envoy.filters.http.ext_proc",
@@ -431,25 +443,27 @@
                     .build());
         }
 
-        private void respond(HeaderMutation mutation) {
-            String status = mutate(held.headers(), mutation);
-            Reply reply = status == null ? held : new Reply(Integer.parseInt(status), held.headers(), held.body());
-            if (held.headers().contains(RETRY) && attempt < options.tries()) {
-                held = null;
-                asking.leave();
+        private void applyResponseMutation(HeaderMutation mutation) {
+            String status = mutate(pendingReply.headers(), mutation);
+            Reply reply = status == null
+                    ? pendingReply
+                    : new Reply(Integer.parseInt(status), pendingReply.headers(), pendingReply.body());
+            if (pendingReply.headers().contains(RETRY_HEADER) && attempt < options.maxAttempts()) {
+                pendingReply = null;
+                stream.cancel();
                 consult();
             } else {
-                answer(reply);
+                sendToClient(reply);
             }
         }
 
         // ---- the client ----
 
-        private void answer(Reply reply) {
-            over = true;
-            unlimited();
-            asking.leave();
-            leaveUpstream();
+        private void sendToClient(Reply reply) {
+            finished = true;
+            cancelTimer();
+            stream.cancel();
+            closeUpstream();
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(reply.status()),
@@ -463,12 +477,12 @@
             client.writeAndFlush(response);
         }
 
-        void clientGone() {
-            if (!over) {
-                over = true;
-                unlimited();
-                asking.leave();
-                leaveUpstream();
+        void onClientDisconnected() {
+            if (!finished) {
+                finished = true;
+                cancelTimer();
+                stream.cancel();
+                closeUpstream();
             }
         }
     }
@@ -480,7 +494,7 @@
                 .build();
     }
 
-    /** Changes headers; returns the status where that is changed too, else null. */
+    /** Applies a mutation to headers; returns the new status if the mutation sets one, otherwise null. */
     private static String mutate(io.netty.handler.codec.http.HttpHeaders headers, HeaderMutation mutation) {
         String status = null;
         for (HeaderValueOption set : mutation.getSetHeadersList()) {
@@ -498,36 +512,36 @@
         return status;
     }
 
-    /** One stream to the processor. */
-    private class Asking implements ClientResponseObserver<ProcessingRequest, ProcessingResponse> {
-        private final Passing passing;
+    /** A stream to the processor. */
+    private class ProcessorStream implements ClientResponseObserver<ProcessingRequest, ProcessingResponse> {
+        private final ProxiedRequest proxiedRequest;
         private ClientCallStreamObserver<ProcessingRequest> out;
-        private boolean left;
+        private boolean closed;
 
-        Asking(Passing passing) {
-            this.passing = passing;
+        ProcessorStream(ProxiedRequest proxiedRequest) {
+            this.proxiedRequest = proxiedRequest;
         }
 
-        void ask(ProcessingRequest head) {
+        void open(ProcessingRequest head) {
             stub.process(this);
-            say(head);
+            send(head);
         }
 
-        void say(ProcessingRequest message) {
-            if (!left) {
+        void send(ProcessingRequest message) {
+            if (!closed) {
                 out.onNext(message);
             }
         }
 
         boolean isOpen() {
-            return !left;
+            return !closed;
         }
 
-        /** Breaks the stream off; nothing that comes on it counts any more. */
-        void leave() {
-            if (!left) {
-                left = true;
-                out.cancel("the proxy has no more use for it", Status.CANCELLED.asException());
+        /** Cancels the stream; messages that arrive on it later are ignored. */
+        void cancel() {
+            if (!closed) {
+                closed = true;
+                out.cancel("the proxy no longer needs the stream", Status.CANCELLED.asException());
             }
         }
 
@@ -538,45 +552,45 @@
 
         @Override
         public void onNext(ProcessingResponse message) {
-            if (!left) {
-                passing.told(message);
+            if (!closed) {
+                proxiedRequest.onProcessorMessage(message);
             }
         }
 
         @Override
         public void onError(Throwable cause) {
-            if (!left) {
-                left = true;
-                passing.processorAway(String.valueOf(cause.getMessage()));
+            if (!closed) {
+                closed = true;
+                proxiedRequest.onProcessorFailure(String.valueOf(cause.getMessage()));
             }
         }
 
         @Override
         public void onCompleted() {
-            if (!left) {
-                left = true;
+            if (!closed) {
+                closed = true;
                 out.onCompleted();
             }
         }
     }
 
-    /** A stream that asks what another one asks, and does nothing with what it is told. */
-    private final class Second extends Asking {
+    /** A stream that duplicates the request of another one and only reports its result. */
+    private final class SecondStream extends ProcessorStream {
         private final String id;
 
-        Second(String id) {
+        SecondStream(String id) {
             super(null);
             this.id = id;
         }
 
         @Override
         public void onNext(ProcessingResponse message) {
-            conduct.toldTwice(
+            behavior.onSecondResult(
                     id,
                     message.hasImmediateResponse()
                             ? message.getImmediateResponse().getStatus().getCodeValue()
                             : 0);
-            leave();
+            cancel();
         }
 
         @Override
@@ -585,21 +599,22 @@
         }
     }
 
+    /** Handles one connection to an endpoint. */
     private static final class Upstream extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private final Passing passing;
+        private final ProxiedRequest proxiedRequest;
 
-        Upstream(Passing passing) {
-            this.passing = passing;
+        Upstream(ProxiedRequest proxiedRequest) {
+            this.proxiedRequest = proxiedRequest;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            passing.answered(ctx.channel(), response);
+            proxiedRequest.onUpstreamResponse(ctx.channel(), response);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            passing.upstreamLost(ctx.channel());
+            proxiedRequest.onUpstreamDisconnected(ctx.channel());
         }
 
         @Override
--- a/extproc/src/test/java/martenlatch/ExtProcRoomsTest.java
+++ b/extproc/src/test/java/martenlatch/ExtProcArchitectureTest.java
@@ -8,15 +8,15 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** The rooms of the external processor; the sidecar's test keeps those that both share. */
-class ExtProcRoomsTest {
+/** Checks the package dependencies of the external processor; a test of the sidecar checks the shared packages. */
+class ExtProcArchitectureTest {
 
-    private static final JavaClasses PROGRAM = new ClassFileImporter()
+    private static final JavaClasses MAIN_CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("martenlatch");
 
     @Test
-    void arrowsRunDown() {
+    void dependenciesFollowTheLayers() {
         layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
                 .layer("extproc")
@@ -31,11 +31,11 @@
                 .mayOnlyBeAccessedByLayers("extproc")
                 .whereLayer("world")
                 .mayOnlyBeAccessedByLayers("extproc")
-                .check(PROGRAM);
+                .check(MAIN_CLASSES);
     }
 
     @Test
-    void theFrontSendsNothingAndReadsNoSite() {
+    void frontendDependsOnNoTransportAndNoSiteConfiguration() {
         noClasses()
                 .that()
                 .resideInAPackage("martenlatch.frontend.extproc..")
@@ -48,11 +48,11 @@
                         "martenlatch.upstream..",
                         "martenlatch.discovery..",
                         "martenlatch.cli..")
-                .check(PROGRAM);
+                .check(MAIN_CLASSES);
     }
 
     @Test
-    void theStandInsKnowNothingOfWhatTheyStandBefore() {
+    void simulatedPeersDoNotDependOnTheProduct() {
         noClasses()
                 .that()
                 .resideInAPackage("martenlatch.world..")
@@ -63,6 +63,6 @@
                         "martenlatch.policy..",
                         "martenlatch.upstream..",
                         "martenlatch.sidecar..")
-                .check(PROGRAM);
+                .check(MAIN_CLASSES);
     }
 }
--- a/extproc/src/test/java/martenlatch/extproc/BothModesFixture.java
+++ b/extproc/src/test/java/martenlatch/extproc/BothModesFixture.java
@@ -61,13 +61,13 @@
 import martenlatch.world.StandInProxy;
 
 /**
- * One recorded script of clients, endpoints and lists, played over real sockets in one of both modes. The
- * clock stands still while anything is on its way: a step is the next thing that is due, and the one after it
- * comes when every request is either at an endpoint or answered at its client. All is on one event loop.
+ * Runs a seeded script of clients, endpoints and endpoint lists over real sockets in one of two modes. The clock stands
+ * still while a message is in transit: the next task runs only when every request has either reached an endpoint or
+ * been answered. Everything runs on one event loop.
  */
 final class BothModesFixture implements Closeable {
 
-    /** Who stands between clients and endpoints. */
+    /** What handles the requests between clients and endpoints. */
     enum Mode {
         HTTP,
         EXTERNAL_PROCESSOR
@@ -75,11 +75,11 @@
 
     private static final InetSocketAddress LOOPBACK = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     private static final int ENDPOINTS = 8;
-    private static final int STUCK_S = 100;
-    /** One in so many of a full endpoint's refusals lacks the header that proves it. */
-    private static final int UNPROVEN = 12;
+    private static final int SCRIPT_TIMEOUT_S = 100;
+    /** A full endpoint omits the proof of non-execution if its random draw has remainder 11 modulo this number. */
+    private static final int UNPROVEN_MODULUS = 12;
 
-    private enum Trouble {
+    private enum Fault {
         NONE,
         SLOW,
         HANGS,
@@ -94,39 +94,39 @@
     private final BalancerSettings settings;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
-    private final ManualScheduler time = new ManualScheduler();
-    private final double began = time.now();
-    /** All decisions and what became of them, then what was seen of them from outside. */
+    private final ManualScheduler scheduler = new ManualScheduler();
+    private final double startMs = scheduler.now();
+    /** All decisions and outcomes, in order; the next fields hold what endpoints and clients observe. */
     final List<String> decisions = new ArrayList<>();
 
     final List<String> receipts = new ArrayList<>();
     final Map<String, Integer> answers = new HashMap<>();
     final Map<String, Integer> counts = new HashMap<>();
-    private final Set<String> unsettled = new HashSet<>();
+    private final Set<String> inTransit = new HashSet<>();
     private final Map<String, Integer> attempts = new HashMap<>();
     private final Set<String> ended = new HashSet<>();
-    private final Map<String, Double> deadlines = new HashMap<>();
-    /** How long the latest attempt of each request is waited for. */
-    private final Map<String, Double> waits = new HashMap<>();
+    private final Map<String, Double> deadlinesMs = new HashMap<>();
+    /** The time-out of the latest attempt of each request, in milliseconds. */
+    private final Map<String, Double> timeoutsMs = new HashMap<>();
 
     private final List<Endpoint> endpoints = new ArrayList<>();
     private final CompletableFuture<Void> done = new CompletableFuture<>();
-    private final List<Runnable> closing = new ArrayList<>();
-    private final RateLimitedLogger complaints =
-            new RateLimitedLogger(time, new PrintStream(java.io.OutputStream.nullOutputStream()));
-    private RequestTracker exchange;
-    private InetSocketAddress front;
-    private int asked;
+    private final List<Runnable> closeActions = new ArrayList<>();
+    private final RateLimitedLogger logger =
+            new RateLimitedLogger(scheduler, new PrintStream(java.io.OutputStream.nullOutputStream()));
+    private RequestTracker requestTracker;
+    private InetSocketAddress frontendAddress;
+    private int sentRequests;
     private boolean stepping;
-    private double load = 1;
+    private double loadFactor = 1;
 
-    /** Plays nothing yet; {@code twist} stands between the host and where endpoints are. */
+    /** Builds both sides without starting the script; the decorator wraps the connections to endpoints. */
     BothModesFixture(
             Mode mode,
             long seed,
             int requests,
             BalancerSettings settings,
-            java.util.function.UnaryOperator<EndpointConnections> twist)
+            java.util.function.UnaryOperator<EndpointConnections> connectionsDecorator)
             throws Exception {
         this.seed = seed;
         this.requests = requests;
@@ -139,78 +139,92 @@
         }
         loop.submit(() -> {
                     if (mode == Mode.HTTP) {
-                        buildSidecar(twist);
+                        buildSidecar(connectionsDecorator);
                     } else {
-                        buildProcessor(twist);
+                        buildProcessor(connectionsDecorator);
                     }
                     return null;
                 })
                 .get();
     }
 
-    private void buildSidecar(java.util.function.UnaryOperator<EndpointConnections> twist) {
-        EndpointPool pool = new EndpointPool(loop, time, complaints, 10_000, 15_000, 4000);
-        exchange = new RequestTracker(
-                time, complaints, twist.apply(pool), () -> {}, settings, 7, list(true), new Recorder());
-        Frontend frontend = new Frontend(loop, time, complaints, exchange, pool, settings, 4000);
+    private void buildSidecar(java.util.function.UnaryOperator<EndpointConnections> connectionsDecorator) {
+        EndpointPool pool = new EndpointPool(loop, scheduler, logger, 10_000, 15_000, 4000);
+        requestTracker = new RequestTracker(
+                scheduler, logger, connectionsDecorator.apply(pool), () -> {}, settings, 7, list(true), new Recorder());
+        Frontend frontend = new Frontend(loop, scheduler, logger, requestTracker, pool, settings, 4000);
         var bound = frontend.listen(LOOPBACK);
-        front = (InetSocketAddress) bound.channel().localAddress();
-        bound.addListener(up -> front = (InetSocketAddress) bound.channel().localAddress());
-        closing.add(frontend::close);
-        closing.add(pool::close);
+        frontendAddress = (InetSocketAddress) bound.channel().localAddress();
+        bound.addListener(
+                up -> frontendAddress = (InetSocketAddress) bound.channel().localAddress());
+        closeActions.add(frontend::close);
+        closeActions.add(pool::close);
     }
 
-    private void buildProcessor(java.util.function.UnaryOperator<EndpointConnections> twist) throws Exception {
+    private void buildProcessor(java.util.function.UnaryOperator<EndpointConnections> connectionsDecorator)
+            throws Exception {
         EndpointAddresses addresses = new EndpointAddresses();
-        exchange = new RequestTracker(
-                time, complaints, twist.apply(addresses), () -> {}, settings, 7, list(true), new Recorder());
-        ExtProcSettings own = new ExtProcSettings(LOOPBACK, 2000, 2000, 300, 10_000, 100_000, 100, 250);
-        Processor processor = new Processor(time, loop, complaints, exchange, addresses, own, settings);
+        requestTracker = new RequestTracker(
+                scheduler,
+                logger,
+                connectionsDecorator.apply(addresses),
+                () -> {},
+                settings,
+                7,
+                list(true),
+                new Recorder());
+        ExtProcSettings extProcSettings = new ExtProcSettings(LOOPBACK, 2000, 2000, 300, 10_000, 100_000, 100, 250);
+        Processor processor =
+                new Processor(scheduler, loop, logger, requestTracker, addresses, extProcSettings, settings);
         CompletableFuture<Server> listening = CompletableFuture.supplyAsync(() -> {
             try {
-                return ExtProcServer.listen(own, processor, loop);
+                return ExtProcServer.listen(extProcSettings, processor, loop);
             } catch (java.io.IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
         });
         listening.thenAcceptAsync(
                 server -> {
-                    closing.add(server::shutdownNow);
+                    closeActions.add(server::shutdownNow);
                     StandInProxy proxy = new StandInProxy(
                             loop,
-                            time,
+                            scheduler,
                             (InetSocketAddress) server.getListenSockets().get(0),
-                            new StandInProxy.Options(100, 10_000, 9, StandInProxy.WhenAway.FAIL, null),
-                            new StandInProxy.Conduct() {
-                                /** Whole milliseconds are told; on a clock that stands still both must end at once. */
+                            new StandInProxy.Options(100, 10_000, 9, StandInProxy.ProcessorFailureMode.FAIL, null),
+                            new StandInProxy.Behavior() {
+                                /**
+                                 * Uses the exact time-out, because a decision carries whole milliseconds and both sides
+                                 * must end together.
+                                 */
                                 @Override
-                                public double waitMs(String id, int attempt, double told) {
-                                    return waits.get(id);
+                                public double waitMs(String id, int attempt, double timeoutMs) {
+                                    return timeoutsMs.get(id);
                                 }
                             });
                     var bound = proxy.listen(LOOPBACK);
-                    bound.addListener(
-                            up -> front = (InetSocketAddress) bound.channel().localAddress());
-                    closing.add(proxy::close);
+                    bound.addListener(up -> frontendAddress =
+                            (InetSocketAddress) bound.channel().localAddress());
+                    closeActions.add(proxy::close);
                 },
                 loop);
     }
 
-    /** Plays the script to its end. */
-    BothModesFixture play() throws Exception {
-        while (loop.submit(() -> front == null || front.getPort() == 0).get()) {
+    /** Runs the script to its end. */
+    BothModesFixture run() throws Exception {
+        while (loop.submit(() -> frontendAddress == null || frontendAddress.getPort() == 0)
+                .get()) {
             Thread.sleep(1);
         }
         loop.execute(() -> {
             scheduleArrival();
-            scheduleTrouble();
+            scheduleFault();
             step();
         });
         try {
-            done.get(STUCK_S, TimeUnit.SECONDS);
+            done.get(SCRIPT_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (java.util.concurrent.TimeoutException e) {
             throw new AssertionError(
-                    "stuck at " + (time.now() - began) + " with " + unsettled + ", last "
+                    "stuck at " + (scheduler.now() - startMs) + " with " + inTransit + ", last "
                             + decisions.subList(Math.max(0, decisions.size() - 5), decisions.size()) + " "
                             + receipts.subList(Math.max(0, receipts.size() - 5), receipts.size()),
                     e);
@@ -218,19 +232,19 @@
         return this;
     }
 
-    /** The next things that are due, for as long as none of them sets something on its way. */
+    /** Runs due tasks until one of them puts a message in transit or the script has ended. */
     private void step() {
         if (stepping || done.isDone()) {
             return;
         }
         stepping = true;
         try {
-            while (unsettled.isEmpty()) {
-                if (asked == requests && exchange.pendingRequests() == 0) {
+            while (inTransit.isEmpty()) {
+                if (sentRequests == requests && requestTracker.pendingRequests() == 0) {
                     done.complete(null);
                     return;
                 }
-                time.advanceTo(time.nextDue());
+                scheduler.advanceTo(scheduler.nextDue());
             }
         } catch (RuntimeException | AssertionError e) {
             done.completeExceptionally(e);
@@ -239,8 +253,8 @@
         }
     }
 
-    private void settled(String id) {
-        if (unsettled.remove(id) && unsettled.isEmpty()) {
+    private void markArrived(String id) {
+        if (inTransit.remove(id) && inTransit.isEmpty()) {
             loop.execute(this::step);
         }
     }
@@ -252,91 +266,91 @@
     // ---- the script ----
 
     private void scheduleArrival() {
-        // Exponential gaps: four calls a hundredth of a second, and four times that in overload.
-        double gap = -2.5 / load * Math.log(1 - random.nextDouble());
-        time.after(gap, () -> {
-            ask();
-            if (asked < requests) {
+        // Exponential gaps: four requests per 10 ms, and four times as many during overload.
+        double gapMs = -2.5 / loadFactor * Math.log(1 - random.nextDouble());
+        scheduler.after(gapMs, () -> {
+            sendRequest();
+            if (sentRequests < requests) {
                 scheduleArrival();
             }
         });
     }
 
-    private void ask() {
-        String id = "r" + asked++;
-        List<RequestClass> kinds = settings.classes();
-        RequestClass kind = kinds.get(random.nextInt(kinds.size()));
+    private void sendRequest() {
+        String id = "r" + sentRequests++;
+        List<RequestClass> requestClasses = settings.classes();
+        RequestClass requestClass = requestClasses.get(random.nextInt(requestClasses.size()));
         int tenant = random.nextInt(settings.tenants().size());
-        int deadline = 150 + random.nextInt(1200);
-        unsettled.add(id);
-        new Client(id).send(kind, settings.tenants().get(tenant).name(), deadline);
+        int deadlineMs = 150 + random.nextInt(1200);
+        inTransit.add(id);
+        new Client(id).send(requestClass, settings.tenants().get(tenant).name(), deadlineMs);
     }
 
-    /** Something happens to one endpoint, or to all, and is over after a while. */
-    private void scheduleTrouble() {
-        time.after(200 + random.nextDouble() * 600, () -> {
-            Endpoint one = endpoints.get(random.nextInt(ENDPOINTS));
-            double lasts = 200 + random.nextDouble() * 900;
-            if (one.busyWith == null) {
-                trouble(one, lasts);
+    /** Schedules a temporary fault of one endpoint or an overload of all. */
+    private void scheduleFault() {
+        scheduler.after(200 + random.nextDouble() * 600, () -> {
+            Endpoint endpoint = endpoints.get(random.nextInt(ENDPOINTS));
+            double durationMs = 200 + random.nextDouble() * 900;
+            if (endpoint.busyReason == null) {
+                injectFault(endpoint, durationMs);
             }
-            scheduleTrouble();
+            scheduleFault();
         });
     }
 
-    private void trouble(Endpoint one, double lasts) {
-        one.busyWith = "trouble";
+    private void injectFault(Endpoint endpoint, double durationMs) {
+        endpoint.busyReason = "fault";
         switch (random.nextInt(8)) {
-            case 0 -> during(one, Trouble.SLOW, lasts);
-            case 1 -> during(one, Trouble.HANGS, lasts);
-            case 2 -> during(one, Trouble.ERRORS, lasts);
-            case 3 -> during(one, Trouble.FULL, lasts);
+            case 0 -> applyFault(endpoint, Fault.SLOW, durationMs);
+            case 1 -> applyFault(endpoint, Fault.HANGS, durationMs);
+            case 2 -> applyFault(endpoint, Fault.ERRORS, durationMs);
+            case 3 -> applyFault(endpoint, Fault.FULL, durationMs);
             case 4 -> {
-                one.stopListening();
-                during(one, Trouble.REFUSES_CONNECTS, lasts);
+                endpoint.stopListening();
+                applyFault(endpoint, Fault.REFUSES_CONNECTS, durationMs);
             }
             case 5 -> {
                 count("overload");
-                load = 4;
-                time.after(lasts, () -> {
-                    load = 1;
-                    one.busyWith = null;
+                loadFactor = 4;
+                scheduler.after(durationMs, () -> {
+                    loadFactor = 1;
+                    endpoint.busyReason = null;
                 });
             }
             default -> {
-                // A release: it drains, is gone, and is back as a new process, which is cold.
+                // A release: the endpoint drains, disappears and returns as a new, cold process.
                 count("drain");
-                one.state = EndpointStatus.DRAINING;
-                tell(one);
-                time.after(lasts, () -> {
-                    one.state = EndpointStatus.GONE;
-                    tell(one);
+                endpoint.status = EndpointStatus.DRAINING;
+                publish(endpoint);
+                scheduler.after(durationMs, () -> {
+                    endpoint.status = EndpointStatus.GONE;
+                    publish(endpoint);
                 });
-                time.after(lasts * 1.5, () -> {
+                scheduler.after(durationMs * 1.5, () -> {
                     count("cold start");
-                    one.state = EndpointStatus.READY;
-                    one.startedMs = time.now();
-                    exchange.onEndpointList(list(random.nextInt(2) == 0));
-                    one.busyWith = null;
+                    endpoint.status = EndpointStatus.READY;
+                    endpoint.startedMs = scheduler.now();
+                    requestTracker.onEndpointList(list(random.nextInt(2) == 0));
+                    endpoint.busyReason = null;
                 });
             }
         }
     }
 
-    private void during(Endpoint one, Trouble trouble, double lasts) {
-        count(trouble.name());
-        one.trouble = trouble;
-        time.after(lasts, () -> {
-            one.trouble = Trouble.NONE;
-            one.busyWith = null;
-            if (trouble == Trouble.REFUSES_CONNECTS) {
-                one.listen(one.address);
+    private void applyFault(Endpoint endpoint, Fault fault, double durationMs) {
+        count(fault.name());
+        endpoint.fault = fault;
+        scheduler.after(durationMs, () -> {
+            endpoint.fault = Fault.NONE;
+            endpoint.busyReason = null;
+            if (fault == Fault.REFUSES_CONNECTS) {
+                endpoint.listen(endpoint.address);
             }
         });
     }
 
-    private void tell(Endpoint one) {
-        exchange.onEndpointList(new EndpointList(1, false, List.of(one.entry())));
+    private void publish(Endpoint endpoint) {
+        requestTracker.onEndpointList(new EndpointList(1, false, List.of(endpoint.entry())));
     }
 
     private EndpointList list(boolean full) {
@@ -344,30 +358,31 @@
                 1,
                 full,
                 endpoints.stream()
-                        .filter(one -> one.state != EndpointStatus.GONE)
+                        .filter(endpoint -> endpoint.status != EndpointStatus.GONE)
                         .map(Endpoint::entry)
                         .toList());
     }
 
+    /** Records every decision and its outcome. */
     private final class Recorder implements RequestObserver {
 
         private void line(String what) {
-            decisions.add(String.format(Locale.ROOT, "%.3f %s", time.now() - began, what));
+            decisions.add(String.format(Locale.ROOT, "%.3f %s", scheduler.now() - startMs, what));
         }
 
         @Override
         public void onRequest(Request request) {
-            deadlines.put(request.id(), request.deadlineMs());
+            deadlinesMs.put(request.id(), request.deadlineMs());
             line("taken " + request.id() + " class " + request.classIndex() + " tenant " + request.tenantIndex()
-                    + " until " + (request.deadlineMs() - began));
+                    + " until " + (request.deadlineMs() - startMs));
         }
 
         @Override
-        public void onAttemptStarted(String id, int attempt, String server, double timeoutMs) {
-            line("sent " + id + "#" + attempt + " to " + server + " for " + timeoutMs);
+        public void onAttemptStarted(String id, int attempt, String endpointId, double timeoutMs) {
+            line("sent " + id + "#" + attempt + " to " + endpointId + " for " + timeoutMs);
             attempts.put(id, attempt);
-            waits.put(id, Math.min(timeoutMs, deadlines.get(id) - time.now()));
-            unsettled.add(id);
+            timeoutsMs.put(id, Math.min(timeoutMs, deadlinesMs.get(id) - scheduler.now()));
+            inTransit.add(id);
         }
 
         @Override
@@ -380,20 +395,20 @@
         @Override
         public void onConcluded(String id, Conclusion end, double coolDownMs) {
             line("concluded " + id + " " + end + " " + coolDownMs);
-            unsettled.add(id);
+            inTransit.add(id);
             count(end.name());
         }
     }
 
-    /** A stand-in endpoint, whose answers come by the clock that the test moves. */
+    /** A simulated endpoint whose responses are timed by the manual clock. */
     private final class Endpoint extends ChannelInitializer<SocketChannel> {
         private final int number;
         private Channel listener;
         private InetSocketAddress address;
-        private EndpointStatus state = EndpointStatus.READY;
+        private EndpointStatus status = EndpointStatus.READY;
         private double startedMs;
-        private Trouble trouble = Trouble.NONE;
-        private String busyWith;
+        private Fault fault = Fault.NONE;
+        private String busyReason;
 
         Endpoint(int number) {
             this.number = number;
@@ -411,19 +426,19 @@
                 bound.syncUninterruptibly();
             }
             listener = bound.channel();
-            // On the event loop it is bound only later, at the address that it had.
+            // On the event loop the bind completes later, at the endpoint's previous address.
             address = address == null ? (InetSocketAddress) listener.localAddress() : address;
         }
 
-        /** On the event loop a listener is closed at once; connections that stand go on. */
+        /** Closes the listener, immediately on the event loop; open connections continue. */
         void stopListening() {
             listener.close();
         }
 
         EndpointList.Entry entry() {
             return new EndpointList.Entry(
-                    new martenlatch.policy.api.Endpoint("s" + number, number % 2, 0, number / 2, startedMs, state, 1),
-                    state == EndpointStatus.GONE ? null : address);
+                    new martenlatch.policy.api.Endpoint("s" + number, number % 2, 0, number / 2, startedMs, status, 1),
+                    status == EndpointStatus.GONE ? null : address);
         }
 
         @Override
@@ -445,37 +460,38 @@
                             });
         }
 
-        private void received(Channel by, FullHttpRequest request) {
+        private void received(Channel channel, FullHttpRequest request) {
             String id = request.headers().get("X-Request-Id");
             int attempt = attempts.get(id);
             receipts.add(id + "#" + attempt + " at s" + number + " for "
                     + request.headers().get("X-Deadline-Ms"));
-            // What comes of it hangs on the attempt alone, so that it is the same in both modes.
-            SplittableRandom fate = new SplittableRandom(seed * 1_000_003 + id.hashCode() * 31L + attempt);
-            double service = 5 + 40 * fate.nextDouble() * (trouble == Trouble.SLOW ? 8 : 1) * Math.sqrt(load);
-            int spoilt = fate.nextInt(100);
-            Trouble now = trouble;
-            if (now != Trouble.HANGS && spoilt != 0) {
-                time.after(service, () -> answer(by, id, attempt, now, spoilt));
+            // The outcome depends only on the attempt, so that it is the same in both modes.
+            SplittableRandom attemptRandom = new SplittableRandom(seed * 1_000_003 + id.hashCode() * 31L + attempt);
+            double serviceMs =
+                    5 + 40 * attemptRandom.nextDouble() * (fault == Fault.SLOW ? 8 : 1) * Math.sqrt(loadFactor);
+            int draw = attemptRandom.nextInt(100);
+            Fault activeFault = fault;
+            if (activeFault != Fault.HANGS && draw != 0) {
+                scheduler.after(serviceMs, () -> answer(channel, id, attempt, activeFault, draw));
             }
-            settled(id);
+            markArrived(id);
         }
 
-        private void answer(Channel by, String id, int attempt, Trouble now, int spoilt) {
+        private void answer(Channel channel, String id, int attempt, Fault activeFault, int draw) {
             if (ended.contains(id + "#" + attempt)) {
                 return;
             }
-            unsettled.add(id);
-            if (spoilt == 1 || spoilt == 2) {
-                by.config().setOption(ChannelOption.SO_LINGER, 0);
-                by.close();
+            inTransit.add(id);
+            if (draw == 1 || draw == 2) {
+                channel.config().setOption(ChannelOption.SO_LINGER, 0);
+                channel.close();
                 return;
             }
-            int status = now == Trouble.ERRORS || spoilt == 3
+            int status = activeFault == Fault.ERRORS || draw == 3
                     ? 500
-                    : now == Trouble.FULL || spoilt == 4
+                    : activeFault == Fault.FULL || draw == 4
                             ? 503
-                            : spoilt == 5 ? 504 : spoilt == 6 ? 404 : spoilt == 7 ? 502 : 200;
+                            : draw == 5 ? 504 : draw == 6 ? 404 : draw == 7 ? 502 : 200;
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(status),
@@ -483,14 +499,15 @@
             response.headers()
                     .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
             if (status == 503 || status == 504) {
-                response.headers().set("X-Not-Run", spoilt % UNPROVEN == 11 ? "0" : "1");
+                response.headers().set("X-Not-Run", draw % UNPROVEN_MODULUS == 11 ? "0" : "1");
             }
-            // Which connections stand is the proxy's matter in one mode; here none do, so all meet the same.
+            // In one mode the proxy manages connections; none is reused, so that both modes see the same.
             response.headers().set(HttpHeaderNames.CONNECTION, "close");
-            by.writeAndFlush(response);
+            channel.writeAndFlush(response);
         }
     }
 
+    /** A client that sends one request. */
     private final class Client extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final String id;
 
@@ -498,31 +515,31 @@
             this.id = id;
         }
 
-        void send(RequestClass kind, String tenant, int deadline) {
-            boolean safe = kind.idempotency() == Idempotency.IDEMPOTENT;
+        void send(RequestClass requestClass, String tenant, int deadlineMs) {
+            boolean idempotent = requestClass.idempotency() == Idempotency.IDEMPOTENT;
             FullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
-                    safe ? HttpMethod.GET : HttpMethod.POST,
+                    idempotent ? HttpMethod.GET : HttpMethod.POST,
                     "/api?q=1",
-                    safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[64]));
+                    idempotent ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[64]));
             request.headers()
                     .set("Host", "app.svc")
                     .set("X-Request-Id", id)
-                    .set("X-Class", kind.name())
+                    .set("X-Class", requestClass.name())
                     .set("X-Tenant", tenant)
-                    .set("X-Deadline-Ms", deadline)
+                    .set("X-Deadline-Ms", deadlineMs)
                     .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
             new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
-                        protected void initChannel(SocketChannel fresh) {
-                            fresh.pipeline()
+                        protected void initChannel(SocketChannel channel) {
+                            channel.pipeline()
                                     .addLast(new HttpClientCodec(), new HttpObjectAggregator(65536), Client.this);
                         }
                     })
-                    .connect(front)
+                    .connect(frontendAddress)
                     .addListener((io.netty.channel.ChannelFuture up) -> {
                         if (up.isSuccess()) {
                             up.channel().writeAndFlush(request);
@@ -537,18 +554,18 @@
             int status = response.status().code();
             String body = response.content().toString(StandardCharsets.US_ASCII);
             if (status == 200 && !body.equals("ok " + id)) {
-                done.completeExceptionally(new AssertionError(id + " was served " + body));
+                done.completeExceptionally(new AssertionError(id + " received the wrong body " + body));
             }
-            // A failure is 502 here and 500 or 504 there; all else is the same.
+            // A failure is 502 in HTTP mode and 500 or 504 in external processor mode; all other statuses are equal.
             answers.put(id, status == 502 || status == 504 ? 500 : status);
             ctx.close();
-            settled(id);
+            markArrived(id);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             if (!answers.containsKey(id)) {
-                done.completeExceptionally(new AssertionError(id + " had no answer"));
+                done.completeExceptionally(new AssertionError(id + " received no response"));
             }
         }
     }
@@ -556,8 +573,8 @@
     @Override
     public void close() {
         loop.submit(() -> {
-                    closing.forEach(Runnable::run);
-                    endpoints.forEach(one -> one.listener.close());
+                    closeActions.forEach(Runnable::run);
+                    endpoints.forEach(endpoint -> endpoint.listener.close());
                 })
                 .syncUninterruptibly();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
--- a/extproc/src/test/java/martenlatch/extproc/BothModesTest.java
+++ b/extproc/src/test/java/martenlatch/extproc/BothModesTest.java
@@ -20,14 +20,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The same traffic through both modes, decision by decision. */
+/** Checks that the HTTP sidecar and the external processor make the same decisions for the same traffic. */
 @Timeout(300)
 class BothModesTest {
 
     private static final int REQUESTS = 10_000;
     private static final int CONTROL_REQUESTS = 1000;
 
-    private static BalancerSettings settings(int tries) {
+    private static BalancerSettings settings(int maxAttempts) {
         return new BalancerSettings(
                 2,
                 0,
@@ -71,12 +71,12 @@
                                 900,
                                 false)),
                 List.of(new Tenant("a", 100, 0.5), new Tenant("b", 1000, 0.5)),
-                new AttemptLimits(tries, false, true, 2000, 200),
+                new AttemptLimits(maxAttempts, false, true, 2000, 200),
                 new EndpointRules(0.3, 1500, 3, 1000, 500, 10_000));
     }
 
     private static final List<Long> SEEDS = List.of(20L, 23L);
-    /** How often each must occur in the script of a seed, on average. */
+    /** The minimum number of occurrences of each event, as an average per seed. */
     private static final Map<String, Integer> MIN_COUNTS = Map.ofEntries(
             Map.entry("OK", 5000),
             Map.entry("FAILED", 100),
@@ -89,21 +89,29 @@
             Map.entry("cold start", 3),
             Map.entry("overload", 3));
 
-    private static BothModesFixture play(
-            BothModesFixture.Mode mode, int requests, int tries, UnaryOperator<EndpointConnections> twist)
+    private static BothModesFixture run(
+            BothModesFixture.Mode mode,
+            int requests,
+            int maxAttempts,
+            UnaryOperator<EndpointConnections> connectionsDecorator)
             throws Exception {
-        return play(SEEDS.get(0), mode, requests, tries, twist);
+        return run(SEEDS.get(0), mode, requests, maxAttempts, connectionsDecorator);
     }
 
-    private static BothModesFixture play(
-            long seed, BothModesFixture.Mode mode, int requests, int tries, UnaryOperator<EndpointConnections> twist)
+    private static BothModesFixture run(
+            long seed,
+            BothModesFixture.Mode mode,
+            int requests,
+            int maxAttempts,
+            UnaryOperator<EndpointConnections> connectionsDecorator)
             throws Exception {
-        try (BothModesFixture fixture = new BothModesFixture(mode, seed, requests, settings(tries), twist)) {
-            return fixture.play();
+        try (BothModesFixture fixture =
+                new BothModesFixture(mode, seed, requests, settings(maxAttempts), connectionsDecorator)) {
+            return fixture.run();
         }
     }
 
-    private static void assertSame(List<String> expected, List<String> actual) {
+    private static void assertSameDecisions(List<String> expected, List<String> actual) {
         for (int i = 0; i < Math.min(expected.size(), actual.size()); i++) {
             assertEquals(
                     expected.get(i),
@@ -117,50 +125,52 @@
     }
 
     @Test
-    void everyDecisionIsTheSame() throws Exception {
+    void bothModesMakeTheSameDecisions() throws Exception {
         Map<String, Integer> counts = new HashMap<>();
         for (long seed : SEEDS) {
-            BothModesFixture http = play(seed, BothModesFixture.Mode.HTTP, REQUESTS, 3, table -> table);
+            BothModesFixture http = run(seed, BothModesFixture.Mode.HTTP, REQUESTS, 3, connections -> connections);
             BothModesFixture proxied =
-                    play(seed, BothModesFixture.Mode.EXTERNAL_PROCESSOR, REQUESTS, 3, table -> table);
-            assertSame(http.decisions, proxied.decisions);
-            assertSame(
+                    run(seed, BothModesFixture.Mode.EXTERNAL_PROCESSOR, REQUESTS, 3, connections -> connections);
+            assertSameDecisions(http.decisions, proxied.decisions);
+            assertSameDecisions(
                     http.receipts.stream().sorted().toList(),
                     proxied.receipts.stream().sorted().toList());
             assertEquals(http.answers, proxied.answers);
             assertEquals(REQUESTS, http.answers.size());
             http.counts.forEach((what, count) -> counts.merge(what, count, Integer::sum));
         }
-        // The scripts must have come by all that they are about.
-        MIN_COUNTS.forEach((what, least) -> {
-            int found = counts.getOrDefault(what, 0);
-            assertTrue(found >= SEEDS.size() * least, what + ": " + found + " of " + SEEDS.size() * least);
+        // Every event must have occurred often enough for the comparison to be meaningful.
+        MIN_COUNTS.forEach((what, minCount) -> {
+            int count = counts.getOrDefault(what, 0);
+            assertTrue(count >= SEEDS.size() * minCount, what + ": " + count + " of " + SEEDS.size() * minCount);
         });
     }
 
-    /** The comparison can fail: one attempt fewer, in one of the modes. */
+    /** Checks that the comparison detects a difference: one mode has one attempt fewer. */
     @Test
-    void anotherDecisionIsSeen() throws Exception {
-        BothModesFixture http = play(BothModesFixture.Mode.HTTP, CONTROL_REQUESTS, 3, table -> table);
-        BothModesFixture proxied = play(BothModesFixture.Mode.EXTERNAL_PROCESSOR, CONTROL_REQUESTS, 2, table -> table);
+    void differentDecisionIsDetected() throws Exception {
+        BothModesFixture http = run(BothModesFixture.Mode.HTTP, CONTROL_REQUESTS, 3, connections -> connections);
+        BothModesFixture proxied =
+                run(BothModesFixture.Mode.EXTERNAL_PROCESSOR, CONTROL_REQUESTS, 2, connections -> connections);
         assertNotEquals(http.decisions, proxied.decisions);
     }
 
-    /** It can fail where only the outside shows it: two endpoints stand under each other's names. */
+    /** Checks that the comparison of receipts detects a wrong address: one endpoint has that of another. */
     @Test
-    void anotherEndpointIsSeen() throws Exception {
-        BothModesFixture http = play(BothModesFixture.Mode.HTTP, CONTROL_REQUESTS, 3, table -> table);
-        BothModesFixture proxied = play(BothModesFixture.Mode.EXTERNAL_PROCESSOR, CONTROL_REQUESTS, 3, Swapped::new);
+    void differentEndpointIsDetected() throws Exception {
+        BothModesFixture http = run(BothModesFixture.Mode.HTTP, CONTROL_REQUESTS, 3, connections -> connections);
+        BothModesFixture proxied =
+                run(BothModesFixture.Mode.EXTERNAL_PROCESSOR, CONTROL_REQUESTS, 3, WrongAddressConnections::new);
         assertNotEquals(
                 http.receipts.stream().sorted().toList(),
                 proxied.receipts.stream().sorted().toList());
     }
 
-    private record Swapped(EndpointConnections table) implements EndpointConnections {
+    private record WrongAddressConnections(EndpointConnections delegate) implements EndpointConnections {
         @Override
         public void update(EndpointList list) {
             List<EndpointList.Entry> entries = list.entries();
-            table.update(
+            delegate.update(
                     entries.size() < 2
                             ? list
                             : new EndpointList(
@@ -177,12 +187,12 @@
 
         @Override
         public void withdrawAttempts() {
-            table.withdrawAttempts();
+            delegate.withdrawAttempts();
         }
 
         @Override
-        public void closeIdleConnections(String server) {
-            table.closeIdleConnections(server);
+        public void closeIdleConnections(String endpointId) {
+            delegate.closeIdleConnections(endpointId);
         }
     }
 }
--- a/extproc/src/test/java/martenlatch/extproc/ExtProcServerTest.java
+++ b/extproc/src/test/java/martenlatch/extproc/ExtProcServerTest.java
@@ -53,18 +53,18 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The whole external processor on loopback sockets, before peers that misbehave. */
+/** Runs the whole external processor on loopback sockets against faulty proxies. */
 @Timeout(60)
 class ExtProcServerTest {
 
-    private static final long PATIENCE_MS = 20_000;
+    private static final long TIMEOUT_MS = 20_000;
 
     @TempDir
     Path folder;
 
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private final List<ManagedChannel> proxies = new ArrayList<>();
-    private final List<AutoCloseable> closing = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private ServerSocket discovery;
     private ExtProcServer server;
@@ -95,16 +95,16 @@
             "try-limit":3},
             "rules":{"cold-share":0.3,"cold-ms":8000,"tip-multiple":3,"fall-ms":1000,"drain-grace-ms":500,
             "ask-within-ms":600000}}}""".formatted(discovery.getLocalPort(), String.join(",", entries)));
-        Path own = Files.writeString(
+        Path settingsFile = Files.writeString(
                 folder.resolve("extproc.toml"),
                 Files.readString(Path.of("../deploy/extproc.toml")).replace("127.0.0.1:9901", "127.0.0.1:0"));
-        server = ExtProcServer.start(site, own, new PrintStream(log, true, StandardCharsets.UTF_8));
+        server = ExtProcServer.start(site, settingsFile, new PrintStream(log, true, StandardCharsets.UTF_8));
     }
 
     @AfterEach
     void stop() throws Exception {
-        for (AutoCloseable one : closing) {
-            one.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
         proxies.forEach(ManagedChannel::shutdownNow);
         server.stop();
@@ -113,37 +113,37 @@
     }
 
     private static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
+        long until = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         while (!condition.getAsBoolean()) {
             assertTrue(System.nanoTime() < until, what);
             Thread.sleep(2);
         }
     }
 
-    private int streams() {
+    private int openStreams() {
         return server.loop()
                 .submit(server.processor()::openStreams)
                 .syncUninterruptibly()
                 .getNow();
     }
 
-    private int calls() {
+    private int pendingRequests() {
         return server.loop()
                 .submit(server.processor()::pendingRequests)
                 .syncUninterruptibly()
                 .getNow();
     }
 
-    /** A proxy's connection. */
+    /** Opens a proxy's connection. */
     private ManagedChannel proxy() {
         proxies.add(
                 NettyChannelBuilder.forAddress(server.address()).usePlaintext().build());
         return proxies.get(proxies.size() - 1);
     }
 
-    /** One stream, as a proxy has it. */
+    /** The proxy's side of a stream. */
     private static final class Peer implements ClientResponseObserver<ProcessingRequest, ProcessingResponse> {
-        private final LinkedBlockingQueue<Object> heard = new LinkedBlockingQueue<>();
+        private final LinkedBlockingQueue<Object> events = new LinkedBlockingQueue<>();
         private ClientCallStreamObserver<ProcessingRequest> out;
 
         static Peer open(ManagedChannel proxy) {
@@ -152,28 +152,31 @@
             return peer;
         }
 
-        Peer ask(String id, RequestClass kind, int attempt) {
-            out.onNext(ExtProcFixture.request(ExtProcFixture.heads(id, kind, attempt)));
+        Peer sendRequest(String id, RequestClass requestClass, int attempt) {
+            out.onNext(ExtProcFixture.request(ExtProcFixture.headers(id, requestClass, attempt)));
             return this;
         }
 
-        Peer say(ProcessingRequest message) {
+        Peer send(ProcessingRequest message) {
             out.onNext(message);
             return this;
         }
 
-        void breakOff() {
-            out.cancel("enough", null);
+        void cancel() {
+            out.cancel("cancelled by the test", null);
         }
 
         private Object next() throws InterruptedException {
-            Object next = heard.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
-            assertNotNull(next, "nothing was heard");
+            Object next = events.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            assertNotNull(next, "no message arrived");
             return next;
         }
 
-        /** The endpoint of the decision that comes next, or "status" and the immediate response's. */
-        String told() throws InterruptedException {
+        /**
+         * Returns the next event: a decision's endpoint, an immediate response's status, a message type or a gRPC
+         * status.
+         */
+        String nextEvent() throws InterruptedException {
             Object next = next();
             if (next instanceof Status status) {
                 return status.getCode().name();
@@ -200,66 +203,66 @@
 
         @Override
         public void onNext(ProcessingResponse message) {
-            heard.add(message);
+            events.add(message);
         }
 
         @Override
         public void onError(Throwable cause) {
-            heard.add(Status.fromThrowable(cause));
+            events.add(Status.fromThrowable(cause));
         }
 
         @Override
         public void onCompleted() {
-            heard.add(Status.OK);
+            events.add(Status.OK);
         }
     }
 
     private void assertServes(String id) throws InterruptedException {
-        Peer good = Peer.open(proxy()).ask(id, ORDER, 1);
-        assertTrue(good.told().startsWith("10.0.0.1:"));
-        good.say(ExtProcFixture.response(200, 0));
-        assertEquals("RESPONSE_HEADERS", good.told());
-        assertEquals("OK", good.told());
+        Peer good = Peer.open(proxy()).sendRequest(id, ORDER, 1);
+        assertTrue(good.nextEvent().startsWith("10.0.0.1:"));
+        good.send(ExtProcFixture.response(200, 0));
+        assertEquals("RESPONSE_HEADERS", good.nextEvent());
+        assertEquals("OK", good.nextEvent());
     }
 
     // ---- hard cases 1 to 3 ----
 
     @Test
-    void twoProxiesThatAskForOneRequestGetOneDecision() throws Exception {
-        String first = Peer.open(proxy()).ask("r", ORDER, 1).told();
-        String second = Peer.open(proxy()).ask("r", ORDER, 1).told();
+    void concurrentStreamsOfTwoProxiesGetOneDecision() throws Exception {
+        String first = Peer.open(proxy()).sendRequest("r", ORDER, 1).nextEvent();
+        String second = Peer.open(proxy()).sendRequest("r", ORDER, 1).nextEvent();
         assertTrue(first.startsWith("10.0.0.1:"), first);
         assertEquals("status 409", second);
     }
 
-    /** The answer is written just before the proxy's time-out. */
+    /** The decision is sent just before the proxy's time-out. */
     @Test
-    void aDecisionThatTheProxyHasThrownAwayIsNotGivenTwice() throws Exception {
+    void decisionDiscardedByTheProxyIsNotRepeated() throws Exception {
         ManagedChannel proxy = proxy();
-        Peer late = Peer.open(proxy).ask("r", ORDER, 1);
-        assertTrue(late.told().startsWith("10.0.0.1:"));
-        late.breakOff();
-        await("the break has arrived", () -> streams() == 0);
-        assertEquals("status 500", Peer.open(proxy).ask("r", ORDER, 2).told());
+        Peer late = Peer.open(proxy).sendRequest("r", ORDER, 1);
+        assertTrue(late.nextEvent().startsWith("10.0.0.1:"));
+        late.cancel();
+        await("the cancellation has arrived", () -> openStreams() == 0);
+        assertEquals("status 500", Peer.open(proxy).sendRequest("r", ORDER, 2).nextEvent());
     }
 
-    /** The answer would be written just after it: the pause of ours is over when all of this has arrived. */
+    /** The decision would be sent just after the proxy's time-out, because the processor pauses until then. */
     @Test
-    void whatAProxyGaveUpDuringAPauseOfOursIsServedWhenItComesBack() throws Exception {
+    void requestCancelledDuringAPauseIsServedWhenRetried() throws Exception {
         ManagedChannel proxy = proxy();
-        // The connection stands, and its first stream has shown it.
-        Peer.open(proxy).ask("warm", READ, 1).told();
+        // Establishes the connection.
+        Peer.open(proxy).sendRequest("warm", READ, 1).nextEvent();
         CountDownLatch pause = new CountDownLatch(1);
         server.loop().execute(() -> awaitQuietly(pause));
-        Peer late = Peer.open(proxy).ask("r", ORDER, 0);
-        // Long enough for its message to be on its way; where it is not, the break takes it back.
+        Peer late = Peer.open(proxy).sendRequest("r", ORDER, 0);
+        // Usually lets the request be sent; otherwise the cancellation discards it, and the result is the same.
         Thread.sleep(50);
-        late.breakOff();
-        Peer again = Peer.open(proxy).ask("r", ORDER, 0);
-        assertEquals("CANCELLED", late.told());
+        late.cancel();
+        Peer again = Peer.open(proxy).sendRequest("r", ORDER, 0);
+        assertEquals("CANCELLED", late.nextEvent());
         Thread.sleep(50);
         pause.countDown();
-        assertTrue(again.told().startsWith("10.0.0.1:"));
+        assertTrue(again.nextEvent().startsWith("10.0.0.1:"));
     }
 
     private static void awaitQuietly(CountDownLatch latch) {
@@ -271,27 +274,27 @@
     }
 
     @Test
-    void aProxysConnectionThatDiesLeavesNothing() throws Exception {
+    void lostProxyConnectionLeavesNoState() throws Exception {
         ManagedChannel proxy = proxy();
         for (int i = 0; i < 4; i++) {
-            Peer.open(proxy).ask("r" + i, ORDER, 1).told();
+            Peer.open(proxy).sendRequest("r" + i, ORDER, 1).nextEvent();
         }
         proxy.shutdownNow();
-        await("all streams are over", () -> streams() == 0);
-        await("no call is held", () -> calls() == 0);
+        await("all streams have ended", () -> openStreams() == 0);
+        await("no request is pending", () -> pendingRequests() == 0);
         assertServes("after");
     }
 
-    // ---- hard cases 5 and 6: a slow proxy, a cold endpoint, with endpoints that count ----
+    // ---- hard cases 5 and 6: a slow proxy and a cold endpoint, with endpoints that count executions ----
 
-    /** An endpoint that counts what it is sent, by id, and when. */
-    private final class Counting {
+    /** An endpoint that counts the requests that it receives per id and records when each arrived. */
+    private final class CountingEndpoint {
         private final ServerSocket listener = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
-        private final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
-        private final ConcurrentLinkedQueue<Long> at = new ConcurrentLinkedQueue<>();
+        private final Map<String, AtomicInteger> executions = new ConcurrentHashMap<>();
+        private final ConcurrentLinkedQueue<Long> arrivalNanos = new ConcurrentLinkedQueue<>();
 
-        Counting() throws IOException {
-            closing.add(listener);
+        CountingEndpoint() throws IOException {
+            resources.add(listener);
             Thread thread = new Thread(this::accept, "endpoint");
             thread.setDaemon(true);
             thread.start();
@@ -325,9 +328,9 @@
                         break;
                     }
                 }
-                at.add(System.nanoTime());
+                arrivalNanos.add(System.nanoTime());
                 String id = head.toString().replaceAll("(?is).*x-request-id: ([^\r]*).*", "$1");
-                runs.computeIfAbsent(id, k -> new AtomicInteger()).incrementAndGet();
+                executions.computeIfAbsent(id, k -> new AtomicInteger()).incrementAndGet();
                 OutputStream out = socket.getOutputStream();
                 out.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.US_ASCII));
                 out.flush();
@@ -336,32 +339,37 @@
             }
         }
 
-        int runs(String id) {
-            return runs.getOrDefault(id, new AtomicInteger()).get();
+        int executions(String id) {
+            return executions.getOrDefault(id, new AtomicInteger()).get();
         }
     }
 
-    private InetSocketAddress standIn(StandInProxy.WhenAway whenAway, String fallback, StandInProxy.Conduct conduct) {
+    private InetSocketAddress startProxy(
+            StandInProxy.ProcessorFailureMode failureMode, String fallback, StandInProxy.Behavior behavior) {
         EventLoop loop = (EventLoop) group.next();
         StandInProxy proxy = new StandInProxy(
                 loop,
                 new EventLoopScheduler(loop),
                 server.address(),
                 new StandInProxy.Options(
-                        100, 250, 3, whenAway, fallback == null ? null : SocketAddresses.parse("fallback", fallback)),
-                conduct);
-        closing.add(proxy::close);
+                        100,
+                        250,
+                        3,
+                        failureMode,
+                        fallback == null ? null : SocketAddresses.parse("fallback", fallback)),
+                behavior);
+        resources.add(proxy::close);
         return (InetSocketAddress) proxy.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .syncUninterruptibly()
                 .channel()
                 .localAddress();
     }
 
-    private static int post(InetSocketAddress to, String id, String kind) throws IOException {
+    private static int post(InetSocketAddress to, String id, String requestClass) throws IOException {
         try (Socket socket = new Socket(to.getAddress(), to.getPort())) {
-            socket.setSoTimeout((int) PATIENCE_MS);
+            socket.setSoTimeout((int) TIMEOUT_MS);
             socket.getOutputStream()
-                    .write(("POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + id + "\r\nX-Class: " + kind
+                    .write(("POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + id + "\r\nX-Class: " + requestClass
                                     + "\r\nX-Deadline-Ms: 2500\r\nContent-Length: 0\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
             byte[] line = socket.getInputStream().readNBytes(12);
@@ -375,45 +383,46 @@
     }
 
     @Test
-    void aStandInProxyCarriesADecisionOut() throws Exception {
-        Counting endpoint = new Counting();
+    void proxySendsRequestToTheDecidedEndpoint() throws Exception {
+        CountingEndpoint endpoint = new CountingEndpoint();
         restart(entry(0, endpoint.address(), "in_service", 0));
-        InetSocketAddress proxy = standIn(StandInProxy.WhenAway.FAIL, null, StandInProxy.Conduct.GOOD);
+        InetSocketAddress proxy =
+                startProxy(StandInProxy.ProcessorFailureMode.FAIL, null, StandInProxy.Behavior.CORRECT);
         assertEquals(200, post(proxy, "r", "order"));
-        assertEquals(1, endpoint.runs("r"));
+        assertEquals(1, endpoint.executions("r"));
         assertEquals(400, post(proxy, "q", "nonsense"));
-        await("nothing is held", () -> streams() == 0 && calls() == 0);
+        await("no state is left", () -> openStreams() == 0 && pendingRequests() == 0);
     }
 
-    /** The connect's limit counts from the decision, so a slow proxy gives up rather than send late. */
+    /** The connect time-out counts from the decision, so a slow proxy gives up instead of sending late. */
     @Test
-    void aDecisionIsNeverCarriedOutLaterThanTheProxysLimits() throws Exception {
-        Counting endpoint = new Counting();
+    void decisionIsNotCarriedOutAfterTheConnectTimeOut() throws Exception {
+        CountingEndpoint endpoint = new CountingEndpoint();
         restart(entry(0, endpoint.address(), "in_service", 0));
-        InetSocketAddress slow = standIn(StandInProxy.WhenAway.FAIL, null, new StandInProxy.Conduct() {
+        InetSocketAddress slow = startProxy(StandInProxy.ProcessorFailureMode.FAIL, null, new StandInProxy.Behavior() {
             @Override
-            public double slownessMs(String id, int attempt) {
+            public double sendDelayMs(String id, int attempt) {
                 return id.equals("slow") ? 600 : 100;
             }
         });
         assertEquals(503, post(slow, "slow", "order"));
-        assertEquals(0, endpoint.runs("slow"));
+        assertEquals(0, endpoint.executions("slow"));
         assertEquals(200, post(slow, "less", "order"));
     }
 
-    /** Eight clients, a proxy that is slow to send, and an endpoint that counts what reaches it and when. */
+    /** Eight clients use a proxy that delays its sends while one of two endpoints drains. */
     @Test
-    void nothingNewReachesADrainingEndpointAfterTheGrace() throws Exception {
-        Counting leaving = new Counting();
-        Counting staying = new Counting();
+    void drainingEndpointReceivesNothingAfterTheGracePeriod() throws Exception {
+        CountingEndpoint leaving = new CountingEndpoint();
+        CountingEndpoint staying = new CountingEndpoint();
         restart(entry(0, leaving.address(), "in_service", 0), entry(1, staying.address(), "in_service", 0));
-        InetSocketAddress proxy = standIn(StandInProxy.WhenAway.FAIL, null, new StandInProxy.Conduct() {
+        InetSocketAddress proxy = startProxy(StandInProxy.ProcessorFailureMode.FAIL, null, new StandInProxy.Behavior() {
             @Override
-            public double slownessMs(String id, int attempt) {
+            public double sendDelayMs(String id, int attempt) {
                 return 150;
             }
         });
-        ConcurrentLinkedQueue<String> wrong = new ConcurrentLinkedQueue<>();
+        ConcurrentLinkedQueue<String> violations = new ConcurrentLinkedQueue<>();
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             String name = "c" + i + "-";
@@ -421,19 +430,20 @@
                 for (int n = 0; n < 12; n++) {
                     try {
                         int status = post(proxy, name + n, "order");
-                        int runs = leaving.runs(name + n) + staying.runs(name + n);
-                        // At the first calls the limit is low: some are refused, and those have not run.
-                        if (status == 200 ? runs != 1 : status != 503 || runs != 0) {
-                            wrong.add(name + n + ": " + status + ", ran " + runs + " times");
+                        int executions = leaving.executions(name + n) + staying.executions(name + n);
+                        // The concurrency limit is low at first: some requests are rejected, and those must not
+                        // execute.
+                        if (status == 200 ? executions != 1 : status != 503 || executions != 0) {
+                            violations.add(name + n + ": " + status + ", executed " + executions + " times");
                         }
                     } catch (IOException e) {
-                        wrong.add(name + n + ": " + e);
+                        violations.add(name + n + ": " + e);
                     }
                 }
             }));
         }
         clients.forEach(Thread::start);
-        await("the endpoint has work", () -> leaving.at.size() >= 5);
+        await("the endpoint has received requests", () -> leaving.arrivalNanos.size() >= 5);
         EndpointList drain = new EndpointList(
                 2,
                 false,
@@ -443,25 +453,31 @@
         server.loop()
                 .submit(() -> server.requestTracker().onEndpointList(drain))
                 .syncUninterruptibly();
-        long told = System.nanoTime();
+        long drainedNanos = System.nanoTime();
         for (Thread client : clients) {
-            client.join(PATIENCE_MS);
+            client.join(TIMEOUT_MS);
         }
-        assertEquals(List.of(), List.copyOf(wrong));
-        long late = leaving.at.stream().filter(at -> at - told > 500_000_000L).count();
-        assertEquals(0, late, "calls later than 500 ms after it was told");
-        assertTrue(staying.at.stream().anyMatch(at -> at - told > 500_000_000L), "the other one went on");
+        assertEquals(List.of(), List.copyOf(violations));
+        long late = leaving.arrivalNanos.stream()
+                .filter(at -> at - drainedNanos > 500_000_000L)
+                .count();
+        assertEquals(0, late, "requests later than 500 ms after the drain was published");
+        assertTrue(
+                staying.arrivalNanos.stream().anyMatch(at -> at - drainedNanos > 500_000_000L),
+                "the other endpoint still receives requests");
     }
 
-    /** Whatever a proxy does when we pause for longer than it waits: no unsafe request runs twice. */
+    /** Guards against double execution when the processor pauses for longer than a proxy waits for it. */
     @Test
-    void aProxyThatGoesOnOrAsksAgainRunsNothingTwice() throws Exception {
-        Counting endpoint = new Counting();
+    void proxyThatBypassesOrAsksAgainExecutesNothingTwice() throws Exception {
+        CountingEndpoint endpoint = new CountingEndpoint();
         restart(entry(0, endpoint.address(), "in_service", 0));
-        InetSocketAddress again = standIn(StandInProxy.WhenAway.ASK_AGAIN, null, StandInProxy.Conduct.GOOD);
-        InetSocketAddress goesOn = standIn(StandInProxy.WhenAway.GO_ON, endpoint.address(), StandInProxy.Conduct.GOOD);
-        assertEquals(200, post(again, "warm1", "order"));
-        assertEquals(200, post(goesOn, "warm2", "order"));
+        InetSocketAddress retrying =
+                startProxy(StandInProxy.ProcessorFailureMode.ASK_AGAIN, null, StandInProxy.Behavior.CORRECT);
+        InetSocketAddress bypassing =
+                startProxy(StandInProxy.ProcessorFailureMode.BYPASS, endpoint.address(), StandInProxy.Behavior.CORRECT);
+        assertEquals(200, post(retrying, "warm1", "order"));
+        assertEquals(200, post(bypassing, "warm2", "order"));
         int served = 0;
         for (int round = 0; round < 5; round++) {
             CountDownLatch pause = new CountDownLatch(1);
@@ -475,89 +491,93 @@
                 pause.countDown();
             });
             resume.start();
-            served += post(again, "a" + round, "order") == 200 ? 1 : 0;
+            served += post(retrying, "a" + round, "order") == 200 ? 1 : 0;
             resume.join();
-            served += post(goesOn, "g" + round, "order") == 200 ? 1 : 0;
-            assertTrue(endpoint.runs("a" + round) <= 1, "asked again");
-            assertTrue(endpoint.runs("g" + round) <= 1, "went on");
+            served += post(bypassing, "g" + round, "order") == 200 ? 1 : 0;
+            assertTrue(endpoint.executions("a" + round) <= 1, "executed more than once after asking again");
+            assertTrue(endpoint.executions("g" + round) <= 1, "executed more than once after bypassing the processor");
         }
         assertTrue(served > 0);
     }
 
     @Test
-    void aProxyThatAsksTwiceAtOnceRunsItOnce() throws Exception {
-        Counting endpoint = new Counting();
+    void duplicateStreamsExecuteARequestOnce() throws Exception {
+        CountingEndpoint endpoint = new CountingEndpoint();
         restart(entry(0, endpoint.address(), "in_service", 0));
-        LinkedBlockingQueue<Integer> told = new LinkedBlockingQueue<>();
-        InetSocketAddress twice = standIn(StandInProxy.WhenAway.FAIL, null, new StandInProxy.Conduct() {
-            @Override
-            public boolean asksTwice(String id, int attempt) {
-                return true;
-            }
+        LinkedBlockingQueue<Integer> secondResults = new LinkedBlockingQueue<>();
+        InetSocketAddress duplicating =
+                startProxy(StandInProxy.ProcessorFailureMode.FAIL, null, new StandInProxy.Behavior() {
+                    @Override
+                    public boolean opensSecondStream(String id, int attempt) {
+                        return true;
+                    }
 
-            @Override
-            public void toldTwice(String id, int status) {
-                told.add(status);
-            }
-        });
-        int status = post(twice, "r", "order");
-        int other = told.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+                    @Override
+                    public void onSecondResult(String id, int status) {
+                        secondResults.add(status);
+                    }
+                });
+        int status = post(duplicating, "r", "order");
+        int other = secondResults.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         assertTrue(status == 200 && other == 409 || status == 409 && other == 0, status + " and " + other);
-        assertEquals(status == 200 ? 1 : 0, endpoint.runs("r"));
+        assertEquals(status == 200 ? 1 : 0, endpoint.executions("r"));
     }
 
     @Test
-    void aStreamBrokenOffAfterItsDecisionIsNotDecidedAgain() throws Exception {
-        Counting endpoint = new Counting();
+    void requestIsNotDecidedAgainAfterItsStreamWasCancelled() throws Exception {
+        CountingEndpoint endpoint = new CountingEndpoint();
         restart(entry(0, endpoint.address(), "in_service", 0));
-        InetSocketAddress breaks = standIn(StandInProxy.WhenAway.FAIL, null, new StandInProxy.Conduct() {
-            @Override
-            public boolean breaksOff(String id, int attempt) {
-                return true;
-            }
-        });
-        assertEquals(200, post(breaks, "r", "order"), "it went on without us");
-        assertEquals("status 500", Peer.open(proxy()).ask("r", ORDER, 2).told());
-        assertEquals(1, endpoint.runs("r"));
+        InetSocketAddress cancelling =
+                startProxy(StandInProxy.ProcessorFailureMode.FAIL, null, new StandInProxy.Behavior() {
+                    @Override
+                    public boolean cancelsStream(String id, int attempt) {
+                        return true;
+                    }
+                });
+        assertEquals(200, post(cancelling, "r", "order"), "the proxy proceeded without the processor");
+        assertEquals("status 500", Peer.open(proxy()).sendRequest("r", ORDER, 2).nextEvent());
+        assertEquals(1, endpoint.executions("r"));
     }
 
     @Test
-    void aColdEndpointIsSparedByAllProxiesTogether() throws Exception {
+    void coldEndpointIsProtectedAcrossAllProxies() throws Exception {
         restart(
                 entry(0, "10.0.0.1:1", "in_service", 0),
                 entry(1, "10.0.0.1:2", "in_service", 0),
                 entry(2, "10.0.0.1:3", "in_service", System.currentTimeMillis()));
         int cold = 0;
         for (int i = 0; i < 9; i++) {
-            cold += Peer.open(proxy()).ask("r" + i, READ, 1).told().endsWith(":3") ? 1 : 0;
+            cold += Peer.open(proxy()).sendRequest("r" + i, READ, 1).nextEvent().endsWith(":3") ? 1 : 0;
         }
-        assertTrue(cold <= 1, cold + " of 9 proxies' calls at once went to the cold endpoint");
+        assertTrue(cold <= 1, cold + " of 9 proxies' concurrent requests went to the cold endpoint");
     }
 
     // ---- hard case 7 ----
 
     @Test
-    void whatIsOpenWhenItDrainsIsFinished() throws Exception {
-        Peer open = Peer.open(proxy()).ask("r", ORDER, 1);
-        open.told();
+    void openStreamsAreFinishedDuringADrain() throws Exception {
+        Peer open = Peer.open(proxy()).sendRequest("r", ORDER, 1);
+        open.nextEvent();
         ManagedChannel later = proxy();
         Thread drain = new Thread(server::drain);
         drain.start();
-        await("it drains", () -> log.toString(StandardCharsets.UTF_8).contains("draining"));
-        open.say(ExtProcFixture.response(200, 0));
-        assertEquals("RESPONSE_HEADERS", open.told());
-        drain.join(PATIENCE_MS);
+        await(
+                "the drain has started",
+                () -> log.toString(StandardCharsets.UTF_8).contains("draining"));
+        open.send(ExtProcFixture.response(200, 0));
+        assertEquals("RESPONSE_HEADERS", open.nextEvent());
+        drain.join(TIMEOUT_MS);
         assertTrue(log.toString(StandardCharsets.UTF_8).contains("martenlatch: drained"), log.toString());
-        assertEquals("UNAVAILABLE", Peer.open(later).ask("s", ORDER, 1).told());
+        assertEquals("UNAVAILABLE", Peer.open(later).sendRequest("s", ORDER, 1).nextEvent());
     }
 
     @Test
-    void aNewConfigurationMovesTheWatchAndTouchesNoConsultation() throws Exception {
-        Peer open = Peer.open(proxy()).ask("r", ORDER, 1);
-        open.told();
+    void reloadMovesDiscoveryAndDisturbsNoStream() throws Exception {
+        Peer open = Peer.open(proxy()).sendRequest("r", ORDER, 1);
+        open.nextEvent();
         Path site = folder.resolve("config.json");
         try (ServerSocket next = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            next.setSoTimeout((int) PATIENCE_MS);
+            next.setSoTimeout((int) TIMEOUT_MS);
             Files.writeString(
                     site,
                     Files.readString(site)
@@ -565,57 +585,59 @@
             server.reload();
             next.accept().close();
         }
-        open.say(ExtProcFixture.response(200, 0));
-        assertEquals("RESPONSE_HEADERS", open.told());
+        open.send(ExtProcFixture.response(200, 0));
+        assertEquals("RESPONSE_HEADERS", open.nextEvent());
         Files.writeString(site, "{");
         server.reload();
-        await("it is told", () -> log.toString(StandardCharsets.UTF_8).contains("configuration not reloaded"));
+        await(
+                "the failed reload is logged",
+                () -> log.toString(StandardCharsets.UTF_8).contains("configuration not reloaded"));
     }
 
     // ---- hard case 8 ----
 
     @Test
-    void garbageInsteadOfHttp2DisturbsNobody() throws Exception {
+    void invalidHttp2DisturbsNoOtherConnection() throws Exception {
         for (String garbage : List.of(
                 "GET / HTTP/1.1\r\n\r\n",
                 "\0".repeat(24),
                 "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\377\377\377\377\377\377\377\377\377")) {
             try (Socket socket =
                     new Socket(server.address().getAddress(), server.address().getPort())) {
-                socket.setSoTimeout((int) PATIENCE_MS);
+                socket.setSoTimeout((int) TIMEOUT_MS);
                 socket.getOutputStream().write(garbage.getBytes(StandardCharsets.ISO_8859_1));
                 socket.getOutputStream().flush();
                 while (socket.getInputStream().read() >= 0) {
                     continue;
                 }
             } catch (java.net.SocketException e) {
-                // A reset ends it as well.
+                // A reset also closes the connection.
                 continue;
             }
         }
         assertServes("r");
-        assertEquals(0, streams());
+        assertEquals(0, openStreams());
     }
 
     @Test
-    void aMessageOverTheLimitIsRefusedAndNothingElseIsDisturbed() throws Exception {
+    void oversizedMessageEndsOnlyItsStream() throws Exception {
         ManagedChannel proxy = proxy();
-        Peer other = Peer.open(proxy).ask("other", ORDER, 1);
-        assertTrue(other.told().startsWith("10.0.0.1:"));
+        Peer other = Peer.open(proxy).sendRequest("other", ORDER, 1);
+        assertTrue(other.nextEvent().startsWith("10.0.0.1:"));
         assertEquals(
                 "RESOURCE_EXHAUSTED",
                 Peer.open(proxy)
-                        .say(ExtProcFixture.request(ExtProcFixture.heads("r", ORDER, 1)
+                        .send(ExtProcFixture.request(ExtProcFixture.headers("r", ORDER, 1)
                                 .addHeaders(ExtProcFixture.value("x-long", "x".repeat(64 * 1024)))))
-                        .told());
-        other.say(ExtProcFixture.response(200, 0));
-        assertEquals("RESPONSE_HEADERS", other.told());
-        await("nothing is held", () -> streams() == 0 && calls() == 0);
+                        .nextEvent());
+        other.send(ExtProcFixture.response(200, 0));
+        assertEquals("RESPONSE_HEADERS", other.nextEvent());
+        await("no state is left", () -> openStreams() == 0 && pendingRequests() == 0);
     }
 
     @Test
-    void aSilentStreamIsCutOff() throws Exception {
-        assertEquals("DEADLINE_EXCEEDED", Peer.open(proxy()).told());
-        assertEquals(0, streams());
+    void silentStreamIsEnded() throws Exception {
+        assertEquals("DEADLINE_EXCEEDED", Peer.open(proxy()).nextEvent());
+        assertEquals(0, openStreams());
     }
 }
