--- a/extproc/src/test/java/martenlatch/extproc/MainTest.java
+++ b/extproc/src/test/java/martenlatch/extproc/MainTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The command line as an operator meets it. */
+/** Checks the exit status and output of the command line. */
 @Timeout(60)
 class MainTest {
 
@@ -41,7 +41,7 @@
         return Main.run(args, site.toString(), new PrintStream(errors, true, StandardCharsets.UTF_8));
     }
 
-    private String said() {
+    private String errorOutput() {
         return errors.toString(StandardCharsets.UTF_8).strip();
     }
 
@@ -53,9 +53,9 @@
 
     @ParameterizedTest
     @CsvSource({"''", "extproc", "proxy 127.0.0.1:1", "serve x"})
-    void whatIsNoCommandIsToldTheUsage(String line) throws IOException {
-        assertEquals(2, run(line.split(" ")));
-        assertTrue(said().startsWith("usage: "), said());
+    void unknownCommandPrintsUsage(String commandLine) throws IOException {
+        assertEquals(2, run(commandLine.split(" ")));
+        assertTrue(errorOutput().startsWith("usage: "), errorOutput());
     }
 
     @ParameterizedTest
@@ -67,28 +67,29 @@
                 "load 127.0.0.1:1 fast 1 read 1|martenlatch: field RATE is not usable: fast",
                 "load 127.0.0.1:1 0 0 read 1|martenlatch: field STREAMS is not usable: 0"
             })
-    void whatCannotBeUsedIsOnePlainLine(String line, String expected) throws IOException {
-        assertEquals(1, run(line.split(" ")));
-        assertEquals(expected, said());
+    void invalidArgumentIsReportedInOneLine(String commandLine, String expected) throws IOException {
+        assertEquals(1, run(commandLine.split(" ")));
+        assertEquals(expected, errorOutput());
     }
 
     @Test
-    void aPortInUseIsOnePlainLine() throws IOException {
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Path own = settings("127.0.0.1:" + taken.getLocalPort());
-            assertEquals(1, run("extproc", own.toString()));
+    void portInUseIsReportedInOneLine() throws IOException {
+        try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            Path settingsFile = settings("127.0.0.1:" + occupied.getLocalPort());
+            assertEquals(1, run("extproc", settingsFile.toString()));
             assertTrue(
-                    said().lines()
+                    errorOutput()
+                            .lines()
                             .toList()
-                            .get(said().lines().toList().size() - 1)
-                            .startsWith("martenlatch: cannot listen on /127.0.0.1:" + taken.getLocalPort()),
-                    said());
+                            .get(errorOutput().lines().toList().size() - 1)
+                            .startsWith("martenlatch: cannot listen on /127.0.0.1:" + occupied.getLocalPort()),
+                    errorOutput());
         }
     }
 
-    /** Guards against a planned stop that looks like a crash. */
+    /** Guards against a planned stop that exits with a failure status. */
     @Test
-    void aStopBySignalIsACleanExit() throws Exception {
+    void sigtermDrainsAndExitsWithStatusZero() throws Exception {
         ProcessBuilder builder = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
--- a/extproc/src/test/java/martenlatch/frontend/extproc/ExtProcFixture.java
+++ b/extproc/src/test/java/martenlatch/frontend/extproc/ExtProcFixture.java
@@ -34,10 +34,10 @@
 import martenlatch.request.RequestObserver;
 import martenlatch.request.RequestTracker;
 
-/** A processor with no sockets, on a clock that the test moves, and the streams that consult it. */
+/** A processor without sockets, on a manually advanced clock, and the streams that a proxy opens to it. */
 public final class ExtProcFixture {
 
-    public static final ExtProcSettings OWN =
+    public static final ExtProcSettings SETTINGS =
             new ExtProcSettings(new InetSocketAddress("127.0.0.1", 0), 200, 2000, 300, 10_000, 1000, 100, 250);
     public static final RequestClass READ =
             new RequestClass("read", 200, 3000, 1, 0.5, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false);
@@ -47,7 +47,7 @@
             "save", 1000, 3000, 1, 0.5, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL, 800, false);
     public static final RequestClass PUT = new RequestClass(
             "put", 1000, 3000, 1, 0.5, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL, 5000, false);
-    public static final BalancerSettings SITE = new BalancerSettings(
+    public static final BalancerSettings BALANCER_SETTINGS = new BalancerSettings(
             1,
             0,
             0,
@@ -61,57 +61,65 @@
             new AttemptLimits(3, false, true, 2000, 200),
             new EndpointRules(0.3, 8000, 3, 1000, 500, 10_000));
 
-    final ManualScheduler time = new ManualScheduler();
+    final ManualScheduler scheduler = new ManualScheduler();
     final ByteArrayOutputStream log = new ByteArrayOutputStream();
     final EndpointAddresses addresses = new EndpointAddresses();
-    final ExtProcSettings own;
+    final ExtProcSettings settings;
     private final Deque<Runnable> tasks = new ArrayDeque<>();
-    RequestTracker exchange;
+    RequestTracker requestTracker;
     Processor processor;
 
-    ExtProcFixture(Endpoint... servers) {
-        this(OWN, servers);
+    ExtProcFixture(Endpoint... endpoints) {
+        this(SETTINGS, endpoints);
     }
 
-    ExtProcFixture(ExtProcSettings own, Endpoint... servers) {
-        this.own = own;
-        restart(servers);
+    ExtProcFixture(ExtProcSettings settings, Endpoint... endpoints) {
+        this.settings = settings;
+        restart(endpoints);
     }
 
-    /** A new program, that knows nothing of the old one's. */
-    void restart(Endpoint... servers) {
+    /** Simulates a process restart: creates a new request tracker and processor without the state of the old ones. */
+    void restart(Endpoint... endpoints) {
         tasks.clear();
-        RateLimitedLogger complaints = new RateLimitedLogger(time, new PrintStream(log, true, StandardCharsets.UTF_8));
-        exchange = new RequestTracker(
-                time, complaints, addresses, () -> {}, SITE, 7, list(true, servers), RequestObserver.NONE);
-        processor = new Processor(time, tasks::add, complaints, exchange, addresses, own, SITE);
+        RateLimitedLogger logger = new RateLimitedLogger(scheduler, new PrintStream(log, true, StandardCharsets.UTF_8));
+        requestTracker = new RequestTracker(
+                scheduler,
+                logger,
+                addresses,
+                () -> {},
+                BALANCER_SETTINGS,
+                7,
+                list(true, endpoints),
+                RequestObserver.NONE);
+        processor =
+                new Processor(scheduler, tasks::add, logger, requestTracker, addresses, settings, BALANCER_SETTINGS);
     }
 
-    public static Endpoint server(int number) {
-        return server(number, EndpointStatus.READY);
+    public static Endpoint endpoint(int number) {
+        return endpoint(number, EndpointStatus.READY);
     }
 
-    public static Endpoint server(int number, EndpointStatus state) {
-        return new Endpoint("s" + number, 0, 0, number, 0, state, 1);
+    public static Endpoint endpoint(int number, EndpointStatus status) {
+        return new Endpoint("s" + number, 0, 0, number, 0, status, 1);
     }
 
-    public static EndpointList list(boolean full, Endpoint... servers) {
+    public static EndpointList list(boolean full, Endpoint... endpoints) {
         List<EndpointList.Entry> entries = new ArrayList<>();
-        for (Endpoint server : servers) {
+        for (Endpoint endpoint : endpoints) {
             entries.add(new EndpointList.Entry(
-                    server,
+                    endpoint,
                     new InetSocketAddress(
-                            "10.0.0.1", 1 + Integer.parseInt(server.id().substring(1)))));
+                            "10.0.0.1", 1 + Integer.parseInt(endpoint.id().substring(1)))));
         }
         return new EndpointList(1, full, entries);
     }
 
-    void change(Endpoint... servers) {
-        exchange.onEndpointList(list(false, servers));
+    void updateEndpoints(Endpoint... endpoints) {
+        requestTracker.onEndpointList(list(false, endpoints));
     }
 
-    /** Lets what was put off until later happen. */
-    void settle() {
+    /** Runs all deferred tasks. */
+    void runDeferredTasks() {
         for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
             task.run();
         }
@@ -126,32 +134,33 @@
                 .build();
     }
 
-    public static HeaderMap.Builder heads(String id, RequestClass kind, int attempt) {
+    public static HeaderMap.Builder headers(String id, RequestClass requestClass, int attempt) {
         HeaderMap.Builder map = HeaderMap.newBuilder()
-                .addHeaders(value(":method", kind.idempotency() == Idempotency.IDEMPOTENT ? "GET" : "POST"))
+                .addHeaders(value(":method", requestClass.idempotency() == Idempotency.IDEMPOTENT ? "GET" : "POST"))
                 .addHeaders(value(":path", "/api"))
                 .addHeaders(value("x-request-id", id))
-                .addHeaders(value("x-class", kind.name()))
+                .addHeaders(value("x-class", requestClass.name()))
                 .addHeaders(value("x-deadline-ms", "1000"));
         return attempt == 0 ? map : map.addHeaders(value("x-envoy-attempt-count", Integer.toString(attempt)));
     }
 
-    public static ProcessingRequest request(HeaderMap.Builder heads) {
+    public static ProcessingRequest request(HeaderMap.Builder headers) {
         return ProcessingRequest.newBuilder()
-                .setRequestHeaders(HttpHeaders.newBuilder().setHeaders(heads))
+                .setRequestHeaders(HttpHeaders.newBuilder().setHeaders(headers))
                 .build();
     }
 
+    /** Returns the report of a response with these flags; {@code more} holds names and values of further headers. */
     public static ProcessingRequest response(int status, int flags, String... more) {
         HeaderMap.Builder map = HeaderMap.newBuilder().addHeaders(value(":status", status + ""));
         for (int i = 0; i < more.length; i += 2) {
             map.addHeaders(value(more[i], more[i + 1]));
         }
-        ProcessingRequest.Builder made = ProcessingRequest.newBuilder()
+        ProcessingRequest.Builder message = ProcessingRequest.newBuilder()
                 .setResponseHeaders(HttpHeaders.newBuilder().setHeaders(map));
         return flags == 0
-                ? made.build()
-                : made.putAttributes(
+                ? message.build()
+                : message.putAttributes(
                                 "envoy.filters.http.ext_proc",
                                 Struct.newBuilder()
                                         .putFields(
@@ -163,38 +172,38 @@
                         .build();
     }
 
-    public static final int TIMED_OUT = 1 << 2;
-    public static final int NOT_CONNECTED = 1 << 5;
-    public static final int BROKEN = 1 << 6;
+    public static final int TIMED_OUT_FLAG = 1 << 2;
+    public static final int CONNECT_FAILED_FLAG = 1 << 5;
+    public static final int CONNECTION_LOST_FLAG = 1 << 6;
 
     Stream open() {
         return new Stream();
     }
 
-    /** Consults, and lets it be decided. */
-    Stream consult(String id, RequestClass kind, int attempt) {
-        Stream stream = open().say(request(heads(id, kind, attempt)));
-        settle();
+    /** Opens a stream, sends the request headers and runs the decision. */
+    Stream openAndDecide(String id, RequestClass requestClass, int attempt) {
+        Stream stream = open().send(request(headers(id, requestClass, attempt)));
+        runDeferredTasks();
         return stream;
     }
 
-    /** One stream as a proxy has it. */
+    /** The proxy's side of a stream. */
     final class Stream extends ServerCallStreamObserver<ProcessingResponse> {
-        final List<ProcessingResponse> told = new ArrayList<>();
+        final List<ProcessingResponse> received = new ArrayList<>();
         Status error;
-        int ends;
+        int endCount;
         private Runnable onCancel;
         private boolean cancelled;
         private final StreamObserver<ProcessingRequest> in = processor.process(this);
 
-        Stream say(ProcessingRequest message) {
+        Stream send(ProcessingRequest message) {
             in.onNext(message);
             return this;
         }
 
-        /** The proxy breaks it off. */
-        void breakOff() {
-            if (!cancelled && ends == 0) {
+        /** Cancels the stream as a proxy does; does nothing if it has ended. */
+        void cancel() {
+            if (!cancelled && endCount == 0) {
                 cancelled = true;
                 onCancel.run();
                 in.onError(Status.CANCELLED.asRuntimeException());
@@ -202,26 +211,26 @@
         }
 
         ProcessingResponse last() {
-            return told.get(told.size() - 1);
+            return received.get(received.size() - 1);
         }
 
-        /** The status of the immediate response that ended it, or 0. */
+        /** Returns the status of the immediate response that ended the stream, or 0. */
         int status() {
-            return told.isEmpty()
+            return received.isEmpty()
                     ? 0
                     : last().getImmediateResponse().getStatus().getCodeValue();
         }
 
-        /** The endpoint that it was told, or null. */
+        /** Returns the endpoint address in the decision, or null. */
         String endpoint() {
-            return told.isEmpty()
+            return received.isEmpty()
                     ? null
                     : header(
-                            told.get(0).getRequestHeaders().getResponse().getHeaderMutation(),
+                            received.get(0).getRequestHeaders().getResponse().getHeaderMutation(),
                             "x-gateway-destination-endpoint");
         }
 
-        /** A header of the last message. */
+        /** Returns a header that the last message sets, or null. */
         String header(String name) {
             HeaderMutation mutation = last().hasImmediateResponse()
                     ? last().getImmediateResponse().getHeaders()
@@ -246,23 +255,23 @@
 
         @Override
         public void onNext(ProcessingResponse message) {
-            if (ends > 0) {
-                throw new IllegalStateException("a message after the end");
+            if (endCount > 0) {
+                throw new IllegalStateException("received a message after the end of the stream");
             }
             if (!cancelled) {
-                told.add(message);
+                received.add(message);
             }
         }
 
         @Override
         public void onError(Throwable cause) {
-            ends++;
+            endCount++;
             error = Status.fromThrowable(cause);
         }
 
         @Override
         public void onCompleted() {
-            ends++;
+            endCount++;
         }
 
         @Override
--- a/extproc/src/test/java/martenlatch/frontend/extproc/ExtProcSettingsTest.java
+++ b/extproc/src/test/java/martenlatch/frontend/extproc/ExtProcSettingsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The settings file: what holds, and one plain line for what does not. */
+/** Checks the shipped settings file and the message for each kind of invalid field. */
 class ExtProcSettingsTest {
 
     private static final Path SHIPPED = Path.of("../deploy/extproc.toml");
@@ -19,19 +19,19 @@
     @TempDir
     Path folder;
 
-    private String refused(String from, String to) throws IOException {
+    private String rejectionMessage(String from, String to) throws IOException {
         String text = Files.readString(SHIPPED);
         String changed = text.replaceFirst("(?m)^" + from + ".*$", to);
         Path file = Files.writeString(folder.resolve("x.toml"), changed);
         return assertThrows(
                         IllegalArgumentException.class,
-                        () -> ExtProcSettings.read(file).requireValidWith(ExtProcFixture.SITE))
+                        () -> ExtProcSettings.read(file).requireValidWith(ExtProcFixture.BALANCER_SETTINGS))
                 .getMessage();
     }
 
     @Test
-    void theShippedFileHolds() throws IOException {
-        ExtProcSettings read = ExtProcSettings.read(SHIPPED).requireValidWith(ExtProcFixture.SITE);
+    void shippedFileIsValid() throws IOException {
+        ExtProcSettings read = ExtProcSettings.read(SHIPPED).requireValidWith(ExtProcFixture.BALANCER_SETTINGS);
         assertEquals(9901, read.listen().getPort());
         assertEquals(2000, read.maxStreams());
         assertEquals(250, read.connectTimeoutMs());
@@ -56,12 +56,12 @@
                         + "proxy.connect-timeout-ms (351) and 50 for a busy machine it must stay within the drain's "
                         + "grace of 500"
             })
-    void badFieldsAreNamed(String from, String to, String expected) throws IOException {
-        assertEquals(expected, refused(from, to == null ? "" : to));
+    void invalidFieldIsNamedWithItsValue(String from, String to, String expected) throws IOException {
+        assertEquals(expected, rejectionMessage(from, to == null ? "" : to));
     }
 
     @Test
-    void aFileThatIsNoneIsNamed() throws IOException {
+    void missingOrMalformedFileIsNamed() throws IOException {
         assertEquals(
                 "the settings file is not there: /nowhere.toml",
                 assertThrows(IllegalArgumentException.class, () -> ExtProcSettings.read(Path.of("/nowhere.toml")))
--- a/extproc/src/test/java/martenlatch/frontend/extproc/ManualScheduler.java
+++ b/extproc/src/test/java/martenlatch/frontend/extproc/ManualScheduler.java
@@ -4,51 +4,51 @@
 import java.util.PriorityQueue;
 import martenlatch.request.Scheduler;
 
-/** A clock that a test moves. All of it happens on one thread, which is the test's to choose. */
+/** A scheduler whose clock a test advances. It is not thread-safe; tasks run on the thread that advances it. */
 public final class ManualScheduler implements Scheduler {
 
-    private record Due(double at, long number, Runnable task) {}
+    private record Due(double dueMs, long number, Runnable task) {}
 
-    private final PriorityQueue<Due> due =
-            new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::number));
-    /** Small, so that a double tells times apart that are drawn at random. */
-    private double now = 1_000_000;
+    private final PriorityQueue<Due> tasks =
+            new PriorityQueue<>(Comparator.comparingDouble(Due::dueMs).thenComparingLong(Due::number));
+    /** Small enough that a double can distinguish times drawn at random. */
+    private double nowMs = 1_000_000;
 
-    private long numbers;
+    private long nextNumber;
 
     @Override
     public double now() {
-        return now;
+        return nowMs;
     }
 
     @Override
-    public Timer after(double ms, Runnable task) {
-        Due made = new Due(now + Math.max(0, ms), numbers++, task);
-        due.add(made);
-        return () -> due.remove(made);
+    public Timer after(double delayMs, Runnable task) {
+        Due added = new Due(nowMs + Math.max(0, delayMs), nextNumber++, task);
+        tasks.add(added);
+        return () -> tasks.remove(added);
     }
 
-    /** Runs what comes due until then, each at its time. */
-    public void advanceTo(double then) {
-        while (!due.isEmpty() && due.peek().at() <= then) {
-            Due next = due.poll();
-            now = Math.max(now, next.at());
+    /** Advances the clock to a time and runs each task that falls due on the way, with the clock at its due time. */
+    public void advanceTo(double targetMs) {
+        while (!tasks.isEmpty() && tasks.peek().dueMs() <= targetMs) {
+            Due next = tasks.poll();
+            nowMs = Math.max(nowMs, next.dueMs());
             next.task().run();
         }
-        now = Math.max(now, then);
+        nowMs = Math.max(nowMs, targetMs);
     }
 
-    /** When the next task is due; infinite if there is none. */
+    /** Returns the time at which the next task is due, or infinity if there is none. */
     public double nextDue() {
-        return due.isEmpty() ? Double.POSITIVE_INFINITY : due.peek().at();
+        return tasks.isEmpty() ? Double.POSITIVE_INFINITY : tasks.peek().dueMs();
     }
 
-    public void advance(double ms) {
-        advanceTo(now + ms);
+    public void advance(double delayMs) {
+        advanceTo(nowMs + delayMs);
     }
 
-    /** How many tasks wait. */
+    /** Returns the number of scheduled tasks. */
     public int waiting() {
-        return due.size();
+        return tasks.size();
     }
 }
--- a/extproc/src/test/java/martenlatch/frontend/extproc/ProcessorTest.java
+++ b/extproc/src/test/java/martenlatch/frontend/extproc/ProcessorTest.java
@@ -27,41 +27,41 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What proxies are told, message by message. */
+/** Checks the messages that proxies receive, case by case. */
 class ProcessorTest {
 
     private final ExtProcFixture fixture =
-            new ExtProcFixture(ExtProcFixture.server(0), ExtProcFixture.server(1), ExtProcFixture.server(2));
+            new ExtProcFixture(ExtProcFixture.endpoint(0), ExtProcFixture.endpoint(1), ExtProcFixture.endpoint(2));
     private final List<ExtProcFixture.Stream> streams = new ArrayList<>();
 
-    private ExtProcFixture.Stream consult(String id, RequestClass kind, int attempt) {
-        streams.add(fixture.consult(id, kind, attempt));
+    private ExtProcFixture.Stream openAndDecide(String id, RequestClass requestClass, int attempt) {
+        streams.add(fixture.openAndDecide(id, requestClass, attempt));
         return streams.get(streams.size() - 1);
     }
 
-    /** Whatever happened: when every proxy has left and all time is over, nothing is held. */
+    /** Checks that no state is left after all streams have ended and all time-outs have passed. */
     @AfterEach
-    void nothingIsLeft() {
-        streams.forEach(ExtProcFixture.Stream::breakOff);
-        fixture.settle();
-        fixture.time.advance(60_000);
+    void noStateIsLeft() {
+        streams.forEach(ExtProcFixture.Stream::cancel);
+        fixture.runDeferredTasks();
+        fixture.scheduler.advance(60_000);
         assertEquals(
                 List.of(0, 0, 0, 0),
                 List.of(
                         fixture.processor.openStreams(),
                         fixture.processor.pendingRequests(),
-                        fixture.exchange.pendingRequests(),
+                        fixture.requestTracker.pendingRequests(),
                         fixture.processor.rememberedRequests()));
-        assertEquals(0, fixture.time.waiting());
+        assertEquals(0, fixture.scheduler.waiting());
     }
 
-    // ---- the ordinary way ----
+    // ---- normal operation ----
 
     @Test
-    void aDecisionNamesEndpointDeadlineAndTimeOut() {
-        ExtProcFixture.Stream stream = consult("r", ORDER, 1);
+    void decisionNamesEndpointDeadlineAndTimeOut() {
+        ExtProcFixture.Stream stream = openAndDecide("r", ORDER, 1);
         assertTrue(stream.endpoint().matches("10\\.0\\.0\\.1:[123]"), stream.endpoint());
-        // The rest of the client's 1000 ms is kept for the final answer.
+        // The remainder of the client's 1000 ms is reserved for the final answer.
         assertEquals("960", stream.header("x-deadline-ms"));
         assertEquals("960", stream.header("x-envoy-upstream-rq-timeout-ms"));
         assertEquals(
@@ -72,44 +72,49 @@
                         .getStructValue()
                         .getFieldsOrThrow("x-gateway-destination-endpoint")
                         .getStringValue());
-        stream.say(ExtProcFixture.response(200, 0));
+        stream.send(ExtProcFixture.response(200, 0));
         assertTrue(stream.isPassedOn());
-        assertEquals(1, stream.ends);
+        assertEquals(1, stream.endCount);
     }
 
     @Test
-    void aRefusalSaysWhenToComeBackInWholeSeconds() {
+    void rejectionHasRetryAfterInWholeSeconds() {
         fixture.restart();
-        ExtProcFixture.Stream stream = consult("r", ORDER, 1);
+        ExtProcFixture.Stream stream = openAndDecide("r", ORDER, 1);
         assertEquals(503, stream.status());
         assertEquals("1", stream.header("retry-after"), "500 ms");
-        assertEquals(1, stream.ends);
+        assertEquals(1, stream.endCount);
     }
 
     @Test
-    void anUnsafeRequestThatMayHaveRunFails() {
+    void unsafeRequestThatMayHaveExecutedFails() {
         assertEquals(
-                500, consult("r", ORDER, 1).say(ExtProcFixture.response(500, 0)).status());
+                500,
+                openAndDecide("r", ORDER, 1)
+                        .send(ExtProcFixture.response(500, 0))
+                        .status());
     }
 
     @ParameterizedTest
     @ValueSource(ints = {503, 429})
-    void aRefusalOfTheEndpointsOwnIsNotProofOfAnything(int status) {
+    void endpointRejectionDoesNotProveThatNothingExecuted(int status) {
         assertEquals(
                 500,
-                consult("r", ORDER, 1).say(ExtProcFixture.response(status, 0)).status());
+                openAndDecide("r", ORDER, 1)
+                        .send(ExtProcFixture.response(status, 0))
+                        .status());
     }
 
-    /** Guards against a proxy that comes for a keyed repeat when the endpoints have forgotten the first. */
+    /** Guards against a keyed retry that is sent after the endpoints have forgotten the first attempt. */
     @Test
-    void aKeyedRepeatIsNotHandedOutAfterItsWindow() {
+    void keyedRequestIsNotRetriedAfterItsDeduplicationWindow() {
         for (boolean late : new boolean[] {false, true}) {
             String id = "late " + late;
-            ExtProcFixture.Stream first = consult(id, SAVE, 1);
-            fixture.time.advance(SAVE.deduplicationWindowMs() * 0.85);
-            first.say(ExtProcFixture.response(500, 0));
-            fixture.time.advance(SAVE.deduplicationWindowMs() * (late ? 0.15 : 0.05));
-            ExtProcFixture.Stream second = consult(id, SAVE, 2);
+            ExtProcFixture.Stream first = openAndDecide(id, SAVE, 1);
+            fixture.scheduler.advance(SAVE.deduplicationWindowMs() * 0.85);
+            first.send(ExtProcFixture.response(500, 0));
+            fixture.scheduler.advance(SAVE.deduplicationWindowMs() * (late ? 0.15 : 0.05));
+            ExtProcFixture.Stream second = openAndDecide(id, SAVE, 2);
             if (late) {
                 assertEquals(500, second.status());
             } else {
@@ -119,284 +124,288 @@
     }
 
     @Test
-    void aTimeOutOfTheProxysIsAGatewayTimeOut() {
+    void proxyTimeOutIsAnsweredWithGatewayTimeOut() {
         assertEquals(
                 504,
-                consult("r", ORDER, 1)
-                        .say(ExtProcFixture.response(504, ExtProcFixture.TIMED_OUT))
+                openAndDecide("r", ORDER, 1)
+                        .send(ExtProcFixture.response(504, ExtProcFixture.TIMED_OUT_FLAG))
                         .status());
     }
 
     @Test
-    void aRequestTurnedAwayForWhatItIsGoesOnAsItIs() {
-        assertTrue(consult("r", ORDER, 1).say(ExtProcFixture.response(404, 0)).isPassedOn());
+    void endpointsInvalidRequestResponseIsPassedOn() {
+        assertTrue(openAndDecide("r", ORDER, 1)
+                .send(ExtProcFixture.response(404, 0))
+                .isPassedOn());
     }
 
     @ParameterizedTest
     @CsvSource({"503,0,1", "504,0,1", "503,32,0"})
-    void anUnsafeRequestThatNeverRanIsTriedAgainElsewhere(int status, int flags, String notRun) {
-        ExtProcFixture.Stream first = consult("r", ORDER, 1);
-        first.say(ExtProcFixture.response(status, flags, "x-not-run", notRun));
+    void unsafeRequestThatNeverExecutedIsRetriedOnAnotherEndpoint(int status, int flags, String notExecuted) {
+        ExtProcFixture.Stream first = openAndDecide("r", ORDER, 1);
+        first.send(ExtProcFixture.response(status, flags, "x-not-run", notExecuted));
         assertEquals("1", first.header("x-martenlatch-retry"));
-        assertEquals("503", first.header(":status"), "true if nobody comes back");
-        assertEquals(1, first.ends);
-        ExtProcFixture.Stream second = consult("r", ORDER, 2);
+        assertEquals("503", first.header(":status"), "correct if the proxy does not retry");
+        assertEquals(1, first.endCount);
+        ExtProcFixture.Stream second = openAndDecide("r", ORDER, 2);
         assertNotNull(second.endpoint());
         assertNotEquals(first.endpoint(), second.endpoint());
-        assertTrue(second.say(ExtProcFixture.response(200, 0)).isPassedOn());
+        assertTrue(second.send(ExtProcFixture.response(200, 0)).isPassedOn());
     }
 
     @Test
-    void aReadThatMayHaveRunIsTriedAgainUnderAStatusThatSaysSo() {
-        ExtProcFixture.Stream first = consult("r", READ, 1);
-        first.say(ExtProcFixture.response(503, ExtProcFixture.BROKEN));
+    void readThatMayHaveExecutedIsRetriedWithStatus500() {
+        ExtProcFixture.Stream first = openAndDecide("r", READ, 1);
+        first.send(ExtProcFixture.response(503, ExtProcFixture.CONNECTION_LOST_FLAG));
         assertEquals("1", first.header("x-martenlatch-retry"));
-        assertEquals("500", first.header(":status"), "no refusal: it may have run");
-        assertNotNull(consult("r", READ, 2).endpoint());
+        assertEquals("500", first.header(":status"), "no rejection, because it may have executed");
+        assertNotNull(openAndDecide("r", READ, 2).endpoint());
     }
 
-    /** Guards against a slot held for a proxy that never comes back. */
+    /** Guards against a slot that stays occupied by an offered attempt whose proxy never retries. */
     @Test
-    void anOfferNobodyComesForIsWithdrawn() {
-        consult("r", READ, 1).say(ExtProcFixture.response(500, 0));
+    void offeredAttemptIsWithdrawnIfNoStreamArrives() {
+        openAndDecide("r", READ, 1).send(ExtProcFixture.response(500, 0));
         assertEquals(1, fixture.processor.pendingRequests());
-        fixture.time.advance(ExtProcFixture.OWN.nextStreamMs() + 1);
+        fixture.scheduler.advance(ExtProcFixture.SETTINGS.nextStreamMs() + 1);
         assertEquals(0, fixture.processor.pendingRequests());
-        assertEquals(0, fixture.exchange.pendingRequests());
+        assertEquals(0, fixture.requestTracker.pendingRequests());
     }
 
     @Test
-    void aKeyedRequestIsTriedAgainInItsGroupOnly() {
-        ExtProcFixture.Stream first = consult("r", SAVE, 1).say(ExtProcFixture.response(500, 0));
+    void keyedRequestIsRetriedOnlyInItsCell() {
+        ExtProcFixture.Stream first = openAndDecide("r", SAVE, 1).send(ExtProcFixture.response(500, 0));
         assertEquals("1", first.header("x-martenlatch-retry"));
-        ExtProcFixture.Stream second = consult("r", SAVE, 2);
-        assertEquals(first.endpoint(), second.endpoint(), "every server here is a cell of its own");
-        fixture.time.advance(SAVE.deduplicationWindowMs());
-        assertEquals(500, second.say(ExtProcFixture.response(500, 0)).status(), "its window is over");
+        ExtProcFixture.Stream second = openAndDecide("r", SAVE, 2);
+        assertEquals(first.endpoint(), second.endpoint(), "each endpoint of this fixture is its own cell");
+        fixture.scheduler.advance(SAVE.deduplicationWindowMs());
+        assertEquals(500, second.send(ExtProcFixture.response(500, 0)).status(), "its deduplication window has passed");
     }
 
-    // ---- the module's own time-out ----
+    // ---- the processor's own time-out ----
 
     @Test
-    void aVerdictThatCameFirstIsToldWhenTheProxyComes() {
-        ExtProcFixture.Stream stream = consult("r", ORDER, 1);
-        fixture.time.advance(1000);
-        assertEquals(1, stream.told.size(), "nothing may be said unasked");
+    void finalAnswerIsSentWhenTheProxyReportsItsResult() {
+        ExtProcFixture.Stream stream = openAndDecide("r", ORDER, 1);
+        fixture.scheduler.advance(1000);
+        assertEquals(1, stream.received.size(), "no message may be sent unprompted");
         assertEquals(
                 504,
-                stream.say(ExtProcFixture.response(504, ExtProcFixture.TIMED_OUT))
+                stream.send(ExtProcFixture.response(504, ExtProcFixture.TIMED_OUT_FLAG))
                         .status());
     }
 
     @Test
-    void anAnswerThatComesJustAfterTheTimeOutIsPassedOn() {
-        ExtProcFixture.Stream stream = consult("r", ORDER, 1);
-        fixture.time.advance(1000);
-        assertTrue(stream.say(ExtProcFixture.response(200, 0)).isPassedOn());
-        assertEquals(500, consult("r", ORDER, 2).status(), "it has run");
+    void responseJustAfterTheTimeOutIsPassedOn() {
+        ExtProcFixture.Stream stream = openAndDecide("r", ORDER, 1);
+        fixture.scheduler.advance(1000);
+        assertTrue(stream.send(ExtProcFixture.response(200, 0)).isPassedOn());
+        assertEquals(500, openAndDecide("r", ORDER, 2).status(), "it has executed");
     }
 
     @Test
-    void aLateAnswerToAReadWithdrawsWhatWasOfferedSince() {
-        ExtProcFixture.Stream stream = consult("r", READ, 1);
+    void lateResponseToAReadWithdrawsTheOfferedAttempt() {
+        ExtProcFixture.Stream stream = openAndDecide("r", READ, 1);
         double wait = Double.parseDouble(stream.header("x-envoy-upstream-rq-timeout-ms"));
-        assertTrue(wait < 1000, "patience with a read is short: " + wait);
-        fixture.time.advance(wait);
-        assertEquals(1, fixture.processor.pendingRequests(), "the next attempt waits for its consultation");
-        assertTrue(stream.say(ExtProcFixture.response(200, 0)).isPassedOn());
-        assertEquals(0, fixture.exchange.pendingRequests());
+        assertTrue(wait < 1000, "a read has a short attempt time-out: " + wait);
+        fixture.scheduler.advance(wait);
+        assertEquals(1, fixture.processor.pendingRequests(), "the next attempt waits for its stream");
+        assertTrue(stream.send(ExtProcFixture.response(200, 0)).isPassedOn());
+        assertEquals(0, fixture.requestTracker.pendingRequests());
     }
 
     @Test
-    void aProxyThatNeverTellsIsCutOff() {
-        ExtProcFixture.Stream stream = consult("r", ORDER, 1);
-        fixture.time.advance(1000 + ExtProcFixture.OWN.idleTimeoutMs() + 1);
+    void streamWithoutResultIsEndedAfterTheIdleTimeOut() {
+        ExtProcFixture.Stream stream = openAndDecide("r", ORDER, 1);
+        fixture.scheduler.advance(1000 + ExtProcFixture.SETTINGS.idleTimeoutMs() + 1);
         assertEquals(Status.Code.DEADLINE_EXCEEDED, stream.error.getCode());
         assertEquals(0, fixture.processor.openStreams());
     }
 
-    // ---- hard cases 1 and 3: the proxy's time-outs, and streams that break ----
+    // ---- hard cases 1 and 3: the proxy's time-outs and cancelled streams ----
 
     @Test
-    void aDecisionWrittenJustBeforeTheProxysTimeOutMayHaveRun() {
-        ExtProcFixture.Stream first = consult("r", ORDER, 1);
+    void decisionSentBeforeTheProxyTimesOutMayHaveExecuted() {
+        ExtProcFixture.Stream first = openAndDecide("r", ORDER, 1);
         assertNotNull(first.endpoint());
-        first.breakOff();
-        ExtProcFixture.Stream again = consult("r", ORDER, 2);
+        first.cancel();
+        ExtProcFixture.Stream again = openAndDecide("r", ORDER, 2);
         assertNull(again.endpoint());
-        assertEquals(500, again.status(), "a failure, and no refusal");
+        assertEquals(500, again.status(), "a failure, not a rejection");
     }
 
-    /** The time-out's reset is read together with the consultation, as after a pause of ours. */
+    /** The cancellation is read together with the request, as happens after a pause of the processor. */
     @Test
-    void aDecisionNotWrittenByTheProxysTimeOutNeverRan() {
-        ExtProcFixture.Stream first = fixture.open().say(ExtProcFixture.request(ExtProcFixture.heads("r", ORDER, 1)));
-        first.breakOff();
-        ExtProcFixture.Stream again = consult("r", ORDER, 2);
-        assertEquals(0, first.told.size());
+    void requestCancelledBeforeItsDecisionNeverExecuted() {
+        ExtProcFixture.Stream first =
+                fixture.open().send(ExtProcFixture.request(ExtProcFixture.headers("r", ORDER, 1)));
+        first.cancel();
+        ExtProcFixture.Stream again = openAndDecide("r", ORDER, 2);
+        assertEquals(0, first.received.size());
         assertNotNull(again.endpoint());
-        ExtProcFixture.Stream skipped = fixture.open().say(ExtProcFixture.request(ExtProcFixture.heads("s", ORDER, 1)));
-        skipped.breakOff();
-        assertEquals(500, consult("s", ORDER, 3).status(), "of the second attempt nothing is known");
+        ExtProcFixture.Stream skipped =
+                fixture.open().send(ExtProcFixture.request(ExtProcFixture.headers("s", ORDER, 1)));
+        skipped.cancel();
+        assertEquals(500, openAndDecide("s", ORDER, 3).status(), "the outcome of the second attempt is unknown");
     }
 
-    /** Guards against a proxy that comes back later than an offer waits for it. */
+    /** Guards against a failed retry when the proxy retries after its offered attempt was withdrawn. */
     @Test
-    void anUnsafeRequestWhoseOfferWasWithdrawnIsStillKnownNotToHaveRun() {
-        consult("r", ORDER, 1).say(ExtProcFixture.response(503, ExtProcFixture.NOT_CONNECTED));
-        fixture.time.advance(ExtProcFixture.OWN.nextStreamMs() + 1);
-        assertNotNull(consult("r", ORDER, 2).endpoint());
+    void unsafeRequestMayBeRetriedAfterItsOfferedAttemptWasWithdrawn() {
+        openAndDecide("r", ORDER, 1).send(ExtProcFixture.response(503, ExtProcFixture.CONNECT_FAILED_FLAG));
+        fixture.scheduler.advance(ExtProcFixture.SETTINGS.nextStreamMs() + 1);
+        assertNotNull(openAndDecide("r", ORDER, 2).endpoint());
     }
 
     @Test
-    void aBrokenStreamOfAReadIsTriedAgainAndBlamesNoEndpoint() {
+    void readOnACancelledStreamIsRetriedWithoutBlamingTheEndpoint() {
         for (int i = 0; i < 8; i++) {
-            ExtProcFixture.Stream first = consult("r" + i, READ, 1);
-            first.breakOff();
-            assertNotNull(consult("r" + i, READ, 2).endpoint());
+            ExtProcFixture.Stream first = openAndDecide("r" + i, READ, 1);
+            first.cancel();
+            assertNotNull(openAndDecide("r" + i, READ, 2).endpoint());
         }
         assertEquals("", fixture.log.toString(StandardCharsets.UTF_8));
     }
 
-    /** Guards against endpoints on trial because a proxy died with all its streams. */
+    /** Guards against endpoints put on probation because a proxy died with all its streams. */
     @Test
-    void aProxysDeathPutsNoEndpointOnTrial() {
-        Map<String, Integer> before = spread("a");
+    void deathOfAProxyPutsNoEndpointOnProbation() {
+        Map<String, Integer> before = requestsPerEndpoint("a");
         List<ExtProcFixture.Stream> dying = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            dying.add(consult("dying" + i, READ, 1));
+            dying.add(openAndDecide("dying" + i, READ, 1));
         }
-        dying.forEach(ExtProcFixture.Stream::breakOff);
-        fixture.time.advance(ExtProcFixture.OWN.nextStreamMs() + 1);
-        assertEquals(before, spread("b"));
+        dying.forEach(ExtProcFixture.Stream::cancel);
+        fixture.scheduler.advance(ExtProcFixture.SETTINGS.nextStreamMs() + 1);
+        assertEquals(before, requestsPerEndpoint("b"));
     }
 
-    /** Which endpoints a few requests at once go to. */
-    private Map<String, Integer> spread(String prefix) {
+    /** Returns the number of requests that each endpoint receives out of a few concurrent ones. */
+    private Map<String, Integer> requestsPerEndpoint(String prefix) {
         Map<String, Integer> counts = new TreeMap<>();
         List<ExtProcFixture.Stream> open = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            open.add(consult(prefix + i, READ, 1));
+            open.add(openAndDecide(prefix + i, READ, 1));
             counts.merge(open.get(i).endpoint(), 1, Integer::sum);
         }
         for (ExtProcFixture.Stream stream : open) {
-            fixture.time.advance(5);
-            stream.say(ExtProcFixture.response(200, 0));
+            fixture.scheduler.advance(5);
+            stream.send(ExtProcFixture.response(200, 0));
         }
         return counts;
     }
 
-    // ---- hard case 2: twice at once ----
+    // ---- hard case 2: concurrent streams for one request ----
 
     @ParameterizedTest
     @CsvSource({"0", "1"})
-    void twoStreamsForOneRequestGetOneDecision(int attempt) {
-        ExtProcFixture.Stream one =
-                fixture.open().say(ExtProcFixture.request(ExtProcFixture.heads("r", ORDER, attempt)));
-        ExtProcFixture.Stream other =
-                fixture.open().say(ExtProcFixture.request(ExtProcFixture.heads("r", ORDER, attempt)));
-        fixture.settle();
-        assertNotNull(one.endpoint());
-        assertEquals(409, other.status());
-        assertTrue(one.say(ExtProcFixture.response(200, 0)).isPassedOn());
-        assertEquals(500, consult("r", ORDER, attempt).status(), "it has run");
+    void concurrentStreamsForOneRequestGetOneDecision(int attempt) {
+        ExtProcFixture.Stream first =
+                fixture.open().send(ExtProcFixture.request(ExtProcFixture.headers("r", ORDER, attempt)));
+        ExtProcFixture.Stream second =
+                fixture.open().send(ExtProcFixture.request(ExtProcFixture.headers("r", ORDER, attempt)));
+        fixture.runDeferredTasks();
+        assertNotNull(first.endpoint());
+        assertEquals(409, second.status());
+        assertTrue(first.send(ExtProcFixture.response(200, 0)).isPassedOn());
+        assertEquals(500, openAndDecide("r", ORDER, attempt).status(), "it has executed");
     }
 
     @Test
-    void aHigherCountTakesTheRequestOverAndTheOldStreamIsToldNothingOfIt() {
-        ExtProcFixture.Stream one = consult("r", READ, 1);
-        ExtProcFixture.Stream other = consult("r", READ, 2);
-        assertNotNull(other.endpoint());
-        assertEquals(500, one.say(ExtProcFixture.response(500, 0)).status());
+    void higherAttemptCountReplacesTheEarlierStream() {
+        ExtProcFixture.Stream first = openAndDecide("r", READ, 1);
+        ExtProcFixture.Stream second = openAndDecide("r", READ, 2);
+        assertNotNull(second.endpoint());
+        assertEquals(500, first.send(ExtProcFixture.response(500, 0)).status());
         assertEquals(1, fixture.processor.pendingRequests());
-        assertTrue(other.say(ExtProcFixture.response(200, 0)).isPassedOn());
-        ExtProcFixture.Stream unsafe = consult("u", ORDER, 1);
-        assertEquals(500, consult("u", ORDER, 2).status());
-        assertTrue(unsafe.say(ExtProcFixture.response(200, 0)).isPassedOn(), "the one that did run");
+        assertTrue(second.send(ExtProcFixture.response(200, 0)).isPassedOn());
+        ExtProcFixture.Stream unsafe = openAndDecide("u", ORDER, 1);
+        assertEquals(500, openAndDecide("u", ORDER, 2).status());
+        assertTrue(unsafe.send(ExtProcFixture.response(200, 0)).isPassedOn(), "the attempt that did execute");
     }
 
-    // ---- hard case 4: our restart ----
+    // ---- hard case 4: restart of the processor ----
 
     @Test
-    void afterOurRestartALaterAttemptMayHaveRun() {
-        consult("r", ORDER, 1);
-        consult("s", READ, 1);
-        streams.forEach(ExtProcFixture.Stream::breakOff);
-        fixture.time.advance(5000);
-        fixture.restart(ExtProcFixture.server(0));
-        assertEquals(500, consult("r", ORDER, 2).status());
-        assertNotNull(consult("s", READ, 2).endpoint());
-        assertEquals(500, consult("k", SAVE, 2).status(), "its cell is not known any more");
-        assertNotNull(consult("n", ORDER, 1).endpoint());
+    void laterAttemptAfterARestartMayHaveExecuted() {
+        openAndDecide("r", ORDER, 1);
+        openAndDecide("s", READ, 1);
+        streams.forEach(ExtProcFixture.Stream::cancel);
+        fixture.scheduler.advance(5000);
+        fixture.restart(ExtProcFixture.endpoint(0));
+        assertEquals(500, openAndDecide("r", ORDER, 2).status());
+        assertNotNull(openAndDecide("s", READ, 2).endpoint());
+        assertEquals(500, openAndDecide("k", SAVE, 2).status(), "its cell is unknown after the restart");
+        assertNotNull(openAndDecide("n", ORDER, 1).endpoint());
     }
 
     // ---- hard case 5: a drain between decision and sending ----
 
     @Test
-    void anOfferToAnEndpointThatDrainsSinceGoesElsewhere() {
-        consult("r", ORDER, 1).say(ExtProcFixture.response(503, ExtProcFixture.NOT_CONNECTED));
-        // Where the offer goes nobody but the module knows: all that it may be drain.
-        fixture.change(
-                ExtProcFixture.server(0, EndpointStatus.DRAINING),
-                ExtProcFixture.server(1, EndpointStatus.DRAINING),
-                ExtProcFixture.server(2, EndpointStatus.DRAINING));
-        assertEquals(503, consult("r", ORDER, 2).status());
+    void offeredAttemptIsNotSentToADrainingEndpoint() {
+        openAndDecide("r", ORDER, 1).send(ExtProcFixture.response(503, ExtProcFixture.CONNECT_FAILED_FLAG));
+        // The endpoint of the offered attempt is not visible to the test, so all endpoints are drained.
+        fixture.updateEndpoints(
+                ExtProcFixture.endpoint(0, EndpointStatus.DRAINING),
+                ExtProcFixture.endpoint(1, EndpointStatus.DRAINING),
+                ExtProcFixture.endpoint(2, EndpointStatus.DRAINING));
+        assertEquals(503, openAndDecide("r", ORDER, 2).status());
         assertEquals(0, fixture.processor.pendingRequests());
     }
 
     @Test
-    void nothingIsDecidedForADrainingEndpoint() {
-        fixture.change(
-                ExtProcFixture.server(0, EndpointStatus.DRAINING), ExtProcFixture.server(1, EndpointStatus.GONE));
+    void drainingAndGoneEndpointsGetNoDecisions() {
+        fixture.updateEndpoints(
+                ExtProcFixture.endpoint(0, EndpointStatus.DRAINING), ExtProcFixture.endpoint(1, EndpointStatus.GONE));
         for (int i = 0; i < 5; i++) {
-            assertEquals("10.0.0.1:3", consult("r" + i, READ, 1).endpoint());
+            assertEquals("10.0.0.1:3", openAndDecide("r" + i, READ, 1).endpoint());
         }
     }
 
     // ---- hard case 6: a cold endpoint ----
 
-    /** Each stream is another proxy's. A module for each proxy would send every one of them there. */
+    /** Each stream belongs to another proxy. With a processor per proxy, each would probe the cold endpoint. */
     @Test
-    void aColdEndpointIsSparedByAllProxiesTogether() {
-        int apart = 0;
+    void coldEndpointIsProtectedAcrossAllProxies() {
+        int withSeparateProcessors = 0;
         for (int proxy = 0; proxy < 4; proxy++) {
-            ExtProcFixture own =
-                    new ExtProcFixture(ExtProcFixture.server(0), ExtProcFixture.server(1), ExtProcFixture.server(2));
-            apart += coldOf(own, 4);
+            ExtProcFixture separate = new ExtProcFixture(
+                    ExtProcFixture.endpoint(0), ExtProcFixture.endpoint(1), ExtProcFixture.endpoint(2));
+            withSeparateProcessors += requestsToColdEndpoint(separate, 4);
         }
-        assertEquals(4, apart, "a module for each proxy: one call of each");
-        assertEquals(1, coldOf(fixture, 16), "one module for them all: one call in all");
+        assertEquals(4, withSeparateProcessors, "one processor per proxy: one request from each");
+        assertEquals(1, requestsToColdEndpoint(fixture, 16), "one processor for all proxies: one request in total");
     }
 
-    /** How many of so many calls at once, each of another proxy, go to an endpoint just started. */
-    private int coldOf(ExtProcFixture at, int calls) {
-        at.change(new Endpoint("s3", 0, 0, 3, at.time.now(), EndpointStatus.READY, 1));
+    /** Returns how many of a number of concurrent requests from different proxies go to an endpoint just started. */
+    private int requestsToColdEndpoint(ExtProcFixture target, int requests) {
+        target.updateEndpoints(new Endpoint("s3", 0, 0, 3, target.scheduler.now(), EndpointStatus.READY, 1));
         int cold = 0;
-        for (int i = 0; i < calls; i++) {
-            streams.add(at.consult("r" + i, READ, 1));
+        for (int i = 0; i < requests; i++) {
+            streams.add(target.openAndDecide("r" + i, READ, 1));
             cold += "10.0.0.1:4".equals(streams.get(streams.size() - 1).endpoint()) ? 1 : 0;
         }
         return cold;
     }
 
-    // ---- hard case 7: clients that go away, drain ----
+    // ---- hard case 7: disconnected clients, drain ----
 
     @Test
-    void aClientThatGoesAwayFreesItsPlaceSoon() {
-        consult("r", READ, 1).breakOff();
-        assertEquals(1, fixture.exchange.pendingRequests());
-        fixture.time.advance(ExtProcFixture.OWN.nextStreamMs() + 1);
-        assertEquals(0, fixture.exchange.pendingRequests());
+    void cancelledRequestIsReleasedAfterTheNextStreamWait() {
+        openAndDecide("r", READ, 1).cancel();
+        assertEquals(1, fixture.requestTracker.pendingRequests());
+        fixture.scheduler.advance(ExtProcFixture.SETTINGS.nextStreamMs() + 1);
+        assertEquals(0, fixture.requestTracker.pendingRequests());
         assertEquals(0, fixture.processor.pendingRequests());
     }
 
     @Test
-    void whileDrainingDeadlinesAreCut() {
+    void drainLimitsDeadlines() {
         fixture.processor.drain(400);
-        assertEquals("400", consult("r", ORDER, 1).header("x-deadline-ms"));
+        assertEquals("400", openAndDecide("r", ORDER, 1).header("x-deadline-ms"));
     }
 
-    // ---- hard case 8: what is no consultation ----
+    // ---- hard case 8: invalid messages ----
 
     @ParameterizedTest
     @CsvSource({
@@ -406,94 +415,97 @@
         ":method,PUT,405",
         "x-envoy-attempt-count,-1,400"
     })
-    void badHeadsAreAnsweredAtOnce(String name, String value, int status) {
-        HeaderMap.Builder heads = HeaderMap.newBuilder().addHeaders(ExtProcFixture.value(name, value));
-        ExtProcFixture.heads("r", ORDER, 0).getHeadersList().stream()
+    void invalidHeadersAreRejectedImmediately(String name, String value, int status) {
+        HeaderMap.Builder headers = HeaderMap.newBuilder().addHeaders(ExtProcFixture.value(name, value));
+        ExtProcFixture.headers("r", ORDER, 0).getHeadersList().stream()
                 .filter(header -> !header.getKey().equals(name))
-                .forEach(heads::addHeaders);
-        ExtProcFixture.Stream stream = fixture.open().say(ExtProcFixture.request(heads));
-        fixture.settle();
+                .forEach(headers::addHeaders);
+        ExtProcFixture.Stream stream = fixture.open().send(ExtProcFixture.request(headers));
+        fixture.runDeferredTasks();
         assertEquals(status, stream.status());
-        assertEquals(1, stream.ends);
+        assertEquals(1, stream.endCount);
     }
 
     @Test
-    void anIdOfAnyLengthIsNotRemembered() {
-        assertEquals(400, consult("r".repeat(257), ORDER, 1).status());
-        assertNotNull(consult("r".repeat(256), ORDER, 1).endpoint());
+    void overlongIdIsRejected() {
+        assertEquals(400, openAndDecide("r".repeat(257), ORDER, 1).status());
+        assertNotNull(openAndDecide("r".repeat(256), ORDER, 1).endpoint());
     }
 
     @Test
-    void aHeaderOfTwoValuesIsNotReadInOneWay() {
+    void repeatedHeaderIsRejected() {
         ExtProcFixture.Stream stream = fixture.open()
-                .say(ExtProcFixture.request(
-                        ExtProcFixture.heads("r", ORDER, 1).addHeaders(ExtProcFixture.value("X-Request-Id", "other"))));
-        fixture.settle();
+                .send(ExtProcFixture.request(ExtProcFixture.headers("r", ORDER, 1)
+                        .addHeaders(ExtProcFixture.value("X-Request-Id", "other"))));
+        fixture.runDeferredTasks();
         assertEquals(400, stream.status());
     }
 
     @Test
-    void messagesOutOfOrderEndTheStreamAndNothingElse() {
-        ExtProcFixture.Stream other = consult("other", ORDER, 1);
+    void outOfOrderMessageEndsOnlyItsStream() {
+        ExtProcFixture.Stream other = openAndDecide("other", ORDER, 1);
         assertEquals(
                 Status.Code.INVALID_ARGUMENT,
-                fixture.open().say(ExtProcFixture.response(200, 0)).error.getCode());
+                fixture.open().send(ExtProcFixture.response(200, 0)).error.getCode());
         ExtProcFixture.Stream twice =
-                consult("r", READ, 1).say(ExtProcFixture.request(ExtProcFixture.heads("r", READ, 1)));
+                openAndDecide("r", READ, 1).send(ExtProcFixture.request(ExtProcFixture.headers("r", READ, 1)));
         assertEquals(Status.Code.INVALID_ARGUMENT, twice.error.getCode());
         assertEquals(
                 Status.Code.INVALID_ARGUMENT,
                 fixture.open()
-                        .say(ProcessingRequest.newBuilder()
+                        .send(ProcessingRequest.newBuilder()
                                 .setRequestBody(HttpBody.getDefaultInstance())
                                 .build())
                         .error
                         .getCode());
         assertEquals(
                 Status.Code.INVALID_ARGUMENT,
-                fixture.open().say(ProcessingRequest.getDefaultInstance()).error.getCode());
+                fixture.open()
+                        .send(ProcessingRequest.getDefaultInstance())
+                        .error
+                        .getCode());
         assertEquals(
                 Status.Code.FAILED_PRECONDITION,
                 fixture.open()
-                        .say(ExtProcFixture.request(ExtProcFixture.heads("o", READ, 1)).toBuilder()
+                        .send(ExtProcFixture.request(ExtProcFixture.headers("o", READ, 1)).toBuilder()
                                 .setObservabilityMode(true)
                                 .build())
                         .error
                         .getCode());
-        assertTrue(other.say(ExtProcFixture.response(200, 0)).isPassedOn());
+        assertTrue(other.send(ExtProcFixture.response(200, 0)).isPassedOn());
     }
 
     @Test
-    void aStreamThatSaysNothingIsCutOff() {
+    void silentStreamIsEndedAfterTheIdleTimeOut() {
         ExtProcFixture.Stream stream = fixture.open();
-        fixture.time.advance(ExtProcFixture.OWN.idleTimeoutMs() - 1);
+        fixture.scheduler.advance(ExtProcFixture.SETTINGS.idleTimeoutMs() - 1);
         assertNull(stream.error);
-        fixture.time.advance(1);
+        fixture.scheduler.advance(1);
         assertEquals(Status.Code.DEADLINE_EXCEEDED, stream.error.getCode());
     }
 
     @Test
-    void streamsOverTheBoundAreTurnedAwayAndRoomIsThereAgainAfterwards() {
+    void streamsAboveTheLimitAreRejectedUntilOthersEnd() {
         for (int i = 0; i < 10_000; i++) {
             streams.add(fixture.open());
         }
-        assertEquals(ExtProcFixture.OWN.maxStreams(), fixture.processor.openStreams());
+        assertEquals(ExtProcFixture.SETTINGS.maxStreams(), fixture.processor.openStreams());
         assertEquals(Status.Code.RESOURCE_EXHAUSTED, streams.get(9999).error.getCode());
-        streams.get(0).breakOff();
-        assertNotNull(consult("r", READ, 1).endpoint());
+        streams.get(0).cancel();
+        assertNotNull(openAndDecide("r", READ, 1).endpoint());
     }
 
     @Test
-    void aFullMemoryRefusesWhatIsNew() {
-        for (int i = 0; i < ExtProcFixture.OWN.maxRememberedRequests(); i++) {
-            fixture.time.advance(1);
-            consult("r" + i, ORDER, 1).say(ExtProcFixture.response(200, 0));
+    void fullHistoryRejectsNewRequests() {
+        for (int i = 0; i < ExtProcFixture.SETTINGS.maxRememberedRequests(); i++) {
+            fixture.scheduler.advance(1);
+            openAndDecide("r" + i, ORDER, 1).send(ExtProcFixture.response(200, 0));
         }
-        ExtProcFixture.Stream refused = consult("new", READ, 1);
-        assertEquals(503, refused.status());
-        assertEquals("1", refused.header("retry-after"));
-        assertEquals(500, consult("r0", ORDER, 2).status(), "it is not forgotten for that");
-        fixture.time.advance(ExtProcFixture.OWN.rememberMs());
-        assertNotNull(consult("new", READ, 1).endpoint());
+        ExtProcFixture.Stream rejected = openAndDecide("new", READ, 1);
+        assertEquals(503, rejected.status());
+        assertEquals("1", rejected.header("retry-after"));
+        assertEquals(500, openAndDecide("r0", ORDER, 2).status(), "a full table forgets nothing early");
+        fixture.scheduler.advance(ExtProcFixture.SETTINGS.rememberMs());
+        assertNotNull(openAndDecide("new", READ, 1).endpoint());
     }
 }
--- a/extproc/src/test/java/martenlatch/frontend/extproc/ProxyOutcomeTest.java
+++ b/extproc/src/test/java/martenlatch/frontend/extproc/ProxyOutcomeTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a proxy reports, as the protocol's table has it. */
+/** Checks the outcome for each combination of status, header and response flags. */
 class ProxyOutcomeTest {
 
     @ParameterizedTest
@@ -41,18 +41,18 @@
         "503,true,UC,RESET",
         "503,false,something new,RESET"
     })
-    void byWords(int status, boolean notRun, String flags, AttemptOutcome expected) {
-        assertEquals(expected, ProxyOutcome.of(status, notRun, ProxyOutcome.flags(flags)));
+    void outcomeFromFlagText(int status, boolean notExecuted, String flags, AttemptOutcome expected) {
+        assertEquals(expected, ProxyOutcome.of(status, notExecuted, ProxyOutcome.flags(flags)));
     }
 
     @Test
-    void byBits() {
+    void outcomeFromFlagBits() {
         assertEquals(AttemptOutcome.CONNECT_ERROR, ProxyOutcome.of(503, false, ProxyOutcome.flags(1 << 5)));
         assertEquals(AttemptOutcome.TIMED_OUT, ProxyOutcome.of(504, false, ProxyOutcome.flags(1 << 2)));
         assertEquals(AttemptOutcome.RESET, ProxyOutcome.of(503, false, ProxyOutcome.flags((1 << 5) + (1 << 6))));
         assertEquals(AttemptOutcome.OK, ProxyOutcome.of(200, false, ProxyOutcome.flags(0)));
-        for (double bad : new double[] {-1, 0.5, 1e300, Double.NaN, Double.POSITIVE_INFINITY}) {
-            assertEquals(AttemptOutcome.RESET, ProxyOutcome.of(503, false, ProxyOutcome.flags(bad)));
+        for (double invalid : new double[] {-1, 0.5, 1e300, Double.NaN, Double.POSITIVE_INFINITY}) {
+            assertEquals(AttemptOutcome.RESET, ProxyOutcome.of(503, false, ProxyOutcome.flags(invalid)));
         }
     }
 }
--- a/extproc/src/test/java/martenlatch/frontend/extproc/RandomProcessingStreamsTest.java
+++ b/extproc/src/test/java/martenlatch/frontend/extproc/RandomProcessingStreamsTest.java
@@ -15,47 +15,46 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Proxies that time out, break off, ask twice, come back late and carry out old decisions, before a processor
- * that restarts: no unsafe request runs twice, no keyed one outside its group and window, each consultation
- * ends once, and nothing is left.
+ * Random proxies time out, cancel streams, send duplicates, retry late and carry out old decisions while the processor
+ * restarts. No unsafe request may execute twice, no keyed one outside its cell or window, and no state may leak.
  */
 class RandomProcessingStreamsTest {
 
     private static final int SEQUENCES = 3000;
     private static final int STEPS = 60;
-    private static final List<RequestClass> KINDS =
+    private static final List<RequestClass> REQUEST_CLASSES =
             List.of(ExtProcFixture.READ, ExtProcFixture.ORDER, ExtProcFixture.SAVE, ExtProcFixture.PUT);
 
-    /** A request as the world outside sees it. */
-    private static final class Asked {
+    /** A request as its proxy sees it, with all of its executions. */
+    private static final class ProxyRequest {
         final String id;
-        final RequestClass kind;
+        final RequestClass requestClass;
         int attempt;
-        final List<String> ranAt = new ArrayList<>();
-        final List<Double> ranWhen = new ArrayList<>();
+        final List<String> executedAt = new ArrayList<>();
+        final List<Double> executedMs = new ArrayList<>();
 
-        Asked(String id, RequestClass kind) {
+        ProxyRequest(String id, RequestClass requestClass) {
             this.id = id;
-            this.kind = kind;
+            this.requestClass = requestClass;
         }
     }
 
-    /** A decision that a proxy has and has not carried out. */
-    private record Held(Asked asked, ExtProcFixture.Stream stream, String endpoint, double until) {}
+    /** A decision that a proxy has received; it may be carried out until {@code untilMs}. */
+    private record Decision(ProxyRequest request, ExtProcFixture.Stream stream, String endpoint, double untilMs) {}
 
     @Test
-    void theRulesHold() {
-        Map<String, Integer> all = new HashMap<>();
+    void requestsNeverExecuteUnsafelyAndNoStateLeaks() {
+        Map<String, Integer> totals = new HashMap<>();
         for (long seed = 1; seed <= SEQUENCES; seed++) {
             Sequence one = new Sequence(seed);
             try {
-                one.play();
+                one.run();
             } catch (AssertionError | RuntimeException e) {
-                throw new AssertionError("seed " + seed + ": " + one.doing, e);
+                throw new AssertionError("seed " + seed + ": " + one.latestEvent, e);
             }
-            one.seen.forEach((what, count) -> all.merge(what, count, Integer::sum));
+            one.eventCounts.forEach((what, count) -> totals.merge(what, count, Integer::sum));
         }
-        // The sequences must have come by all that they are about.
+        // Every event must have occurred often enough for the test to be meaningful.
         for (String what : List.of(
                 "decided",
                 "status 409",
@@ -68,26 +67,26 @@
                 "restart",
                 "late decision",
                 "broken")) {
-            assertTrue(all.getOrDefault(what, 0) > 100, what + ": " + all);
+            assertTrue(totals.getOrDefault(what, 0) > 100, what + ": " + totals);
         }
     }
 
-    /** One seed's play. */
+    /** The random sequence of one seed. */
     private static final class Sequence {
         private final SplittableRandom random;
-        private final ExtProcFixture fixture = new ExtProcFixture(servers());
-        private final List<Asked> requests = new ArrayList<>();
+        private final ExtProcFixture fixture = new ExtProcFixture(endpoints());
+        private final List<ProxyRequest> requests = new ArrayList<>();
         private final List<ExtProcFixture.Stream> streams = new ArrayList<>();
-        private final List<Held> held = new ArrayList<>();
-        /** What was sent, and what came of it is not told yet. */
-        private final List<Held> sent = new ArrayList<>();
+        private final List<Decision> decisions = new ArrayList<>();
+        /** Attempts that were sent and whose result is not reported yet. */
+        private final List<Decision> sent = new ArrayList<>();
 
-        private final Map<String, Integer> seen = new HashMap<>();
-        private String doing = "";
+        private final Map<String, Integer> eventCounts = new HashMap<>();
+        private String latestEvent = "";
 
         /**
-         * Without restarts of ours proxies may count as they like, or not at all; only where they count do we
-         * know a later attempt from a first one after a restart.
+         * Whether the processor restarts. If so, proxies must send correct attempt counts, because only these
+         * distinguish a later attempt from a first one after a restart.
          */
         private final boolean restarts;
 
@@ -96,178 +95,187 @@
             restarts = seed % 2 == 0;
         }
 
-        private static Endpoint[] servers() {
+        private static Endpoint[] endpoints() {
             return new Endpoint[] {
-                ExtProcFixture.server(0), ExtProcFixture.server(1), ExtProcFixture.server(2), ExtProcFixture.server(3)
+                ExtProcFixture.endpoint(0),
+                ExtProcFixture.endpoint(1),
+                ExtProcFixture.endpoint(2),
+                ExtProcFixture.endpoint(3)
             };
         }
 
-        private void play() {
+        private void run() {
             for (int step = 0; step < STEPS; step++) {
                 switch (random.nextInt(12)) {
-                    case 0, 1, 2 -> ask(fresh());
-                    case 3, 4 -> askAgain();
-                    case 5, 6 -> carryOut();
-                    case 7, 8 -> tell();
-                    case 9 -> breakOff();
-                    case 10 -> fixture.time.advance(random.nextInt(random.nextInt(10) == 0 ? 3000 : 120));
+                    case 0, 1, 2 -> startAttempt(newRequest());
+                    case 3, 4 -> startNextAttempt();
+                    case 5, 6 -> executeDecision();
+                    case 7, 8 -> reportResult();
+                    case 9 -> cancelStream();
+                    case 10 -> fixture.scheduler.advance(random.nextInt(random.nextInt(10) == 0 ? 3000 : 120));
                     default -> {
                         if (restarts && random.nextInt(20) == 0) {
                             restart();
                         } else if (random.nextInt(2) == 0) {
-                            fixture.settle();
+                            fixture.runDeferredTasks();
                         }
                     }
                 }
             }
-            leave();
+            finishAndCheck();
         }
 
-        private Asked fresh() {
-            Asked made = new Asked("r" + requests.size(), KINDS.get(random.nextInt(KINDS.size())));
-            requests.add(made);
-            return made;
+        private ProxyRequest newRequest() {
+            ProxyRequest added = new ProxyRequest(
+                    "r" + requests.size(), REQUEST_CLASSES.get(random.nextInt(REQUEST_CLASSES.size())));
+            requests.add(added);
+            return added;
         }
 
         private void note(String what) {
-            doing = what;
-            seen.merge(what, 1, Integer::sum);
+            latestEvent = what;
+            eventCounts.merge(what, 1, Integer::sum);
         }
 
-        private void ask(Asked asked) {
-            asked.attempt += restarts || random.nextInt(3) == 0 ? 1 : 0;
-            say(asked);
+        private void startAttempt(ProxyRequest request) {
+            request.attempt += restarts || random.nextInt(3) == 0 ? 1 : 0;
+            openStream(request);
             if (random.nextInt(8) == 0) {
-                say(asked);
+                openStream(request);
             }
             if (random.nextInt(4) > 0) {
-                fixture.settle();
+                fixture.runDeferredTasks();
             }
             collect();
         }
 
-        private final Map<ExtProcFixture.Stream, Asked> asking = new HashMap<>();
+        private final Map<ExtProcFixture.Stream, ProxyRequest> undecidedRequests = new HashMap<>();
 
-        private void say(Asked asked) {
+        private void openStream(ProxyRequest request) {
             ExtProcFixture.Stream stream = fixture.open();
             streams.add(stream);
-            stream.say(ExtProcFixture.request(ExtProcFixture.heads(asked.id, asked.kind, asked.attempt)));
-            asking.put(stream, asked);
+            stream.send(
+                    ExtProcFixture.request(ExtProcFixture.headers(request.id, request.requestClass, request.attempt)));
+            undecidedRequests.put(stream, request);
         }
 
-        /** Takes up the decisions that have come. */
+        /** Collects the decisions that have arrived. */
         private void collect() {
-            for (ExtProcFixture.Stream stream : List.copyOf(asking.keySet())) {
-                if (!stream.told.isEmpty()) {
-                    Asked asked = asking.remove(stream);
+            for (ExtProcFixture.Stream stream : List.copyOf(undecidedRequests.keySet())) {
+                if (!stream.received.isEmpty()) {
+                    ProxyRequest request = undecidedRequests.remove(stream);
                     if (stream.endpoint() != null) {
                         note("decided");
-                        held.add(new Held(asked, stream, stream.endpoint(), fixture.time.now() + 350));
+                        decisions.add(new Decision(request, stream, stream.endpoint(), fixture.scheduler.now() + 350));
                     } else {
                         note("status " + stream.status());
                     }
-                } else if (stream.ends > 0 || stream.isCancelled()) {
-                    asking.remove(stream);
+                } else if (stream.endCount > 0 || stream.isCancelled()) {
+                    undecidedRequests.remove(stream);
                 }
             }
         }
 
-        /** Another attempt of a request, which the proxy's reasons for are its own. */
-        private void askAgain() {
+        /** Starts another attempt of a recent request, whatever the state of the earlier ones. */
+        private void startNextAttempt() {
             if (!requests.isEmpty()) {
-                ask(requests.get(requests.size() - 1 - random.nextInt(Math.min(4, requests.size()))));
+                startAttempt(requests.get(requests.size() - 1 - random.nextInt(Math.min(4, requests.size()))));
             }
         }
 
-        /** A proxy sends; it does so within the time that a decision may be old, stream or no stream. */
-        private void carryOut() {
+        /** Executes a decision within its maximum age, whether or not its stream is still open. */
+        private void executeDecision() {
             collect();
-            held.removeIf(one -> one.until() < fixture.time.now());
-            if (held.isEmpty()) {
+            decisions.removeIf(one -> one.untilMs() < fixture.scheduler.now());
+            if (decisions.isEmpty()) {
                 return;
             }
-            Held one = held.remove(random.nextInt(held.size()));
-            if (one.stream().isCancelled() || one.stream().ends > 0) {
+            Decision one = decisions.remove(random.nextInt(decisions.size()));
+            if (one.stream().isCancelled() || one.stream().endCount > 0) {
                 note("late decision");
             }
             note("ran");
-            Asked asked = one.asked();
-            asked.ranAt.add(one.endpoint());
-            asked.ranWhen.add(fixture.time.now());
-            if (asked.kind.idempotency() == Idempotency.NON_IDEMPOTENT) {
-                assertEquals(1, asked.ranAt.size(), asked.id + " ran at " + asked.ranAt);
-            } else if (asked.kind.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
-                if (asked.kind.deduplicationScope() == DeduplicationScope.CELL) {
-                    assertEquals(1, asked.ranAt.stream().distinct().count(), "a cell each: " + asked.ranAt);
+            ProxyRequest request = one.request();
+            request.executedAt.add(one.endpoint());
+            request.executedMs.add(fixture.scheduler.now());
+            if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
+                assertEquals(1, request.executedAt.size(), request.id + " executed at " + request.executedAt);
+            } else if (request.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
+                if (request.requestClass.deduplicationScope() == DeduplicationScope.CELL) {
+                    assertEquals(
+                            1,
+                            request.executedAt.stream().distinct().count(),
+                            "executed in several cells: " + request.executedAt);
                 }
                 assertTrue(
-                        fixture.time.now() - asked.ranWhen.get(0) <= asked.kind.deduplicationWindowMs() + 350,
-                        asked.id + " at " + asked.ranWhen);
+                        fixture.scheduler.now() - request.executedMs.get(0)
+                                <= request.requestClass.deduplicationWindowMs() + 350,
+                        request.id + " at " + request.executedMs);
             }
             sent.add(one);
         }
 
-        /** A proxy tells what came of what it sent, or of what it could not send. */
-        private void tell() {
-            boolean ran = !sent.isEmpty() && random.nextInt(3) > 0;
-            if (!ran && held.isEmpty()) {
+        /** Reports the result of an attempt that was sent or that could not be sent. */
+        private void reportResult() {
+            boolean wasSent = !sent.isEmpty() && random.nextInt(3) > 0;
+            if (!wasSent && decisions.isEmpty()) {
                 return;
             }
-            List<Held> from = ran ? sent : held;
-            Held one = from.remove(random.nextInt(from.size()));
+            List<Decision> source = wasSent ? sent : decisions;
+            Decision one = source.remove(random.nextInt(source.size()));
             ExtProcFixture.Stream stream = one.stream();
-            if (stream.isCancelled() || stream.ends > 0) {
+            if (stream.isCancelled() || stream.endCount > 0) {
                 return;
             }
-            stream.say(
-                    !ran
-                            ? ExtProcFixture.response(503, ExtProcFixture.NOT_CONNECTED)
+            stream.send(
+                    !wasSent
+                            ? ExtProcFixture.response(503, ExtProcFixture.CONNECT_FAILED_FLAG)
                             : switch (random.nextInt(5)) {
                                 case 0 -> ExtProcFixture.response(500, 0);
-                                case 1 -> ExtProcFixture.response(503, ExtProcFixture.BROKEN);
-                                case 2 -> ExtProcFixture.response(504, ExtProcFixture.TIMED_OUT);
+                                case 1 -> ExtProcFixture.response(503, ExtProcFixture.CONNECTION_LOST_FLAG);
+                                case 2 -> ExtProcFixture.response(504, ExtProcFixture.TIMED_OUT_FLAG);
                                 default -> ExtProcFixture.response(200, 0);
                             });
             if (stream.error == null) {
                 note(stream.isPassedOn() ? "passed" : stream.status() > 0 ? "status " + stream.status() : "retriable");
             }
-            assertEquals(1, stream.ends);
+            assertEquals(1, stream.endCount);
         }
 
-        private void breakOff() {
+        private void cancelStream() {
             if (!streams.isEmpty()) {
                 note("broken");
                 streams.get(streams.size() - 1 - random.nextInt(Math.min(5, streams.size())))
-                        .breakOff();
+                        .cancel();
             }
         }
 
-        /** All streams break, and what was not decided by then never will be. */
+        /** Cancels all streams and restarts the processor; undecided requests are dropped. */
         private void restart() {
             note("restart");
-            streams.forEach(ExtProcFixture.Stream::breakOff);
+            streams.forEach(ExtProcFixture.Stream::cancel);
             collect();
-            fixture.restart(servers());
+            fixture.restart(endpoints());
         }
 
-        private void leave() {
-            fixture.settle();
-            streams.forEach(ExtProcFixture.Stream::breakOff);
+        private void finishAndCheck() {
+            fixture.runDeferredTasks();
+            streams.forEach(ExtProcFixture.Stream::cancel);
             for (ExtProcFixture.Stream stream : streams) {
                 assertEquals(
                         stream.isCancelled() ? 0 : 1,
-                        stream.ends,
-                        "ended " + stream.ends + " times, broken off: " + stream.isCancelled());
+                        stream.endCount,
+                        "ended " + stream.endCount + " times, cancelled: " + stream.isCancelled());
             }
-            fixture.time.advance(30_000);
+            fixture.scheduler.advance(30_000);
             assertEquals(
                     List.of(0, 0, 0, 0),
                     List.of(
                             fixture.processor.openStreams(),
                             fixture.processor.pendingRequests(),
-                            fixture.exchange.pendingRequests(),
+                            fixture.requestTracker.pendingRequests(),
                             fixture.processor.rememberedRequests()));
-            assertEquals(0, fixture.time.waiting());
+            assertEquals(0, fixture.scheduler.waiting());
         }
     }
 }
--- a/extproc/src/test/java/martenlatch/frontend/extproc/RequestHistoryTest.java
+++ b/extproc/src/test/java/martenlatch/frontend/extproc/RequestHistoryTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The table of docs/external-processor.md, cell by cell and effect by effect. */
+/** Checks the classification of arrivals against the table in docs/external-processor.md. */
 class RequestHistoryTest {
 
     private static final double NEVER = Double.NaN;
@@ -21,18 +21,18 @@
 
     private final RequestHistory history = new RequestHistory(3, 10_000);
 
-    private static RequestClass kind(String name) {
+    private static RequestClass requestClass(String name) {
         return CLASSES.stream()
-                .filter(kind -> kind.name().equals(name))
+                .filter(requestClass -> requestClass.name().equals(name))
                 .findFirst()
                 .orElseThrow();
     }
 
-    private Arrival arrive(double now, RequestClass kind, int attempt) {
-        return history.onArrival(now, "r", kind, attempt, false);
+    private Arrival arrive(double now, RequestClass requestClass, int attempt) {
+        return history.onArrival(now, "r", requestClass, attempt, false);
     }
 
-    /** Attempts above 1 of an id that nobody knows: a program before this one has decided on the first. */
+    /** An attempt above 1 of an unknown id means that an earlier process decided on the first attempt. */
     @ParameterizedTest
     @CsvSource({
         "read,0,NEW_REQUEST",
@@ -46,23 +46,23 @@
         "put,1,NEW_REQUEST",
         "put,2,NEW_REQUEST"
     })
-    void unknown(String kind, int attempt, Arrival expected) {
-        assertEquals(expected, arrive(0, kind(kind), attempt));
+    void unknownIdIsClassifiedByClassAndAttemptCount(String requestClass, int attempt, Arrival expected) {
+        assertEquals(expected, arrive(0, requestClass(requestClass), attempt));
     }
 
     @ParameterizedTest
     @CsvSource({"read", "order", "save", "put"})
-    void whileADecisionIsOut(String name) {
-        RequestClass kind = kind(name);
-        assertEquals(Arrival.NEW_REQUEST, arrive(0, kind, 1));
-        assertEquals(Arrival.IN_FLIGHT, arrive(1, kind, 1));
-        assertEquals(Arrival.IN_FLIGHT, arrive(1, kind, 0));
-        assertEquals(Arrival.NEXT_ATTEMPT, arrive(2, kind, 2), "the proxy has given the first one up");
-        assertEquals(Arrival.IN_FLIGHT, arrive(3, kind, 2));
+    void secondStreamIsInFlightUnlessItsAttemptCountIsHigher(String name) {
+        RequestClass requestClass = requestClass(name);
+        assertEquals(Arrival.NEW_REQUEST, arrive(0, requestClass, 1));
+        assertEquals(Arrival.IN_FLIGHT, arrive(1, requestClass, 1));
+        assertEquals(Arrival.IN_FLIGHT, arrive(1, requestClass, 0));
+        assertEquals(Arrival.NEXT_ATTEMPT, arrive(2, requestClass, 2), "the proxy has given up the first attempt");
+        assertEquals(Arrival.IN_FLIGHT, arrive(3, requestClass, 2));
     }
 
     @Test
-    void aProxyThatCountsNothingCannotGiveUpByCounting() {
+    void withoutAnAttemptCountADecidedRequestStaysInFlight() {
         assertEquals(Arrival.NEW_REQUEST, arrive(0, READ, 0));
         assertEquals(Arrival.IN_FLIGHT, arrive(1, READ, 0));
         assertEquals(Arrival.IN_FLIGHT, arrive(1, READ, 1));
@@ -70,28 +70,29 @@
 
     @ParameterizedTest
     @CsvSource({"read", "order", "save", "put"})
-    void afterTheStreamBrokeAndAfterAnOffer(String name) {
-        RequestClass kind = kind(name);
-        arrive(0, kind, 1);
+    void lostOrOfferedRequestAcceptsTheNextAttempt(String name) {
+        RequestClass requestClass = requestClass(name);
+        arrive(0, requestClass, 1);
         history.onStreamLost("r");
-        assertEquals(Arrival.NEXT_ATTEMPT, arrive(1, kind, 1), "it is lost, whatever the count says");
+        assertEquals(
+                Arrival.NEXT_ATTEMPT, arrive(1, requestClass, 1), "the stream is lost, whatever the attempt count");
         history.onOffered("r");
-        assertEquals(Arrival.NEXT_ATTEMPT, arrive(2, kind, 0));
-        assertEquals(Arrival.IN_FLIGHT, arrive(3, kind, 1));
+        assertEquals(Arrival.NEXT_ATTEMPT, arrive(2, requestClass, 0));
+        assertEquals(Arrival.IN_FLIGHT, arrive(3, requestClass, 1));
     }
 
     @ParameterizedTest
     @CsvSource({"read", "order", "save", "put"})
-    void afterAnEndThatNeverRan(String name) {
-        arrive(0, kind(name), 1);
-        history.onEnded(1, "r", kind(name), NEVER);
-        assertEquals(Arrival.NEW_REQUEST, arrive(2, kind(name), 2));
-        history.onEnded(3, "r", kind(name), NEVER);
+    void requestThatNeverExecutedMayBeRetried(String name) {
+        arrive(0, requestClass(name), 1);
+        history.onEnded(1, "r", requestClass(name), NEVER);
+        assertEquals(Arrival.NEW_REQUEST, arrive(2, requestClass(name), 2));
+        history.onEnded(3, "r", requestClass(name), NEVER);
         history.forgetOld(10_003);
         assertEquals(0, history.size());
     }
 
-    /** Also after a served one: an answer is no leave to run again. The window of "put" ends at 4500. */
+    /** Also holds after a success: an answered request must not execute again. The window of "put" ends at 4500 ms. */
     @ParameterizedTest
     @CsvSource({
         "read,2,NEW_REQUEST",
@@ -102,41 +103,41 @@
         "put,4499,NEW_REQUEST",
         "put,4500,MAY_HAVE_EXECUTED"
     })
-    void afterAnEndThatMayHaveRun(String name, double later, Arrival expected) {
-        arrive(0, kind(name), 1);
-        history.onEnded(1, "r", kind(name), 0);
-        assertEquals(expected, arrive(later, kind(name), 1));
+    void requestThatMayHaveExecutedIsRepeatedOnlyIfSafe(String name, double later, Arrival expected) {
+        arrive(0, requestClass(name), 1);
+        history.onEnded(1, "r", requestClass(name), 0);
+        assertEquals(expected, arrive(later, requestClass(name), 1));
     }
 
-    /** The first run binds, also where the second of the same id is history not to have run. */
+    /** The first execution counts, even if a later request of the same id is known not to have executed. */
     @Test
-    void aKeyedRequestThatRanAgainIsBoundByItsFirstRun() {
+    void deduplicationWindowStartsAtTheFirstExecution() {
         arrive(0, PUT, 1);
         history.onEnded(100, "r", PUT, 0);
         assertEquals(Arrival.NEW_REQUEST, arrive(4000, PUT, 1));
         history.onEnded(4100, "r", PUT, NEVER);
         assertEquals(Arrival.MAY_HAVE_EXECUTED, arrive(4600, PUT, 1));
-        assertEquals(Arrival.MAY_HAVE_EXECUTED, arrive(10_150, PUT, 1), "it counts from the second end on");
+        assertEquals(Arrival.MAY_HAVE_EXECUTED, arrive(10_150, PUT, 1), "it is remembered from its second end");
         history.forgetOld(14_100);
         assertEquals(0, history.size());
     }
 
-    /** Each attempt up to the last must be history not to have run; a gap is an attempt nobody knows of. */
+    /** Every earlier attempt must be known not to have executed; a gap is an attempt of unknown outcome. */
     @Test
-    void attemptsThatNeverRanAddUpWithoutGaps() {
+    void unexecutedAttemptsCountOnlyWithoutGaps() {
         history.onNeverExecuted(0, "r", ORDER, 2);
-        assertEquals(0, history.size(), "of the first nothing is known");
+        assertEquals(0, history.size(), "the outcome of the first attempt is unknown");
         history.onNeverExecuted(0, "r", ORDER, 1);
         history.onNeverExecuted(0, "r", ORDER, 2);
         assertEquals(Arrival.MAY_HAVE_EXECUTED, arrive(1, ORDER, 4));
         assertEquals(Arrival.NEW_REQUEST, arrive(1, ORDER, 3));
         history.onNeverExecuted(2, "r", ORDER, 4);
         history.onEnded(3, "r", ORDER, 2);
-        assertEquals(Arrival.MAY_HAVE_EXECUTED, arrive(4, ORDER, 5), "the third may have");
+        assertEquals(Arrival.MAY_HAVE_EXECUTED, arrive(4, ORDER, 5), "the third attempt may have executed");
     }
 
     @Test
-    void whatNeverRanMakesRoomForNewer() {
+    void oldestUnexecutedRequestIsEvicted() {
         for (String id : List.of("a", "b", "c", "d")) {
             history.onNeverExecuted(0, id, ORDER, 1);
         }
@@ -146,13 +147,13 @@
     }
 
     @Test
-    void whatTheHostStillHasIsInHand() {
+    void requestPendingInTheTrackerIsInFlight() {
         assertEquals(Arrival.IN_FLIGHT, history.onArrival(0, "r", READ, 0, true));
         assertEquals(0, history.size());
     }
 
     @Test
-    void afterAFullMemoryNothingUnsafeIsForgottenEarly() {
+    void fullTableForgetsNoUnsafeRequestEarly() {
         for (String id : List.of("a", "b", "c")) {
             assertEquals(Arrival.NEW_REQUEST, history.onArrival(0, id, ORDER, 1, false));
             history.onEnded(1, id, ORDER, 0);
@@ -163,9 +164,9 @@
         assertEquals(1, history.size());
     }
 
-    /** An id that runs again and again within its window must not fill what is behind the table. */
+    /** Guards against unbounded growth of the list of ended requests when one id repeats within its window. */
     @Test
-    void endsOfOneIdAreBoundedToo() {
+    void endedRequestsOfOneIdAreBounded() {
         for (int i = 0; i < 3; i++) {
             assertEquals(Arrival.NEW_REQUEST, arrive(i, PUT, 1));
             history.onEnded(i, "r", PUT, 0);
