--- a/extproc/src/main/java/martenlatch/frontend/extproc/RequestHistory.java
+++ b/extproc/src/main/java/martenlatch/frontend/extproc/RequestHistory.java
@@ -33,7 +33,7 @@
          * proxy.
          */
         NEXT_ATTEMPT,
-        /** Another stream has a decision for this request, or the request tracker still has one of this id. */
+        /** Another stream is open for this request, or the request tracker still has a request of this id. */
         IN_FLIGHT,
         /** The request may have executed and must not be repeated, so it fails. */
         MAY_HAVE_EXECUTED,
--- a/extproc/src/main/java/martenlatch/world/ProcessingStreamLoad.java
+++ b/extproc/src/main/java/martenlatch/world/ProcessingStreamLoad.java
@@ -123,13 +123,13 @@
         long endNanos = startNanos + seconds * 1_000_000_000L;
         long lateSends = 0;
         if (perSecond == 0) {
-            Semaphore permits = new Semaphore(streams);
+            Semaphore streamPermits = new Semaphore(streams);
             while (System.nanoTime() < endNanos) {
-                if (permits.tryAcquire(100, TimeUnit.MILLISECONDS)) {
-                    openStream(System.nanoTime(), requestClass, permits);
+                if (streamPermits.tryAcquire(100, TimeUnit.MILLISECONDS)) {
+                    openStream(System.nanoTime(), requestClass, streamPermits);
                 }
             }
-            permits.tryAcquire(streams, COMPLETION_WAIT_S, TimeUnit.SECONDS);
+            streamPermits.tryAcquire(streams, COMPLETION_WAIT_S, TimeUnit.SECONDS);
             return 0;
         }
         double intervalNanos = 1e9 / perSecond;
@@ -158,9 +158,9 @@
     }
 
     /** Opens a stream and sends its request headers. */
-    private void openStream(long intendedNanos, String requestClass, Semaphore permits) {
+    private void openStream(long intendedNanos, String requestClass, Semaphore streamPermits) {
         openStreams.incrementAndGet();
-        LoadStream stream = new LoadStream(intendedNanos, permits);
+        LoadStream stream = new LoadStream(intendedNanos, streamPermits);
         HeaderMap.Builder headers = HeaderMap.newBuilder()
                 .addHeaders(header(":method", "GET"))
                 .addHeaders(header(":path", "/api?day=2026-12-01"))
@@ -194,12 +194,12 @@
                 .build();
 
         private final long intendedNanos;
-        private final Semaphore permits;
+        private final Semaphore streamPermits;
         private volatile StreamObserver<ProcessingRequest> requests;
 
-        LoadStream(long intendedNanos, Semaphore permits) {
+        LoadStream(long intendedNanos, Semaphore streamPermits) {
             this.intendedNanos = intendedNanos;
-            this.permits = permits;
+            this.streamPermits = streamPermits;
         }
 
         @Override
@@ -227,8 +227,8 @@
 
         private void end() {
             openStreams.decrementAndGet();
-            if (permits != null) {
-                permits.release();
+            if (streamPermits != null) {
+                streamPermits.release();
             }
         }
     }
--- a/extproc/src/main/java/martenlatch/world/StandInProxy.java
+++ b/extproc/src/main/java/martenlatch/world/StandInProxy.java
@@ -185,7 +185,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             proxiedRequest = new ProxiedRequest(ctx.channel(), request);
-            proxiedRequest.consult();
+            proxiedRequest.startAttempt();
         }
 
         @Override
@@ -247,7 +247,7 @@
 
         // ---- the processor ----
 
-        void consult() {
+        void startAttempt() {
             attempt++;
             ProcessingRequest head = ProcessingRequest.newBuilder()
                     .setRequestHeaders(requestHead())
@@ -285,7 +285,7 @@
                     || attempt >= options.maxAttempts()) {
                 sendToClient(Reply.generate(awaitsResponseMutation ? 500 : 504, "processor: " + reason));
             } else if (options.failureMode() == ProcessorFailureMode.ASK_AGAIN) {
-                consult();
+                startAttempt();
             } else {
                 connect(options.fallback(), options.connectTimeoutMs(), 0);
             }
@@ -302,7 +302,7 @@
                         immediate.getStatus().getCodeValue(),
                         new DefaultHttpHeaders(),
                         immediate.getBody().toByteArray());
-                mutate(reply.headers(), immediate.getHeaders());
+                applyMutation(reply.headers(), immediate.getHeaders());
                 sendToClient(reply);
             } else if (pendingReply == null && message.hasRequestHeaders()) {
                 onDecision(message.getRequestHeaders().getResponse().getHeaderMutation());
@@ -314,7 +314,7 @@
         }
 
         private void onDecision(HeaderMutation mutation) {
-            mutate(headers, mutation);
+            applyMutation(headers, mutation);
             URI destination = URI.create("http://" + headers.get(DESTINATION_HEADER, ""));
             double waitMs = behavior.waitMs(id, attempt, Double.parseDouble(headers.get(TIMEOUT_HEADER, "15000")));
             double delayMs = behavior.sendDelayMs(id, attempt);
@@ -444,14 +444,14 @@
         }
 
         private void applyResponseMutation(HeaderMutation mutation) {
-            String status = mutate(pendingReply.headers(), mutation);
+            String status = applyMutation(pendingReply.headers(), mutation);
             Reply reply = status == null
                     ? pendingReply
                     : new Reply(Integer.parseInt(status), pendingReply.headers(), pendingReply.body());
             if (pendingReply.headers().contains(RETRY_HEADER) && attempt < options.maxAttempts()) {
                 pendingReply = null;
                 stream.cancel();
-                consult();
+                startAttempt();
             } else {
                 sendToClient(reply);
             }
@@ -495,7 +495,7 @@
     }
 
     /** Applies a mutation to headers; returns the new status if the mutation sets one, otherwise null. */
-    private static String mutate(io.netty.handler.codec.http.HttpHeaders headers, HeaderMutation mutation) {
+    private static String applyMutation(io.netty.handler.codec.http.HttpHeaders headers, HeaderMutation mutation) {
         String status = null;
         for (HeaderValueOption set : mutation.getSetHeadersList()) {
             HeaderValue header = set.getHeader();
