--- a/fleet/src/main/java/martenlatch/fleet/gossip/PeerSim.java
+++ b/fleet/src/main/java/martenlatch/fleet/gossip/PeerSim.java
@@ -209,9 +209,9 @@
         }
         sender.messagesBySecond[second]++;
         LinkModel model = models[from];
-        model.conduct(links.apply(from, to));
+        model.setConditions(links.apply(from, to));
         double now = time.elapsed();
-        for (double at : model.datagram(now, datagram.length)) {
+        for (double at : model.datagramArrivalsMs(now, datagram.length)) {
             Node receiver = nodes[to];
             time.after(
                     at - now + BASE_MS,
--- a/fleet/src/main/java/martenlatch/fleet/link/DatagramLinks.java
+++ b/fleet/src/main/java/martenlatch/fleet/link/DatagramLinks.java
@@ -15,39 +15,44 @@
 import java.util.stream.IntStream;
 
 /**
- * Links over UDP between all members of a group, as the platform gives them: each member has an address for
- * each other one, to send to and to hear from, and one more for all at once. Each ordered pair has a
- * conduct. All of it runs on one event loop; what is asked of it from outside goes there.
+ * Relays UDP between all members of a group, as the platform does: each member has one address per other member,
+ * which it sends to and receives from, and one more to reach all of them. Each ordered pair has its own conditions.
+ * Everything runs on one event loop, which calls from other threads are handed to.
  */
 public final class DatagramLinks {
 
-    private static final double NANOS_IN_MS = 1e6;
+    private static final double NANOS_PER_MS = 1e6;
 
     private final EventLoop loop;
     private final int members;
-    private final LinkWatch watch;
+    private final LinkObserver watch;
     private final LongSupplier clock;
-    private final InetSocketAddress[] homes;
-    private final DatagramChannel[][] doors;
-    private final DatagramChannel[] toAll;
+    private final InetSocketAddress[] memberAddresses;
+    private final DatagramChannel[][] pairChannels;
+    private final DatagramChannel[] broadcastChannels;
     private final LinkModel[][] models;
     private final long[] sentBytes;
 
-    /** Links between so many members, none of whom has an address yet. */
+    /** Creates links between {@code members} members, none of which has an address yet. */
     public DatagramLinks(
-            EventLoop loop, int members, Loopback addresses, long seed, LinkWatch watch, LongSupplier clock) {
+            EventLoop loop,
+            int members,
+            LoopbackAddresses addresses,
+            long seed,
+            LinkObserver watch,
+            LongSupplier clock) {
         this.loop = loop;
         this.members = members;
         this.watch = watch;
         this.clock = clock;
-        homes = new InetSocketAddress[members];
-        doors = new DatagramChannel[members][members];
-        toAll = new DatagramChannel[members];
+        memberAddresses = new InetSocketAddress[members];
+        pairChannels = new DatagramChannel[members][members];
+        broadcastChannels = new DatagramChannel[members];
         models = new LinkModel[members][members];
         sentBytes = new long[members];
         for (int i = 0; i < members; i++) {
             int from = i;
-            toAll[i] = bind(
+            broadcastChannels[i] = bind(
                     addresses.next(),
                     packet -> IntStream.range(0, members)
                             .filter(to -> to != from)
@@ -55,97 +60,101 @@
             for (int j = 0; j < members; j++) {
                 int to = j;
                 models[i][j] = new LinkModel(seed * members * members + (long) i * members + j);
-                doors[i][j] = bind(addresses.next(), packet -> send(from, to, packet.content()));
+                pairChannels[i][j] = bind(addresses.next(), packet -> send(from, to, packet.content()));
             }
         }
     }
 
-    private interface Hearer {
-        void heard(DatagramPacket packet);
+    private interface PacketHandler {
+        void onPacket(DatagramPacket packet);
     }
 
-    private DatagramChannel bind(InetSocketAddress at, Hearer hearer) {
+    private DatagramChannel bind(InetSocketAddress address, PacketHandler handler) {
         return (DatagramChannel) new Bootstrap()
                 .group(loop)
                 .channel(NioDatagramChannel.class)
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-                        hearer.heard(packet);
+                        handler.onPacket(packet);
                     }
 
                     @Override
                     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                        // Nobody is at home there: the system says so of a datagram sent before.
+                        // The system reports an earlier datagram to a port where nobody listens; UDP senders ignore
+                        // that.
                         return;
                     }
                 })
-                .bind(at)
+                .bind(address)
                 .syncUninterruptibly()
                 .channel();
     }
 
     private void send(int from, int to, ByteBuf content) {
         sentBytes[from] += content.readableBytes();
-        InetSocketAddress home = homes[to];
-        if (home == null) {
+        InetSocketAddress receiver = memberAddresses[to];
+        if (receiver == null) {
             return;
         }
         double now = now();
-        for (double at : models[from][to].datagram(now, content.readableBytes())) {
+        for (double dueMs : models[from][to].datagramArrivalsMs(now, content.readableBytes())) {
             ByteBuf copy = content.copy();
-            if (at <= now) {
-                doors[to][from].writeAndFlush(new DatagramPacket(copy, home));
+            if (dueMs <= now) {
+                pairChannels[to][from].writeAndFlush(new DatagramPacket(copy, receiver));
             } else {
                 loop.schedule(
                         () -> {
-                            watch.late(now() - at);
-                            doors[to][from].writeAndFlush(new DatagramPacket(copy, home));
+                            watch.onLate(now() - dueMs);
+                            pairChannels[to][from].writeAndFlush(new DatagramPacket(copy, receiver));
                         },
-                        (long) ((at - now) * NANOS_IN_MS),
+                        (long) ((dueMs - now) * NANOS_PER_MS),
                         TimeUnit.NANOSECONDS);
             }
         }
     }
 
     private double now() {
-        return clock.getAsLong() / NANOS_IN_MS;
+        return clock.getAsLong() / NANOS_PER_MS;
     }
 
-    /** Where a member listens. */
-    public void home(int member, InetSocketAddress at) {
-        loop.execute(() -> homes[member] = at);
+    /** Sets the address where a member listens. */
+    public void setAddress(int member, InetSocketAddress address) {
+        loop.execute(() -> memberAddresses[member] = address);
     }
 
-    /** Where a member sends to reach each of the others, and by which it knows them; its own among them. */
-    public List<InetSocketAddress> seenBy(int member) {
+    /**
+     * Returns the addresses that a member sends to, and sees datagrams come from, by member number (including its
+     * own).
+     */
+    public List<InetSocketAddress> peerAddresses(int member) {
         return IntStream.range(0, members)
-                .mapToObj(to -> doors[member][to].localAddress())
+                .mapToObj(to -> pairChannels[member][to].localAddress())
                 .toList();
     }
 
-    /** Where a member sends to reach all. */
-    public InetSocketAddress all(int member) {
-        return toAll[member].localAddress();
+    /** Returns the address that a member sends to in order to reach all others. */
+    public InetSocketAddress broadcastAddress(int member) {
+        return broadcastChannels[member].localAddress();
     }
 
-    /** How what one member sends to another is treated from now on: what is sent after this returns. */
-    public void conduct(int from, int to, LinkConditions next) {
-        loop.submit(() -> models[from][to].conduct(next)).syncUninterruptibly();
+    /** Sets the conditions for datagrams that one member sends to another after this returns. */
+    public void setConditions(int from, int to, LinkConditions next) {
+        loop.submit(() -> models[from][to].setConditions(next)).syncUninterruptibly();
     }
 
-    /** Bytes that a member has sent so far, each datagram to all counted once for each that it goes to. */
+    /** Returns how many bytes a member has sent; a datagram to all counts once for each receiver. */
     public long sentBytes(int member) {
         return loop.submit(() -> sentBytes[member]).syncUninterruptibly().getNow();
     }
 
-    /** Ends all links. */
+    /** Closes all links. */
     public void close() {
         loop.submit(() -> {
                     for (int i = 0; i < members; i++) {
-                        toAll[i].close();
-                        for (DatagramChannel door : doors[i]) {
-                            door.close();
+                        broadcastChannels[i].close();
+                        for (DatagramChannel channel : pairChannels[i]) {
+                            channel.close();
                         }
                     }
                 })
--- a/fleet/src/main/java/martenlatch/fleet/link/LinkConditions.java
+++ b/fleet/src/main/java/martenlatch/fleet/link/LinkConditions.java
@@ -1,17 +1,18 @@
 package martenlatch.fleet.link;
 
 /**
- * How one direction of a link treats what is sent over it. On a stream what is lost is sent again, as TCP
- * does: it comes late, and so does all behind it. A datagram that is lost is gone.
+ * The network conditions of one direction of a link. On a stream, lost data is retransmitted as in TCP: it arrives
+ * late and delays everything behind it. A lost datagram never arrives.
  *
- * @param delayMs how long each message takes
- * @param jitterMs up to so much longer, evenly drawn for each
- * @param loss the share of messages that are lost, 0 to below 1
- * @param duplicate the share of datagrams that come twice, or of a stream's writes that are written twice
- * @param reorder the share of datagrams that come after later ones
- * @param bytesPerSecond its rate; infinite where there is no bound
- * @param half the share of a stream's writes of which half comes, and then a reset
- * @param silent nothing comes through, and nobody is told; what was sent on a stream comes when this is over
+ * @param delayMs latency of each message
+ * @param jitterMs maximum additional latency, drawn uniformly for each message
+ * @param loss fraction of messages that are lost, 0 to 0.95
+ * @param duplicate fraction of datagrams that arrive twice, or of a stream's writes that are written twice
+ * @param reorder fraction of datagrams that arrive after later ones
+ * @param bytesPerSecond bandwidth; infinite means unlimited
+ * @param half fraction of a stream's writes of which only the first half arrives, followed by a reset
+ * @param silent whether nothing passes, without any error at either end; data sent on a stream meanwhile arrives once this
+ *     ends
  */
 public record LinkConditions(
         double delayMs,
@@ -23,43 +24,43 @@
         double half,
         boolean silent) {
 
-    /** As good as loopback is. */
+    /** No impairment. */
     public static final LinkConditions CLEAR = new LinkConditions(0, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 0, false);
-    /** Cut in this direction. */
+    /** Nothing passes in this direction. */
     public static final LinkConditions SILENT = new LinkConditions(0, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 0, true);
 
-    private static final double MOST_MS = 600_000;
-    /** At more than this a stream's repeats would not come to an end within any run. */
-    private static final double MOST_LOSS = 0.95;
+    private static final double MAX_DELAY_MS = 600_000;
+    /** Above this, a stream's retransmissions would not finish within a run. */
+    private static final double MAX_LOSS = 0.95;
 
     public LinkConditions {
-        within("delay-ms", delayMs, 0, MOST_MS);
-        within("jitter-ms", jitterMs, 0, MOST_MS);
-        within("loss", loss, 0, MOST_LOSS);
-        within("duplicate", duplicate, 0, 1);
-        within("reorder", reorder, 0, 1);
-        within("half", half, 0, 1);
+        requireInRange("delay-ms", delayMs, 0, MAX_DELAY_MS);
+        requireInRange("jitter-ms", jitterMs, 0, MAX_DELAY_MS);
+        requireInRange("loss", loss, 0, MAX_LOSS);
+        requireInRange("duplicate", duplicate, 0, 1);
+        requireInRange("reorder", reorder, 0, 1);
+        requireInRange("half", half, 0, 1);
         if (!(bytesPerSecond >= 1)) {
             throw new IllegalArgumentException("rate must be 1 byte a second or more but is " + bytesPerSecond);
         }
     }
 
-    private static void within(String field, double value, double least, double most) {
-        if (!(value >= least && value <= most)) {
-            throw new IllegalArgumentException(field + " must be " + least + " to " + most + " but is " + value);
+    private static void requireInRange(String field, double value, double min, double max) {
+        if (!(value >= min && value <= max)) {
+            throw new IllegalArgumentException(field + " must be " + min + " to " + max + " but is " + value);
         }
     }
 
-    /** Whether messages come at once and unharmed. */
+    /** Returns whether messages arrive at once and unimpaired. */
     public boolean isClear() {
         return equals(CLEAR);
     }
 
-    /** Both at once: the delays add up, of the rest the worse holds. */
+    /** Returns the combination of both: delays add up, and the worse value of everything else applies. */
     public LinkConditions combinedWith(LinkConditions other) {
         return new LinkConditions(
-                Math.min(MOST_MS, delayMs + other.delayMs),
-                Math.min(MOST_MS, jitterMs + other.jitterMs),
+                Math.min(MAX_DELAY_MS, delayMs + other.delayMs),
+                Math.min(MAX_DELAY_MS, jitterMs + other.jitterMs),
                 Math.max(loss, other.loss),
                 Math.max(duplicate, other.duplicate),
                 Math.max(reorder, other.reorder),
--- a/fleet/src/main/java/martenlatch/fleet/link/LinkModel.java
+++ b/fleet/src/main/java/martenlatch/fleet/link/LinkModel.java
@@ -4,101 +4,101 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides when each message on one direction of a link arrives. No I/O, no clock: times come with the calls
- * and never run backwards. Everything random comes from one seed.
+ * Decides when each message on one direction of a link arrives. Does no I/O and reads no clock: the caller passes
+ * the time, which must not decrease. All randomness comes from one seed.
  */
 public final class LinkModel {
 
     /**
-     * TCP waits so long before it sends again, and twice as long each time (RFC 6298, section 5; Linux'
-     * least).
+     * Initial retransmission timeout of a stream, doubled each time as in TCP (RFC 6298, section 5); this is the
+     * minimum on Linux.
      */
-    static final double RESEND_MS = 200;
-    /** Comes behind those sent within this time. */
-    static final double REORDER_MS = 20;
+    static final double RETRANSMIT_TIMEOUT_MS = 200;
+    /** Extra latency of a reordered datagram; it arrives after those that were sent within this time. */
+    static final double REORDER_DELAY_MS = 20;
 
-    private static final int MOST_RESENDS = 12;
+    private static final int MAX_RETRANSMITS = 12;
 
     private final SplittableRandom random;
-    private LinkConditions conduct = LinkConditions.CLEAR;
-    /** When the last byte put on the wire has left, and when the last of the stream arrives. */
-    private double freeAt;
+    private LinkConditions conditions = LinkConditions.CLEAR;
+    /** When the last byte put on the wire has left, in milliseconds on the caller's clock. */
+    private double wireFreeAtMs;
 
-    private double lastArrival;
+    /** When the last data of the stream arrives; later data does not overtake it. */
+    private double lastArrivalMs;
 
-    /** A clear link. */
+    /** Creates a model without impairments. */
     public LinkModel(long seed) {
         random = new SplittableRandom(seed);
     }
 
-    public LinkConditions conduct() {
-        return conduct;
+    public LinkConditions conditions() {
+        return conditions;
     }
 
-    /** How it treats what is sent from now on. */
-    public void conduct(LinkConditions next) {
-        conduct = next;
+    /** Sets the conditions for messages that are sent from now on. */
+    public void setConditions(LinkConditions next) {
+        conditions = next;
     }
 
     /**
-     * When a part of a stream arrives, in milliseconds on the caller's clock; streams keep their order.
-     * While the link is silent nothing is asked: whoever has it keeps what was sent until {@link
-     * LinkConditions#silent} is over.
+     * Returns when a message on a stream arrives, in milliseconds on the caller's clock; streams keep their order.
+     * Does not account for {@link LinkConditions#silent}: the caller holds messages back while the link is silent.
      */
-    public double stream(double now, int bytes) {
+    public double streamArrivalMs(double now, int bytes) {
         double at = now;
-        if (!conduct.isClear()) {
-            at = onTheWire(now, bytes) + conduct.delayMs() + drawn(conduct.jitterMs());
-            for (int i = 0; i < MOST_RESENDS && happens(conduct.loss()); i++) {
-                at += RESEND_MS * (1 << i);
+        if (!conditions.isClear()) {
+            at = transmissionEndMs(now, bytes) + conditions.delayMs() + drawUpTo(conditions.jitterMs());
+            for (int i = 0; i < MAX_RETRANSMITS && happens(conditions.loss()); i++) {
+                at += RETRANSMIT_TIMEOUT_MS * (1 << i);
             }
         }
-        lastArrival = Math.max(lastArrival, at);
-        return lastArrival;
+        lastArrivalMs = Math.max(lastArrivalMs, at);
+        return lastArrivalMs;
     }
 
-    /** Whether a stream's write comes twice. */
-    public boolean streamTwice() {
-        return happens(conduct.duplicate());
+    /** Returns whether a stream's write is duplicated. */
+    public boolean duplicatesWrite() {
+        return happens(conditions.duplicate());
     }
 
-    /** Whether half of a stream's write comes, and then a reset. */
-    public boolean streamHalf() {
-        return happens(conduct.half());
+    /** Returns whether only the first half of a stream's write arrives, followed by a reset. */
+    public boolean truncatesWrite() {
+        return happens(conditions.half());
     }
 
-    /** When a datagram arrives, each copy of it; none where it is lost. */
-    public double[] datagram(double now, int bytes) {
-        if (conduct.isClear()) {
+    /** Returns when each copy of a datagram arrives; empty if it is lost. */
+    public double[] datagramArrivalsMs(double now, int bytes) {
+        if (conditions.isClear()) {
             return new double[] {now};
         }
-        double sent = onTheWire(now, bytes);
-        int copies = happens(conduct.duplicate()) ? 2 : 1;
+        double sent = transmissionEndMs(now, bytes);
+        int copies = happens(conditions.duplicate()) ? 2 : 1;
         double[] at = new double[copies];
         int kept = 0;
         for (int i = 0; i < copies; i++) {
-            double late = happens(conduct.reorder()) ? REORDER_MS : 0;
-            double arrival = sent + conduct.delayMs() + drawn(conduct.jitterMs()) + late;
-            if (!conduct.silent() && !happens(conduct.loss())) {
+            double late = happens(conditions.reorder()) ? REORDER_DELAY_MS : 0;
+            double arrival = sent + conditions.delayMs() + drawUpTo(conditions.jitterMs()) + late;
+            if (!conditions.silent() && !happens(conditions.loss())) {
                 at[kept++] = arrival;
             }
         }
         return Arrays.copyOf(at, kept);
     }
 
-    private double onTheWire(double now, int bytes) {
-        if (Double.isInfinite(conduct.bytesPerSecond())) {
+    private double transmissionEndMs(double now, int bytes) {
+        if (Double.isInfinite(conditions.bytesPerSecond())) {
             return now;
         }
-        freeAt = Math.max(freeAt, now) + bytes * 1000.0 / conduct.bytesPerSecond();
-        return freeAt;
+        wireFreeAtMs = Math.max(wireFreeAtMs, now) + bytes * 1000.0 / conditions.bytesPerSecond();
+        return wireFreeAtMs;
     }
 
     private boolean happens(double share) {
         return share > 0 && random.nextDouble() < share;
     }
 
-    private double drawn(double mostMs) {
+    private double drawUpTo(double mostMs) {
         return mostMs == 0 ? 0 : random.nextDouble() * mostMs;
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/link/RequestIds.java
+++ b/fleet/src/main/java/martenlatch/fleet/link/RequestIds.java
@@ -6,12 +6,12 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Finds the ids of requests in a stream of HTTP/1.1, wherever its parts are cut. */
+/** Extracts request ids from an HTTP/1.1 byte stream, also where a header is split between reads. */
 final class RequestIds {
 
     private static final Pattern ID = Pattern.compile("x-request-id:[ \t]*([^\r\n]*)\r", Pattern.CASE_INSENSITIVE);
-    /** No header of an id is longer: what stands further back holds no part of one. */
-    private static final int LONGEST = 256;
+    /** Maximum length of a request id header; only this much of the previous bytes is kept for the next read. */
+    private static final int MAX_HEADER_CHARS = 256;
 
     private final Consumer<String> found;
     private String tail = "";
@@ -28,6 +28,6 @@
             found.accept(matcher.group(1).trim());
             end = matcher.end();
         }
-        tail = text.substring(Math.max(end, text.length() - LONGEST));
+        tail = text.substring(Math.max(end, text.length() - MAX_HEADER_CHARS));
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/link/StreamLink.java
+++ b/fleet/src/main/java/martenlatch/fleet/link/StreamLink.java
@@ -29,28 +29,28 @@
 import java.util.function.LongSupplier;
 
 /**
- * A link over TCP from one process to another: whoever connects to its address is connected on to its
- * target. Each direction has a conduct. A link that is silent in either direction takes in no new
- * connection, without a word: its accept queue is kept full, so that the system drops what asks to connect,
- * as a cut does. All of it runs on one event loop; what is asked of it from outside goes there.
+ * Relays TCP from one process to another: each connection to its address is forwarded to its target. Each direction
+ * has its own conditions. A link that is silent in either direction accepts no new connections and does not reject
+ * them: its accept queue is kept full, so the system drops connection attempts as a network partition does.
+ * Everything runs on one event loop, which calls from other threads are handed to.
  */
 public final class StreamLink {
 
     private static final int BACKLOG = 32;
-    /** What waits in one direction of one connection, in bytes, before its sender is made to wait. */
-    private static final int MOST_WAITING = 256 * 1024;
+    /** Bytes buffered in one direction of one connection before reading from the sender is paused. */
+    private static final int MAX_BUFFERED_BYTES = 256 * 1024;
 
-    private static final double NANOS_IN_MS = 1e6;
+    private static final double NANOS_PER_MS = 1e6;
 
     private final EventLoop loop;
     private final String from;
     private final String to;
     private final InetSocketAddress target;
-    private final LinkWatch watch;
+    private final LinkObserver watch;
     private final LongSupplier clock;
-    private final LinkModel there;
-    private final LinkModel back;
-    private final Set<Passage> passages = new HashSet<>();
+    private final LinkModel onwardsModel;
+    private final LinkModel backwardsModel;
+    private final Set<RelayedConnection> connections = new HashSet<>();
     private final List<Channel> fillers = new ArrayList<>();
     private final Set<SocketAddress> fillerAddresses = new HashSet<>();
     private InetSocketAddress address;
@@ -58,7 +58,7 @@
     private boolean refusing;
 
     /**
-     * A link that does not listen yet.
+     * Creates a link that does not listen yet.
      *
      * @param clock nanoseconds, monotonic
      */
@@ -68,7 +68,7 @@
             String to,
             InetSocketAddress target,
             long seed,
-            LinkWatch watch,
+            LinkObserver watch,
             LongSupplier clock) {
         this.loop = loop;
         this.from = from;
@@ -76,8 +76,8 @@
         this.target = target;
         this.watch = watch;
         this.clock = clock;
-        there = new LinkModel(seed);
-        back = new LinkModel(~seed);
+        onwardsModel = new LinkModel(seed);
+        backwardsModel = new LinkModel(~seed);
     }
 
     public String from() {
@@ -88,9 +88,11 @@
         return to;
     }
 
-    /** Listens at an address; where that can't be, an exception says so. */
-    public StreamLink listen(InetSocketAddress at) {
-        address = at;
+    /** Listens at an address.
+     *
+     * @throws IllegalStateException if the address cannot be bound */
+    public StreamLink listen(InetSocketAddress requested) {
+        address = requested;
         awaitBound(loop.submit(this::bind).syncUninterruptibly().getNow());
         return this;
     }
@@ -105,7 +107,7 @@
         address = (InetSocketAddress) bound.channel().localAddress();
     }
 
-    /** Where its sender connects. */
+    /** Returns the address that the sender connects to. */
     public InetSocketAddress address() {
         return address;
     }
@@ -125,7 +127,7 @@
                         if (fillerAddresses.remove(accepted.remoteAddress())) {
                             accepted.close();
                         } else {
-                            new Passage(accepted).open();
+                            new RelayedConnection(accepted).open();
                         }
                     }
                 })
@@ -134,18 +136,18 @@
         return bound;
     }
 
-    /** How each direction treats what is sent after this returns; {@code onwards} is that to the target. */
-    public void conduct(LinkConditions onwards, LinkConditions backwards) {
+    /** Sets the conditions for data sent after this returns; {@code onwards} is the direction to the target. */
+    public void setConditions(LinkConditions onwards, LinkConditions backwards) {
         loop.submit(() -> {
-                    there.conduct(onwards);
-                    back.conduct(backwards);
-                    mindListener();
-                    List.copyOf(passages).forEach(Passage::conductChanged);
+                    onwardsModel.setConditions(onwards);
+                    backwardsModel.setConditions(backwards);
+                    updateListener();
+                    List.copyOf(connections).forEach(RelayedConnection::onConditionsChanged);
                 })
                 .syncUninterruptibly();
     }
 
-    /** Whether the target takes no connections: then the system refuses them here too. */
+    /** Sets whether connections are refused by the system, as they are when the target does not listen. */
     public void refuse(boolean now) {
         ChannelFuture bound = loop.submit(() -> {
                     if (now == refusing) {
@@ -153,8 +155,8 @@
                     }
                     refusing = now;
                     if (now) {
-                        unfill();
-                        // Whoever waits to be accepted goes with the listener.
+                        emptyAcceptQueue();
+                        // Connections that wait to be accepted are closed with the listener.
                         fillerAddresses.clear();
                         listener.close();
                         return null;
@@ -165,16 +167,16 @@
                 .getNow();
         if (bound != null) {
             awaitBound(bound);
-            loop.execute(this::mindListener);
+            loop.execute(this::updateListener);
         } else if (now) {
             awaitClosed();
         }
     }
 
     /**
-     * The JDK keeps a closed listener's socket open until its selector has selected once more: until then
-     * the system goes on accepting. A task that is due later is run after a selection; after the second
-     * such task one lies surely between.
+     * Waits until a closed listener no longer accepts. The JDK keeps its socket open until the selector has selected
+     * once more, and the system accepts connections until then. A delayed task runs after a selection; once two have
+     * run, a selection has certainly taken place between them.
      */
     private void awaitClosed() {
         for (int i = 0; i < 2; i++) {
@@ -182,43 +184,44 @@
         }
     }
 
-    /** Resets every connection, at both ends. */
+    /** Resets every connection at both ends. */
     public void reset() {
-        loop.execute(() -> List.copyOf(passages).forEach(Passage::reset));
+        loop.execute(() -> List.copyOf(connections).forEach(RelayedConnection::reset));
     }
 
-    /** Ends it, and all connections. */
+    /** Closes the link and resets all connections. */
     public void close() {
         loop.submit(() -> {
                     refusing = true;
-                    unfill();
+                    emptyAcceptQueue();
                     listener.close();
-                    List.copyOf(passages).forEach(Passage::reset);
+                    List.copyOf(connections).forEach(RelayedConnection::reset);
                 })
                 .syncUninterruptibly();
     }
 
-    private boolean cut() {
-        return there.conduct().silent() || back.conduct().silent();
+    private boolean isCut() {
+        return onwardsModel.conditions().silent() || backwardsModel.conditions().silent();
     }
 
-    private void mindListener() {
+    private void updateListener() {
         if (refusing) {
             return;
         }
-        if (cut() && fillers.isEmpty()) {
+        if (isCut() && fillers.isEmpty()) {
             listener.config().setAutoRead(false);
-            fill();
-        } else if (!cut() && !fillers.isEmpty()) {
-            unfill();
+            fillAcceptQueue();
+        } else if (!isCut() && !fillers.isEmpty()) {
+            emptyAcceptQueue();
             listener.config().setAutoRead(true);
         }
     }
 
     /**
-     * As many as the system holds ready to be accepted, and the one more that it takes beyond the backlog.
+     * Fills the accept queue: opens as many connections as the backlog, and the one more that the system accepts
+     * beyond it.
      */
-    private void fill() {
+    private void fillAcceptQueue() {
         for (int i = 0; i <= BACKLOG; i++) {
             Channel filler = new Bootstrap()
                     .group(loop)
@@ -235,28 +238,28 @@
         }
     }
 
-    private void unfill() {
+    private void emptyAcceptQueue() {
         List.copyOf(fillers).forEach(Channel::close);
         fillers.clear();
     }
 
     private double now() {
-        return clock.getAsLong() / NANOS_IN_MS;
+        return clock.getAsLong() / NANOS_PER_MS;
     }
 
-    /** One connection through the link. */
-    private final class Passage {
+    /** One connection through the link: the accepted socket and the one to the target. */
+    private final class RelayedConnection {
         private final DuplexChannel near;
         private DuplexChannel far;
         private Direction onwards;
         private Direction backwards;
 
-        Passage(DuplexChannel near) {
+        RelayedConnection(DuplexChannel near) {
             this.near = near;
         }
 
         void open() {
-            passages.add(this);
+            connections.add(this);
             new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
@@ -273,8 +276,8 @@
                         }
                         far = (DuplexChannel) up.channel();
                         onwards = new Direction(
-                                this, near, far, there, new RequestIds(id -> watch.request(from, to, id)));
-                        backwards = new Direction(this, far, near, back, null);
+                                this, near, far, onwardsModel, new RequestIds(id -> watch.onRequest(from, to, id)));
+                        backwards = new Direction(this, far, near, backwardsModel, null);
                         near.pipeline().addLast(onwards);
                         far.pipeline().addLast(backwards);
                         near.config().setAutoRead(true);
@@ -282,67 +285,72 @@
                     });
         }
 
-        void conductChanged() {
+        void onConditionsChanged() {
             if (onwards != null) {
-                onwards.pump();
-                backwards.pump();
+                onwards.forwardDue();
+                backwards.forwardDue();
             }
         }
 
         void reset() {
-            passages.remove(this);
-            resetOne(near);
+            connections.remove(this);
+            resetChannel(near);
             if (far != null) {
-                resetOne(far);
-                onwards.drop();
-                backwards.drop();
+                resetChannel(far);
+                onwards.releaseParts();
+                backwards.releaseParts();
             }
         }
 
-        /** Sockets whose two directions have ended are of no more use. */
-        void bothOver() {
-            if (onwards.over && backwards.over) {
+        /** Closes both sockets once both directions have ended. */
+        void closeIfBothEnded() {
+            if (onwards.endForwarded && backwards.endForwarded) {
                 near.close();
                 far.close();
             }
         }
 
-        void ended() {
+        void onChannelClosed() {
             if (!near.isOpen() && !far.isOpen()) {
-                passages.remove(this);
-                onwards.drop();
-                backwards.drop();
+                connections.remove(this);
+                onwards.releaseParts();
+                backwards.releaseParts();
             }
         }
     }
 
-    private static void resetOne(Channel channel) {
+    private static void resetChannel(Channel channel) {
         if (channel.isOpen()) {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
             channel.close();
         }
     }
 
-    /** What is under way: bytes, or an end. */
-    private record Part(double at, ByteBuf bytes, boolean isReset) {}
+    /** Data in transit: bytes, or the end of the stream (bytes is null), orderly or by a reset. */
+    private record Part(double dueMs, ByteBuf bytes, boolean isReset) {}
 
-    /** One direction of a connection: reads at one end, and writes at the other in its time. */
+    /** One direction of a connection: reads from the source and writes to the sink when the model says so. */
     private final class Direction extends ChannelDuplexHandler {
-        private final Passage passage;
+        private final RelayedConnection connection;
         private final DuplexChannel source;
         private final DuplexChannel sink;
         private final LinkModel model;
         private final RequestIds ids;
         private final Deque<Part> parts = new ArrayDeque<>();
-        private int waiting;
+        private int bufferedBytes;
         private boolean ended;
-        /** Its end has been passed on. */
-        private boolean over;
-
-        private double wakeAt = Double.POSITIVE_INFINITY;
-
-        Direction(Passage passage, DuplexChannel source, DuplexChannel sink, LinkModel model, RequestIds ids) {
-            this.passage = passage;
+        /** Whether the end of the stream has been forwarded. */
+        private boolean endForwarded;
+
+        private double wakeAtMs = Double.POSITIVE_INFINITY;
+
+        Direction(
+                RelayedConnection connection,
+                DuplexChannel source,
+                DuplexChannel sink,
+                LinkModel model,
+                RequestIds ids) {
+            this.connection = connection;
             this.source = source;
             this.sink = sink;
             this.model = model;
@@ -355,69 +363,69 @@
             if (ids != null) {
                 ids.read(bytes);
             }
-            boolean half = model.streamHalf();
+            boolean half = model.truncatesWrite();
             ByteBuf sent = half ? bytes.readRetainedSlice(bytes.readableBytes() / 2) : bytes.retain();
-            if (model.streamTwice()) {
+            if (model.duplicatesWrite()) {
                 add(Unpooled.copiedBuffer(sent));
             }
             add(sent);
             bytes.release();
             if (half) {
-                parts.add(new Part(model.stream(now(), 0), null, true));
+                parts.add(new Part(model.streamArrivalMs(now(), 0), null, true));
             }
-            pump();
-            mindSource();
+            forwardDue();
+            updateAutoRead();
         }
 
         private void add(ByteBuf bytes) {
-            waiting += bytes.readableBytes();
-            parts.add(new Part(model.stream(now(), bytes.readableBytes()), bytes, false));
+            bufferedBytes += bytes.readableBytes();
+            parts.add(new Part(model.streamArrivalMs(now(), bytes.readableBytes()), bytes, false));
         }
 
-        private void mindSource() {
-            source.config().setAutoRead(waiting < MOST_WAITING && sink.isWritable());
+        private void updateAutoRead() {
+            source.config().setAutoRead(bufferedBytes < MAX_BUFFERED_BYTES && sink.isWritable());
         }
 
-        /** Passes on what is due, if anything is to be passed on. */
-        void pump() {
-            if (model.conduct().silent()) {
+        /** Forwards all parts that are due, unless the link is silent. */
+        void forwardDue() {
+            if (model.conditions().silent()) {
                 return;
             }
             double now = now();
             boolean wrote = false;
-            while (!parts.isEmpty() && parts.peek().at() <= now) {
+            while (!parts.isEmpty() && parts.peek().dueMs() <= now) {
                 Part part = parts.poll();
                 if (part.bytes() != null) {
-                    waiting -= part.bytes().readableBytes();
+                    bufferedBytes -= part.bytes().readableBytes();
                     sink.write(part.bytes());
                     wrote = true;
                 } else if (part.isReset()) {
-                    passage.reset();
+                    connection.reset();
                     return;
                 } else {
                     sink.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(written -> {
                         sink.shutdownOutput();
-                        over = true;
-                        passage.bothOver();
+                        endForwarded = true;
+                        connection.closeIfBothEnded();
                     });
                 }
             }
             if (wrote) {
                 sink.flush();
             }
-            mindSource();
-            if (!parts.isEmpty() && parts.peek().at() < wakeAt) {
-                double due = parts.peek().at();
-                wakeAt = due;
+            updateAutoRead();
+            if (!parts.isEmpty() && parts.peek().dueMs() < wakeAtMs) {
+                double dueMs = parts.peek().dueMs();
+                wakeAtMs = dueMs;
                 loop.schedule(
                         () -> {
-                            wakeAt = Double.POSITIVE_INFINITY;
-                            if (!model.conduct().silent()) {
-                                watch.late(now() - due);
+                            wakeAtMs = Double.POSITIVE_INFINITY;
+                            if (!model.conditions().silent()) {
+                                watch.onLate(now() - dueMs);
                             }
-                            pump();
+                            forwardDue();
                         },
-                        (long) ((due - now) * NANOS_IN_MS),
+                        (long) ((dueMs - now) * NANOS_PER_MS),
                         TimeUnit.NANOSECONDS);
             }
         }
@@ -425,12 +433,12 @@
         private void end(boolean isReset) {
             if (!ended) {
                 ended = true;
-                parts.add(new Part(model.stream(now(), 0), null, isReset));
-                pump();
+                parts.add(new Part(model.streamArrivalMs(now(), 0), null, isReset));
+                forwardDue();
             }
         }
 
-        void drop() {
+        void releaseParts() {
             parts.forEach(part -> {
                 if (part.bytes() != null) {
                     part.bytes().release();
@@ -449,7 +457,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             end(false);
-            passage.ended();
+            connection.onChannelClosed();
         }
 
         @Override
@@ -460,8 +468,8 @@
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-            // The source's own writability is that of the other direction's sink.
-            (passage.onwards == this ? passage.backwards : passage.onwards).mindSource();
+            // This channel is the sink of the other direction, so its writability controls that direction's reads.
+            (connection.onwards == this ? connection.backwards : connection.onwards).updateAutoRead();
         }
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/link/package-info.java
+++ b/fleet/src/main/java/martenlatch/fleet/link/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Links between processes, with a conduct of their own for each direction. {@link
- * martenlatch.fleet.link.LinkModel} decides what becomes of each message and has no I/O, so that relays on
- * sockets and a simulation share it; relays use Netty and nothing of the other rooms.
+ * Links between processes, with separate network conditions for each direction. {@link
+ * martenlatch.fleet.link.LinkModel} decides when each message arrives and does no I/O, so socket relays and the
+ * simulation share it. The relays depend on Netty and on no other package of this module.
  */
 package martenlatch.fleet.link;
--- a/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
@@ -27,8 +27,8 @@
 import martenlatch.fleet.launch.Reaper;
 import martenlatch.fleet.launch.SidecarProcess;
 import martenlatch.fleet.link.DatagramLinks;
-import martenlatch.fleet.link.LinkWatch;
-import martenlatch.fleet.link.Loopback;
+import martenlatch.fleet.link.LinkObserver;
+import martenlatch.fleet.link.LoopbackAddresses;
 import martenlatch.fleet.link.StreamLink;
 import martenlatch.fleet.scenario.Fault;
 import martenlatch.fleet.scenario.LinkFaults;
@@ -86,8 +86,9 @@
     private final Front front;
     private final ScheduledExecutorService clockwork;
     private final Set<Fault> active = new HashSet<>();
-    private final LinkFaults onLinks = new LinkFaults();
-    private final Loopback addresses = new Loopback(ProcessHandle.current().pid());
+    private final LinkFaults linkFaults = new LinkFaults();
+    private final LoopbackAddresses addresses =
+            new LoopbackAddresses(ProcessHandle.current().pid());
     private final Map<String, InetSocketAddress> views = new HashMap<>();
     /** Each sidecar's list when it was first started, as its configuration has it. */
     private final Map<String, String> firstLists = new HashMap<>();
@@ -150,14 +151,14 @@
     }
 
     /** Of links whose requests are in the history already, or are none. */
-    private final LinkWatch late = new LinkWatch() {
+    private final LinkObserver late = new LinkObserver() {
         @Override
-        public void request(String from, String to, String id) {
+        public void onRequest(String from, String to, String id) {
             return;
         }
 
         @Override
-        public void late(double ms) {
+        public void onLate(double ms) {
             if (ms > LATE_MS) {
                 history.tell(What.RIG, "link", "", "", String.valueOf(ms));
             }
@@ -183,15 +184,15 @@
     };
 
     private void build() throws IOException {
-        LinkWatch watch = new LinkWatch() {
+        LinkObserver watch = new LinkObserver() {
             @Override
-            public void request(String from, String to, String id) {
+            public void onRequest(String from, String to, String id) {
                 history.tell(What.SENT, from, to, id, "");
             }
 
             @Override
-            public void late(double ms) {
-                late.late(ms);
+            public void onLate(double ms) {
+                late.onLate(ms);
             }
         };
         world.discovery().queue(scenario.discovery().queue());
@@ -223,7 +224,7 @@
                     .listen(addresses.next());
             links.put(name + " discovery", discovery);
             InetSocketAddress home = new InetSocketAddress(addresses.next().getAddress(), PEER_PORT);
-            peers.home(i, home);
+            peers.setAddress(i, home);
             int number = i;
             sidecars.add(new SidecarProcess(
                     name, addresses.next(), listen -> config(number, listen, home), reaper, new Processes()));
@@ -277,7 +278,7 @@
                 number,
                 listen,
                 links.get(name + " discovery").address(),
-                new SidecarConfig.Peers(home, peers.seenBy(number), peers.all(number)),
+                new SidecarConfig.Peers(home, peers.peerAddresses(number), peers.broadcastAddress(number)),
                 knownList(name));
     }
 
@@ -427,7 +428,7 @@
 
     private void begin(Fault fault) throws IOException {
         active.add(fault);
-        onLinks.begin(fault);
+        linkFaults.begin(fault);
         history.tell(
                 What.FAULT_BEGINS, String.valueOf(fault.number()), String.join(" ", fault.who()), "", fault.toString());
         LOG.info("fault {} begins: {}", fault.number(), fault);
@@ -452,7 +453,7 @@
 
     private void end(Fault fault) throws IOException {
         active.remove(fault);
-        onLinks.end(fault);
+        linkFaults.end(fault);
         switch (fault.what().aim()) {
             case SIDECARS -> {
                 for (String name : fault.who()) {
@@ -514,7 +515,8 @@
                 SidecarProcess twin = new SidecarProcess(
                         one.name() + "-twin",
                         one.listen(),
-                        listen -> config(number, listen, peers.seenBy(number).get(number)),
+                        listen -> config(
+                                number, listen, peers.peerAddresses(number).get(number)),
                         reaper,
                         new Processes());
                 twins.add(twin);
@@ -563,7 +565,7 @@
                         late,
                         System::nanoTime)
                 .listen(addresses.next());
-        next.conduct(onLinks.conduct(name, "discovery", true), onLinks.conduct(name, "discovery", false));
+        next.setConditions(linkFaults.conduct(name, "discovery", true), linkFaults.conduct(name, "discovery", false));
         links.put(name + " discovery", next);
         retired.add(before);
         clockwork.schedule(before::close, MOVED_MS, TimeUnit.MILLISECONDS);
@@ -675,12 +677,12 @@
         for (String from : changed.who()) {
             for (String to : changed.to()) {
                 if (Fault.isSidecar(from) && Fault.isSidecar(to)) {
-                    peers.conduct(number(from), number(to), onLinks.conduct(from, to, true));
-                    peers.conduct(number(to), number(from), onLinks.conduct(from, to, false));
+                    peers.setConditions(number(from), number(to), linkFaults.conduct(from, to, true));
+                    peers.setConditions(number(to), number(from), linkFaults.conduct(from, to, false));
                     continue;
                 }
                 StreamLink link = from.equals("clients") ? clientLinks.get(number(to)) : links.get(from + " " + to);
-                link.conduct(onLinks.conduct(from, to, true), onLinks.conduct(from, to, false));
+                link.setConditions(linkFaults.conduct(from, to, true), linkFaults.conduct(from, to, false));
                 if (broken) {
                     link.reset();
                 }
--- a/fleet/src/main/java/martenlatch/fleet/rig/RelayCost.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/RelayCost.java
@@ -8,8 +8,8 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import martenlatch.fleet.link.LinkWatch;
-import martenlatch.fleet.link.Loopback;
+import martenlatch.fleet.link.LinkObserver;
+import martenlatch.fleet.link.LoopbackAddresses;
 import martenlatch.fleet.link.StreamLink;
 import martenlatch.load.Arrivals;
 import martenlatch.load.Kind;
@@ -46,19 +46,19 @@
                             "s0",
                             direct,
                             1,
-                            new LinkWatch() {
+                            new LinkObserver() {
                                 @Override
-                                public void request(String from, String to, String id) {
+                                public void onRequest(String from, String to, String id) {
                                     return;
                                 }
 
                                 @Override
-                                public void late(double ms) {
+                                public void onLate(double ms) {
                                     return;
                                 }
                             },
                             System::nanoTime)
-                    .listen(new Loopback(ProcessHandle.current().pid()).next());
+                    .listen(new LoopbackAddresses(ProcessHandle.current().pid()).next());
             return List.of(load(direct, rate, seconds), load(link.address(), rate, seconds));
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
--- a/fleet/src/main/java/martenlatch/fleet/scenario/LinkFaults.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/LinkFaults.java
@@ -29,7 +29,8 @@
         LinkConditions all = LinkConditions.CLEAR;
         for (One one : active) {
             if (one.from().contains(from) && one.to().contains(to)) {
-                all = all.combinedWith(onwards ? one.fault().onwards() : one.fault().backwards());
+                all = all.combinedWith(
+                        onwards ? one.fault().onwards() : one.fault().backwards());
             }
         }
         return all;
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimDiscovery.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimDiscovery.java
@@ -12,27 +12,27 @@
 import martenlatch.world.CallQueue;
 import martenlatch.world.Discovery.Manner;
 
-/** Discovery in simulated time: the whole list, and watches that wait for what is newer. */
+/** Models discovery in simulated time: serves the full endpoint list and long polls that wait for a newer version. */
 final class SimDiscovery {
 
-    /** Hears the answer to one call. */
+    /** Receives the response to one call. */
     interface Caller {
-        void answered(EndpointList list);
+        void onList(EndpointList list);
 
-        void refused();
+        void onRejected();
     }
 
     private record Entry(Endpoint server, long version) {}
 
     private record Watch(Connection connection, long index, Caller caller) {}
 
-    /** A viewer's connection; what is polled on it is not answered once it has ended. */
+    /** A sidecar's connection to discovery. Polls on it are not answered once it has ended. */
     static final class Connection {
-        private final String viewer;
+        private final String sidecar;
         private boolean ended;
 
-        Connection(String viewer) {
-            this.viewer = viewer;
+        Connection(String sidecar) {
+            this.sidecar = sidecar;
         }
     }
 
@@ -52,21 +52,21 @@
 
     void put(Endpoint server) {
         entries.put(server.id(), new Entry(server, ++version));
-        history.tell(What.CHANGED, "discovery", server.id(), "", word(server.status()));
-        tell();
+        history.tell(What.CHANGED, "discovery", server.id(), "", stateName(server.status()));
+        notifyWatches();
     }
 
-    void manner(Manner next) {
+    void setManner(Manner next) {
         manner = next;
-        tell();
+        notifyWatches();
     }
 
-    /** The whole list, for a start. */
+    /** Returns the full list, for a sidecar that starts. */
     EndpointList list() {
         return list(-1);
     }
 
-    private void tell() {
+    private void notifyWatches() {
         for (Watch watch : List.copyOf(watches)) {
             if (version > watch.index() || manner != Manner.GOOD) {
                 watches.remove(watch);
@@ -75,28 +75,35 @@
         }
     }
 
-    /** A call comes, and is heard in its turn; the turn of a caller that is gone passes without an answer. */
-    void ask(Connection connection, long index, long waitMs, Caller caller) {
+    /**
+     * Enqueues a call, which is handled in its turn. The turn of a caller whose connection has ended still takes
+     * its time, but produces no response.
+     */
+    void poll(Connection connection, long index, long waitMs, Caller caller) {
         CallQueue.Turn turn = queue.come(time.elapsed());
         if (turn.atMs() <= time.elapsed()) {
-            hear(connection, index, waitMs, caller, turn.refused());
+            handleCall(connection, index, waitMs, caller, turn.refused());
         } else {
-            time.after(turn.atMs() - time.elapsed(), () -> hear(connection, index, waitMs, caller, turn.refused()));
+            time.after(
+                    turn.atMs() - time.elapsed(), () -> handleCall(connection, index, waitMs, caller, turn.refused()));
         }
     }
 
-    /** Where there is nothing newer than {@code index} the call waits, and is told so at its wait's end. */
-    private void hear(Connection connection, long index, long waitMs, Caller caller, boolean refused) {
+    /**
+     * Handles a call whose turn has come. If no entry is newer than {@code index}, the call waits for up to
+     * {@code waitMs} and is then answered with an empty list.
+     */
+    private void handleCall(Connection connection, long index, long waitMs, Caller caller, boolean refused) {
         if (connection.ended) {
             return;
         }
-        history.tell(What.LIST_CALL, connection.viewer, "discovery", "", refused ? "refused" : "answered");
+        history.tell(What.LIST_CALL, connection.sidecar, "discovery", "", refused ? "refused" : "answered");
         if (refused) {
-            caller.refused();
+            caller.onRejected();
             return;
         }
         if (index >= version || (index >= 0 && manner == Manner.SILENT)) {
-            history.tell(What.LONG_POLL, connection.viewer, "discovery", "", String.valueOf(waitMs));
+            history.tell(What.LONG_POLL, connection.sidecar, "discovery", "", String.valueOf(waitMs));
         }
         Watch watch = new Watch(connection, index, caller);
         if (index < version || manner != Manner.GOOD) {
@@ -111,7 +118,7 @@
         }
     }
 
-    /** A connection has ended. */
+    /** Marks a connection as ended and drops its open polls. */
     void end(Connection connection) {
         connection.ended = true;
         watches.removeIf(watch -> watch.connection() == connection);
@@ -120,23 +127,23 @@
     private void answer(Watch watch) {
         switch (manner) {
             case SILENT -> {}
-            case DOWN, WRONG -> watch.caller().refused();
+            case DOWN, WRONG -> watch.caller().onRejected();
             default -> {
                 EndpointList list = list(watch.index());
                 for (EndpointList.Entry entry : list.entries()) {
                     history.tell(
                             What.TOLD,
-                            watch.connection().viewer,
+                            watch.connection().sidecar,
                             entry.endpoint().id(),
                             "",
-                            word(entry.endpoint().status()));
+                            stateName(entry.endpoint().status()));
                 }
-                watch.caller().answered(list);
+                watch.caller().onList(list);
             }
         }
     }
 
-    private static String word(EndpointStatus state) {
+    private static String stateName(EndpointStatus state) {
         return switch (state) {
             case READY -> "in_service";
             case DRAINING -> "terminating";
@@ -146,10 +153,10 @@
 
     private EndpointList list(long since) {
         boolean full = since < 0;
-        List<EndpointList.Entry> told = entries.values().stream()
+        List<EndpointList.Entry> entriesSince = entries.values().stream()
                 .filter(one -> one.version() > since && !(full && one.server().status() == EndpointStatus.GONE))
                 .map(one -> new EndpointList.Entry(one.server(), null))
                 .toList();
-        return new EndpointList(version, full, told);
+        return new EndpointList(version, full, entriesSince);
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimEndpoint.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimEndpoint.java
@@ -9,14 +9,14 @@
 import martenlatch.world.WorldSettings;
 
 /**
- * An endpoint in simulated time, as {@link martenlatch.world.Endpoint} is on sockets: slots, a queue, cold
- * at first.
+ * Models an endpoint in simulated time, as {@link martenlatch.world.Endpoint} does on sockets: a number of slots,
+ * a bounded queue, and slower service while cold after a start.
  */
 final class SimEndpoint {
 
-    private static final int SLOWNESS = 10;
+    private static final int SLOW_FACTOR = 10;
 
-    /** How a request ends there. */
+    /** How the endpoint ends a request. */
     enum Reply {
         OK,
         ERROR,
@@ -24,9 +24,9 @@
         RESET
     }
 
-    /** Hears of the end, if there is one. */
+    /** Called when the endpoint ends a request; never called if the endpoint does not respond. */
     interface Caller {
-        void ended(Reply reply);
+        void onEnded(Reply reply);
     }
 
     private final String id;
@@ -35,14 +35,14 @@
     private final History history;
     private final SplittableRandom random;
     private final Deque<Runnable> queue = new ArrayDeque<>();
-    private final Deque<Caller> open = new ArrayDeque<>();
+    private final Deque<Caller> openRequests = new ArrayDeque<>();
     private Trouble trouble = Trouble.NONE;
     private boolean alive = true;
     private boolean draining;
-    private double warmAt;
+    private double warmAtMs;
     private double startedMs;
-    private int working;
-    private int life;
+    private int busySlots;
+    private int startCount;
 
     SimEndpoint(String id, VirtualTime time, WorldSettings settings, History history, long seed) {
         this.id = id;
@@ -64,7 +64,7 @@
         return startedMs;
     }
 
-    void trouble(Trouble next) {
+    void setTrouble(Trouble next) {
         trouble = next;
     }
 
@@ -74,12 +74,12 @@
 
     void die() {
         alive = false;
-        life++;
-        working = 0;
+        startCount++;
+        busySlots = 0;
         queue.clear();
-        Deque<Caller> broken = new ArrayDeque<>(open);
-        open.clear();
-        broken.forEach(caller -> caller.ended(Reply.RESET));
+        Deque<Caller> interrupted = new ArrayDeque<>(openRequests);
+        openRequests.clear();
+        interrupted.forEach(caller -> caller.onEnded(Reply.RESET));
     }
 
     void restart() {
@@ -90,43 +90,43 @@
         draining = false;
         trouble = Trouble.NONE;
         startedMs = time.now();
-        warmAt = time.elapsed() + settings.coldMs();
+        warmAtMs = time.elapsed() + settings.coldMs();
         history.tell(What.ENDPOINT_UP, id, "", "", String.valueOf(settings.coldMs()));
     }
 
-    /** A whole request has come; where the process is gone its connection is reset. */
+    /** Accepts a complete request; resets the connection if the process has died. */
     void receive(String request, Caller caller) {
         if (!alive) {
-            caller.ended(Reply.RESET);
+            caller.onEnded(Reply.RESET);
             return;
         }
         if (trouble == Trouble.DEAF) {
             return;
         }
-        if (draining || working >= settings.slots() && queue.size() >= settings.queue()) {
+        if (draining || busySlots >= settings.slots() && queue.size() >= settings.queue()) {
             history.tell(What.TURNED_AWAY, id, "", request, "");
-            caller.ended(Reply.NOT_RUN);
+            caller.onEnded(Reply.NOT_RUN);
             return;
         }
-        history.tell(What.RAN, id, "", request, time.elapsed() < warmAt ? "cold" : "");
-        open.add(caller);
-        if (working < settings.slots()) {
-            work(request, caller);
+        history.tell(What.RAN, id, "", request, time.elapsed() < warmAtMs ? "cold" : "");
+        openRequests.add(caller);
+        if (busySlots < settings.slots()) {
+            execute(request, caller);
         } else {
-            queue.add(() -> work(request, caller));
+            queue.add(() -> execute(request, caller));
         }
     }
 
-    private void work(String request, Caller caller) {
-        working++;
+    private void execute(String request, Caller caller) {
+        busySlots++;
         double ms = settings.service().draw(random)
-                * (trouble == Trouble.SLOW ? SLOWNESS : 1)
-                * (time.elapsed() < warmAt ? settings.coldFactor() : 1);
-        int begun = life;
+                * (trouble == Trouble.SLOW ? SLOW_FACTOR : 1)
+                * (time.elapsed() < warmAtMs ? settings.coldFactor() : 1);
+        int expectedStart = startCount;
         time.after(ms, () -> {
-            if (begun == life) {
-                working--;
-                open.remove(caller);
+            if (expectedStart == startCount) {
+                busySlots--;
+                openRequests.remove(caller);
                 reply(request, caller);
                 Runnable next = queue.poll();
                 if (next != null) {
@@ -139,11 +139,11 @@
     private void reply(String request, Caller caller) {
         switch (trouble) {
             case HANGS -> {}
-            case RESETS, HALF, GARBLES -> caller.ended(Reply.RESET);
-            case ERRORS -> caller.ended(Reply.ERROR);
+            case RESETS, HALF, GARBLES -> caller.onEnded(Reply.RESET);
+            case ERRORS -> caller.onEnded(Reply.ERROR);
             default -> {
                 history.tell(What.ANSWERED, id, "", request, "");
-                caller.ended(Reply.OK);
+                caller.onEnded(Reply.OK);
             }
         }
     }
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimLink.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimLink.java
@@ -6,14 +6,15 @@
 import martenlatch.fleet.link.LinkModel;
 
 /**
- * One direction of a link in simulated time: the model that relays have, and what waits while it is silent.
+ * One direction of a link in simulated time. Uses the same model as the socket relays, and holds back messages
+ * while the link is silent.
  */
 final class SimLink {
 
-    /** Within a data centre, one way. */
-    static final double BASE_MS = 0.2;
+    /** One-way latency within a data centre. */
+    static final double BASE_LATENCY_MS = 0.2;
 
-    private static final int BYTES = 400;
+    private static final int MESSAGE_BYTES = 400;
 
     private record Held(Runnable arrival) {}
 
@@ -27,30 +28,33 @@
     }
 
     boolean isSilent() {
-        return model.conduct().silent();
+        return model.conditions().silent();
     }
 
-    void conduct(LinkConditions next) {
-        model.conduct(next);
+    void setConditions(LinkConditions next) {
+        model.setConditions(next);
         while (!next.silent() && !held.isEmpty()) {
-            pass(held.poll().arrival());
+            schedule(held.poll().arrival());
         }
     }
 
-    /** A part of a stream: it arrives in its time, or twice; while the link is silent, when that is over. */
+    /**
+     * Sends one message on the stream. It arrives after the modelled delay, possibly twice; messages sent while
+     * the link is silent arrive once it no longer is.
+     */
     void send(Runnable arrival) {
-        if (model.conduct().silent()) {
+        if (model.conditions().silent()) {
             held.add(new Held(arrival));
             return;
         }
-        pass(arrival);
-        if (model.streamTwice()) {
-            pass(arrival);
+        schedule(arrival);
+        if (model.duplicatesWrite()) {
+            schedule(arrival);
         }
     }
 
-    private void pass(Runnable arrival) {
+    private void schedule(Runnable arrival) {
         double now = time.elapsed();
-        time.after(model.stream(now, BYTES) - now + BASE_MS, arrival);
+        time.after(model.streamArrivalMs(now, MESSAGE_BYTES) - now + BASE_LATENCY_MS, arrival);
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
@@ -38,31 +38,31 @@
 import martenlatch.world.Trouble;
 
 /**
- * One run of a scenario in simulated time: the same faults at the same times, and a history of the same
- * kind.
+ * Runs a scenario in simulated time, with the same faults at the same times as a run with real processes, and
+ * records a history of the same kind.
  */
 public final class SimRun {
 
-    private static final int MOST_EVENTS = 50_000_000;
-    /** From the start of a process until it serves: what one takes on half a core. */
-    private static final double START_MS = 1000;
+    private static final int MAX_EVENTS = 50_000_000;
+    /** Time from the start of a process until it serves; a real one takes this long on half a core. */
+    private static final double PROCESS_START_MS = 1000;
 
-    private static final double LEAVE_MS = 300;
-    private static final double CRAWL_MS = 100;
-    /** Clients give up so much later than they say, as in runs with real processes. */
-    private static final double GRACE_MS = 250;
+    private static final double ROUTED_AFTER_SIGTERM_MS = 300;
+    private static final double CRAWL_PERIOD_MS = 100;
+    /** Clients give up this much after their stated deadline, as in runs with real processes. */
+    private static final double CLIENT_GRACE_MS = 250;
 
-    private static final double BACK_OFF_MS = 100;
-    private static final int MOST_DOUBLINGS = 10;
+    private static final double RETRY_BACKOFF_MS = 100;
+    private static final int MAX_BACKOFF_DOUBLINGS = 10;
     private static final double CONNECT_TIMEOUT_MS = 150;
-    private static final double MOST_COOL_DOWN_MS = 2000;
-    private static final double KEY_WINDOW_MS = 10_000;
-    private static final double END_MS = 10_000;
-    private static final int TRIES = 3;
+    private static final double MAX_COOL_DOWN_MS = 2000;
+    private static final double DEDUPLICATION_WINDOW_MS = 10_000;
+    private static final double AFTER_LOAD_MS = 10_000;
+    private static final int MAX_ATTEMPTS = 3;
 
     private final Scenario scenario;
     private final VirtualTime time = new VirtualTime();
-    private final History history = new History(time::nanos, MOST_EVENTS);
+    private final History history = new History(time::nanos, MAX_EVENTS);
     private final SimDiscovery discovery;
     private final List<SimEndpoint> endpoints = new ArrayList<>();
     private final List<SimSidecar> sidecars = new ArrayList<>();
@@ -70,11 +70,11 @@
     private final SimLink[] fromSidecars;
     private final Front front;
     private final Set<Fault> active = new LinkedHashSet<>();
-    private final LinkFaults onLinks = new LinkFaults();
+    private final LinkFaults linkFaults = new LinkFaults();
     private final Map<String, Integer> classes = new HashMap<>();
-    private long ran;
+    private long tasksRun;
 
-    /** A run that has not begun. */
+    /** Creates a run that has not begun. */
     public SimRun(Scenario scenario) {
         this.scenario = scenario;
         discovery = new SimDiscovery(history, time, scenario.discovery().queue());
@@ -83,7 +83,7 @@
             endpoints.add(new SimEndpoint(
                     Group.ENDPOINT.name(i), time, scenario.world(), history, scenario.seedFor("endpoint " + i)));
             history.tell(What.ENDPOINT_UP, Group.ENDPOINT.name(i), "", "", "0.0");
-            list(i, EndpointStatus.READY);
+            publish(i, EndpointStatus.READY);
         }
         toSidecars = new SimLink[sizes.sidecars()];
         fromSidecars = new SimLink[sizes.sidecars()];
@@ -101,7 +101,8 @@
                     history,
                     discovery,
                     id -> endpoints.get(number(id)),
-                    id -> new SimSidecar.Conducts(onLinks.conduct(name, id, true), onLinks.conduct(name, id, false)),
+                    id -> new SimSidecar.LinkPair(
+                            linkFaults.conduct(name, id, true), linkFaults.conduct(name, id, false)),
                     settings(i),
                     scenario.discovery().known(),
                     scenario.seedFor("sidecar " + i)));
@@ -112,13 +113,13 @@
         return Integer.parseInt(name.substring(1));
     }
 
-    private void list(int number, EndpointStatus state) {
+    private void publish(int number, EndpointStatus state) {
         SimEndpoint one = endpoints.get(number);
         discovery.put(
                 new Endpoint(one.id(), number % scenario.sizes().zones().size(), 0, 0, one.startedMs(), state, 1));
     }
 
-    /** What a sidecar would be told; the same figures as {@code rig.SidecarConfig} gives real ones. */
+    /** Returns a sidecar's settings, with the same values that {@code rig.SidecarConfig} gives to real processes. */
     private BalancerSettings settings(int number) {
         List<RequestClass> kinds = scenario.load().classes().stream()
                 .map(one -> new RequestClass(
@@ -129,7 +130,7 @@
                         0,
                         idempotency(one.kind().effect()),
                         DeduplicationScope.ALL,
-                        KEY_WINDOW_MS,
+                        DEDUPLICATION_WINDOW_MS,
                         false))
                 .toList();
         return new BalancerSettings(
@@ -143,7 +144,7 @@
                 0,
                 kinds,
                 List.of(),
-                new AttemptLimits(TRIES, true, true, MOST_COOL_DOWN_MS, CONNECT_TIMEOUT_MS),
+                new AttemptLimits(MAX_ATTEMPTS, true, true, MAX_COOL_DOWN_MS, CONNECT_TIMEOUT_MS),
                 new EndpointRules(
                         1 / scenario.world().coldFactor(),
                         scenario.world().coldMs(),
@@ -161,7 +162,7 @@
         };
     }
 
-    /** Plays the scenario to its end; {@code live} hears of each second that is over. */
+    /** Plays the scenario to its end; {@code live} receives the elapsed milliseconds after each simulated second. */
     public History play(DoubleConsumer live) {
         for (int i = 0; i < sidecars.size(); i++) {
             String name = Group.SIDECAR.name(i);
@@ -190,21 +191,21 @@
                 scenario.seedFor("kinds"));
         arrive(arrivals);
         for (double at = 1000; at <= scenario.seconds() * 1000; at += 1000) {
-            ran += time.runUntil(at);
+            tasksRun += time.runUntil(at);
             live.accept(at);
         }
-        ran += time.runUntil(scenario.seconds() * 1000 + END_MS);
+        tasksRun += time.runUntil(scenario.seconds() * 1000 + AFTER_LOAD_MS);
         return history;
     }
 
-    /** Tasks that have run so far. */
+    /** Returns how many tasks have run so far. */
     public long tasksRun() {
-        return ran;
+        return tasksRun;
     }
 
-    /** Requests that sidecars still hold; none when a run is over. */
-    public int open() {
-        return sidecars.stream().mapToInt(SimSidecar::open).sum();
+    /** Returns how many requests sidecars still hold; 0 after a complete run. */
+    public int openRequests() {
+        return sidecars.stream().mapToInt(SimSidecar::pendingRequests).sum();
     }
 
     // ---- clients ----
@@ -214,7 +215,7 @@
             Wish next = arrivals.next();
             if (next != null) {
                 time.after(next.intendedNanos() / 1e6 - time.elapsed(), () -> {
-                    new Wanted(next).attempt();
+                    new ClientOperation(next).attempt();
                     arrive(arrivals);
                 });
             }
@@ -223,19 +224,19 @@
         }
     }
 
-    /** What a client wants, until it has it or gives up; its tries are requests of their own. */
-    private final class Wanted {
+    /** One operation of a client, until it is served or the client gives up. Each attempt is a request of its own. */
+    private final class ClientOperation {
         private final Wish wish;
-        private int tries;
+        private int attempts;
 
-        Wanted(Wish wish) {
+        ClientOperation(Wish wish) {
             this.wish = wish;
         }
 
         void attempt() {
-            tries++;
-            String id = "w" + wish.number() + "-" + tries;
-            int to = front.pick(time.elapsed(), number -> sidecars.get(number).takes());
+            attempts++;
+            String id = "w" + wish.number() + "-" + attempts;
+            int to = front.pick(time.elapsed(), number -> sidecars.get(number).acceptsRequests());
             SimSidecar sidecar = sidecars.get(to);
             history.tell(
                     What.ASKED,
@@ -243,13 +244,13 @@
                     Group.SIDECAR.name(to),
                     id,
                     wish.kind().name() + " " + wish.kind().effect() + " " + wish.deadlineMs());
-            One one = new One(id, Group.SIDECAR.name(to));
-            if (!sidecar.takes()) {
-                time.after(2 * SimLink.BASE_MS, () -> one.end("FAILED no connect", Double.NaN));
+            ClientAttempt one = new ClientAttempt(id, Group.SIDECAR.name(to));
+            if (!sidecar.acceptsRequests()) {
+                time.after(2 * SimLink.BASE_LATENCY_MS, () -> one.end("FAILED no connect", Double.NaN));
                 return;
             }
             double deadline = time.now() + wish.deadlineMs();
-            time.after(wish.deadlineMs() + GRACE_MS, () -> {
+            time.after(wish.deadlineMs() + CLIENT_GRACE_MS, () -> {
                 if (one.end("TIMED_OUT", Double.NaN)) {
                     toSidecars[to].send(() -> sidecar.clientGone(id));
                 }
@@ -260,25 +261,25 @@
                     return;
                 }
                 sidecar.request(
-                        new Request(id, classes.get(wish.kind().name()), 0, deadline, tries > 1),
-                        new Answers(one, fromSidecars[to]));
+                        new Request(id, classes.get(wish.kind().name()), 0, deadline, attempts > 1),
+                        new ResponseRelay(one, fromSidecars[to]));
             });
-            awaitDeath(sidecar, one);
+            failWhenProcessEnds(sidecar, one);
         }
 
-        /** A client sees at once that the process it waits for is gone. */
-        private void awaitDeath(SimSidecar sidecar, One one) {
-            deaths.computeIfAbsent(sidecar, s -> new LinkedHashSet<>()).add(one);
-            one.over = () -> deaths.get(sidecar).remove(one);
+        /** Registers the attempt so that it fails as soon as the sidecar's process ends. */
+        private void failWhenProcessEnds(SimSidecar sidecar, ClientAttempt one) {
+            openAttempts.computeIfAbsent(sidecar, s -> new LinkedHashSet<>()).add(one);
+            one.over = () -> openAttempts.get(sidecar).remove(one);
         }
 
-        private final class One {
+        private final class ClientAttempt {
             private final String id;
             private final String sidecar;
             private boolean ended;
             private Runnable over = () -> {};
 
-            One(String id, String sidecar) {
+            ClientAttempt(String id, String sidecar) {
                 this.id = id;
                 this.sidecar = sidecar;
             }
@@ -295,22 +296,22 @@
                         || wish.kind().effect() != Kind.Effect.UNSAFE;
                 if (!how.startsWith("SERVED")
                         && harmless
-                        && tries <= wish.kind().retries()) {
+                        && attempts <= wish.kind().retries()) {
                     time.after(
                             Double.isNaN(coolDownMs)
-                                    ? BACK_OFF_MS * (1 << Math.min(MOST_DOUBLINGS, tries - 1))
+                                    ? RETRY_BACKOFF_MS * (1 << Math.min(MAX_BACKOFF_DOUBLINGS, attempts - 1))
                                     : coolDownMs,
-                            Wanted.this::attempt);
+                            ClientOperation.this::attempt);
                 }
                 return true;
             }
         }
     }
 
-    /** Who waits for a sidecar, in the order of asking: a run must repeat. */
-    private final Map<SimSidecar, Set<Wanted.One>> deaths = new HashMap<>();
+    /** Open client attempts by sidecar, in the order they were sent, so that a run is reproducible. */
+    private final Map<SimSidecar, Set<ClientOperation.ClientAttempt>> openAttempts = new HashMap<>();
 
-    private record Answers(Wanted.One one, SimLink back) implements ResponseListener {
+    private record ResponseRelay(ClientOperation.ClientAttempt one, SimLink back) implements ResponseListener {
         @Override
         public void onServed(EndpointResponse answer) {
             back.send(() -> one.end("SERVED", Double.NaN));
@@ -336,31 +337,31 @@
 
     private void begin(Fault fault) {
         active.add(fault);
-        onLinks.begin(fault);
+        linkFaults.begin(fault);
         history.tell(
                 What.FAULT_BEGINS, String.valueOf(fault.number()), String.join(" ", fault.who()), "", fault.toString());
         switch (fault.what().aim()) {
             case SIDECARS -> fault.who().forEach(name -> begin(fault, number(name)));
-            case ENDPOINTS -> fault.who().forEach(name -> endpoint(fault, number(name), true));
+            case ENDPOINTS -> fault.who().forEach(name -> applyEndpointFault(fault, number(name), true));
             case DISCOVERY ->
-                discovery.manner(
+                discovery.setManner(
                         switch (fault.what()) {
                             case SILENT -> Manner.SILENT;
                             case DOWN -> Manner.DOWN;
                             default -> Manner.WRONG;
                         });
-            default -> links(fault);
+            default -> applyLinkFault(fault);
         }
     }
 
     private void end(Fault fault) {
         active.remove(fault);
-        onLinks.end(fault);
+        linkFaults.end(fault);
         switch (fault.what().aim()) {
             case SIDECARS -> fault.who().forEach(name -> end(fault, number(name)));
-            case ENDPOINTS -> fault.who().forEach(name -> endpoint(fault, number(name), false));
-            case DISCOVERY -> discovery.manner(Manner.GOOD);
-            default -> links(fault);
+            case ENDPOINTS -> fault.who().forEach(name -> applyEndpointFault(fault, number(name), false));
+            case DISCOVERY -> discovery.setManner(Manner.GOOD);
+            default -> applyLinkFault(fault);
         }
         history.tell(
                 What.FAULT_ENDS, String.valueOf(fault.number()), String.join(" ", fault.who()), "", fault.toString());
@@ -377,13 +378,13 @@
             case CRAWL -> crawl(fault, one);
             case KILL -> {
                 one.kill();
-                gone(one);
+                failOpenAttempts(one);
                 front.believe(number, Front.State.DOWN, notice);
             }
             case TERM, RESTART -> {
-                front.believe(number, Front.State.LEAVING, time.elapsed() + LEAVE_MS);
-                one.leave(() -> {
-                    gone(one);
+                front.believe(number, Front.State.LEAVING, time.elapsed() + ROUTED_AFTER_SIGTERM_MS);
+                one.terminate(() -> {
+                    failOpenAttempts(one);
                     front.believe(number, Front.State.DOWN, time.elapsed());
                     if (fault.what() == Fault.What.RESTART) {
                         start(number);
@@ -392,16 +393,16 @@
             }
             case RELOAD -> {
                 if (fault.moves()) {
-                    one.moved();
+                    one.moveDiscovery();
                 }
             }
-            // A second process at one name changes nothing here.
+            // TWIN (a second process under the same name) has no effect in the simulation.
             default -> {}
         }
     }
 
-    private void gone(SimSidecar one) {
-        for (Wanted.One waits : List.copyOf(deaths.getOrDefault(one, Set.of()))) {
+    private void failOpenAttempts(SimSidecar one) {
+        for (ClientOperation.ClientAttempt waits : List.copyOf(openAttempts.getOrDefault(one, Set.of()))) {
             waits.end("FAILED reset", Double.NaN);
         }
     }
@@ -409,9 +410,9 @@
     private void crawl(Fault fault, SimSidecar one) {
         if (active.contains(fault) && one.isAlive()) {
             one.pause();
-            time.after(CRAWL_MS * (1 - fault.share()), () -> {
+            time.after(CRAWL_PERIOD_MS * (1 - fault.share()), () -> {
                 one.resume();
-                time.after(CRAWL_MS * fault.share(), () -> crawl(fault, one));
+                time.after(CRAWL_PERIOD_MS * fault.share(), () -> crawl(fault, one));
             });
         }
     }
@@ -428,10 +429,10 @@
         }
     }
 
-    /** As soon as the process before is gone. */
+    /** Starts the next process after the start time; tries again later while the previous one is still alive. */
     private void start(int number) {
         SimSidecar one = sidecars.get(number);
-        time.after(START_MS, () -> {
+        time.after(PROCESS_START_MS, () -> {
             if (one.isAlive()) {
                 start(number);
             } else {
@@ -440,10 +441,10 @@
         });
     }
 
-    private void endpoint(Fault fault, int number, boolean begins) {
+    private void applyEndpointFault(Fault fault, int number, boolean begins) {
         SimEndpoint one = endpoints.get(number);
         if (fault.what() != Fault.What.DIE && fault.what() != Fault.What.DRAIN) {
-            one.trouble(
+            one.setTrouble(
                     !begins
                             ? Trouble.NONE
                             : switch (fault.what()) {
@@ -456,39 +457,39 @@
                             });
         } else if (!begins) {
             one.restart();
-            broken(one);
-            list(number, EndpointStatus.READY);
+            closeIdleConnections(one);
+            publish(number, EndpointStatus.READY);
         } else if (fault.what() == Fault.What.DIE) {
             one.die();
-            broken(one);
+            closeIdleConnections(one);
         } else {
             one.drain();
-            list(number, EndpointStatus.DRAINING);
+            publish(number, EndpointStatus.DRAINING);
         }
     }
 
-    private void broken(SimEndpoint endpoint) {
-        sidecars.forEach(sidecar -> sidecar.broken(endpoint.id()));
+    private void closeIdleConnections(SimEndpoint endpoint) {
+        sidecars.forEach(sidecar -> sidecar.closeIdleConnections(endpoint.id()));
     }
 
-    private void links(Fault changed) {
+    private void applyLinkFault(Fault changed) {
         for (String from : changed.who()) {
             if (from.equals("clients")) {
                 changed.to().forEach(to -> clientLink(number(to)));
                 continue;
             }
-            // Sidecars say nothing to one another yet: links between them have nothing to carry.
+            // Links between sidecars carry no messages in this simulation.
             SimSidecar one = sidecars.get(number(from));
-            one.conductChanged();
+            one.onConditionsChanged();
             if (changed.what() == Fault.What.BREAK) {
-                changed.to().forEach(one::broken);
+                changed.to().forEach(one::closeIdleConnections);
             }
         }
     }
 
     private void clientLink(int number) {
         String name = Group.SIDECAR.name(number);
-        toSidecars[number].conduct(onLinks.conduct("clients", name, true));
-        fromSidecars[number].conduct(onLinks.conduct("clients", name, false));
+        toSidecars[number].setConditions(linkFaults.conduct("clients", name, true));
+        fromSidecars[number].setConditions(linkFaults.conduct("clients", name, false));
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimSidecar.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimSidecar.java
@@ -34,37 +34,38 @@
 import martenlatch.request.Transport;
 
 /**
- * A sidecar in simulated time: the program's own decisions, host and watch on discovery; connections behave
- * as the program's do. While it is paused, all that comes to it waits.
+ * Simulates one sidecar: the production request tracker, endpoint list gate and discovery watch, on modelled
+ * connections that behave as the real ones do. While the sidecar is paused, its events and timers wait.
  */
 final class SimSidecar {
 
-    /** How it drains ({@code sidecar.Sidecar}): the last new request, every answer, its end. */
-    private static final double LAST_CALL_MS = 2700;
+    /** Time after SIGTERM until which new requests are accepted, as in {@code sidecar.Sidecar}. */
+    private static final double LAST_REQUEST_AFTER_TERM_MS = 2700;
 
-    private static final double ANSWERED_MS = 3400;
+    /** Time after SIGTERM by which every request is answered; the process ends right after it. */
+    private static final double LAST_ANSWER_AFTER_TERM_MS = 3400;
 
-    /** Both directions of a link. */
-    record Conducts(LinkConditions onwards, LinkConditions backwards) {}
+    /** The conditions of both directions of a link. */
+    record LinkPair(LinkConditions onwards, LinkConditions backwards) {}
 
-    /** Links to one endpoint, made when they are first used. */
-    private final class Way {
+    /** The links and idle connections to one endpoint, created on first use. */
+    private final class Route {
         private final SimLink onwards;
         private final SimLink backwards;
         private final SimEndpoint endpoint;
         private int idle;
 
-        Way(SimEndpoint endpoint, long seed) {
+        Route(SimEndpoint endpoint, long seed) {
             this.endpoint = endpoint;
             onwards = new SimLink(time, seed);
             backwards = new SimLink(time, ~seed);
-            conduct();
+            updateConditions();
         }
 
-        void conduct() {
-            Conducts now = conducts.apply(endpoint.id());
-            onwards.conduct(now.onwards());
-            backwards.conduct(now.backwards());
+        void updateConditions() {
+            LinkPair now = linkConditions.apply(endpoint.id());
+            onwards.setConditions(now.onwards());
+            backwards.setConditions(now.backwards());
         }
 
         boolean isCut() {
@@ -79,31 +80,34 @@
     private final Function<String, SimEndpoint> endpoints;
     private final BalancerSettings settings;
     private final long seed;
-    private final Map<String, Way> ways = new HashMap<>();
-    private final SplittableRandom moves;
+    private final Map<String, Route> routes = new HashMap<>();
+    private final SplittableRandom pollTimingRandom;
     private final SimLink toDiscovery;
     private final SimLink fromDiscovery;
-    private final Deque<Runnable> waiting = new ArrayDeque<>();
-    /** Who waits for this process's end. */
-    private final List<Runnable> endings = new ArrayList<>();
+    private final Deque<Runnable> deferred = new ArrayDeque<>();
+    /** Callbacks to run when this process ends. */
+    private final List<Runnable> endCallbacks = new ArrayList<>();
 
-    /** This process's connections to discovery. */
+    /** This process's open connections to discovery. */
     private final List<SimDiscovery.Connection> connections = new ArrayList<>();
 
-    private RequestTracker exchange;
+    private RequestTracker requestTracker;
     private boolean paused;
     private boolean alive;
-    /** Its endpoint list is current, or it has waited for that for long enough. */
+    /** Whether the endpoint list gate has opened: the list is current, or the maximum wait is over. */
     private boolean serving;
 
-    private double leavesAt = Double.POSITIVE_INFINITY;
-    private int life;
+    private double terminatedAtMs = Double.POSITIVE_INFINITY;
+    private int startCount;
     private EndpointListWatcher watch;
     private final ListService.KnownList knownList;
-    /** The list that its next process starts from, where that is the first one; null before the first start. */
+    /**
+     * The list that the next process starts from under {@link ListService.KnownList#FIRST}; null before the first
+     * start.
+     */
     private EndpointList firstList;
-    /** How links to an endpoint, or to discovery, are at this time. */
-    private final Function<String, Conducts> conducts;
+    /** Returns the current conditions of the links to an endpoint or to discovery, by name. */
+    private final Function<String, LinkPair> linkConditions;
 
     SimSidecar(
             String name,
@@ -111,7 +115,7 @@
             History history,
             SimDiscovery discovery,
             Function<String, SimEndpoint> endpoints,
-            Function<String, Conducts> conducts,
+            Function<String, LinkPair> linkConditions,
             BalancerSettings settings,
             ListService.KnownList knownList,
             long seed) {
@@ -120,11 +124,11 @@
         this.history = history;
         this.discovery = discovery;
         this.endpoints = endpoints;
-        this.conducts = conducts;
+        this.linkConditions = linkConditions;
         this.settings = settings;
         this.knownList = knownList;
         this.seed = seed;
-        moves = new SplittableRandom(seed + 3);
+        pollTimingRandom = new SplittableRandom(seed + 3);
         toDiscovery = new SimLink(time, seed + 1);
         fromDiscovery = new SimLink(time, seed + 2);
     }
@@ -133,40 +137,49 @@
         return alive;
     }
 
-    /** Whether new requests are taken in. */
-    boolean takes() {
-        return alive && serving && time.elapsed() < leavesAt + LAST_CALL_MS;
+    /** Returns whether new requests are accepted. */
+    boolean acceptsRequests() {
+        return alive && serving && time.elapsed() < terminatedAtMs + LAST_REQUEST_AFTER_TERM_MS;
     }
 
-    /** Starts as processes do before a run begins: it serves at once, from a list that is current. */
+    /** Starts a process that serves at once from a current list, as processes do that were started before the run. */
     void startServing() {
         start(() -> {});
         serve();
     }
 
-    /** Starts a process, which serves once its endpoint list is current. */
+    /** Starts a process; it serves, and runs {@code serves}, once its endpoint list is current. */
     void start(Runnable serves) {
         alive = true;
         serving = false;
-        life++;
-        leavesAt = Double.POSITIVE_INFINITY;
+        startCount++;
+        terminatedAtMs = Double.POSITIVE_INFINITY;
         paused = false;
         if (firstList == null || knownList == ListService.KnownList.CURRENT) {
             firstList = discovery.list();
         }
         EndpointList known = firstList;
-        Scheduler own = new OwnTime();
-        RateLimitedLogger complaints = new RateLimitedLogger(time, new PrintStream(OutputStream.nullOutputStream()));
-        watch = new EndpointListWatcher(own, new Line(), complaints, () -> PollTiming.next(settings, moves));
+        Scheduler own = new ProcessScheduler();
+        RateLimitedLogger rateLimitedLogger =
+                new RateLimitedLogger(time, new PrintStream(OutputStream.nullOutputStream()));
+        watch = new EndpointListWatcher(
+                own, new SimDiscoveryTransport(), rateLimitedLogger, () -> PollTiming.next(settings, pollTimingRandom));
         EndpointListGate gate = new EndpointListGate(own, settings, EndpointListGate.DEFAULT_MAX_WAIT_MS, reason -> {
             if (!serving) {
                 serve();
                 serves.run();
             }
         });
-        exchange = new RequestTracker(
-                own, complaints, new Table(), watch::start, settings, seed * 31 + life, known, RequestObserver.NONE);
-        watch.setListener(gate.wrap(exchange), known.version());
+        requestTracker = new RequestTracker(
+                own,
+                rateLimitedLogger,
+                new SimConnections(),
+                watch::start,
+                settings,
+                seed * 31 + startCount,
+                known,
+                RequestObserver.NONE);
+        watch.setListener(gate.wrap(requestTracker), known.version());
     }
 
     private void serve() {
@@ -176,46 +189,49 @@
 
     void kill() {
         alive = false;
-        life++;
+        startCount++;
         paused = false;
-        waiting.clear();
-        ways.values().forEach(way -> way.idle = 0);
+        deferred.clear();
+        routes.values().forEach(route -> route.idle = 0);
         history.tell(What.PROCESS, name, "", "", "killed");
-        over();
+        endConnections();
     }
 
-    /** The process is gone, and its connections end with it. */
-    private void over() {
+    /** Ends the process's connections to discovery and runs the callbacks that wait for its end. */
+    private void endConnections() {
         List<SimDiscovery.Connection> ended = List.copyOf(connections);
         connections.clear();
         toDiscovery.send(() -> ended.forEach(discovery::end));
-        List<Runnable> all = List.copyOf(endings);
-        endings.clear();
+        List<Runnable> all = List.copyOf(endCallbacks);
+        endCallbacks.clear();
         all.forEach(Runnable::run);
     }
 
-    /** Asked to end: every request has its answer in time, and then it is gone. */
-    void leave(Runnable gone) {
+    /**
+     * Handles SIGTERM: deadlines are capped so that every request is answered, then the process ends and
+     * {@code gone} runs.
+     */
+    void terminate(Runnable gone) {
         if (!alive) {
             gone.run();
             return;
         }
-        endings.add(gone);
-        if (leavesAt < Double.POSITIVE_INFINITY) {
+        endCallbacks.add(gone);
+        if (terminatedAtMs < Double.POSITIVE_INFINITY) {
             // A second SIGTERM changes nothing.
             return;
         }
-        leavesAt = time.elapsed();
+        terminatedAtMs = time.elapsed();
         history.tell(What.PROCESS, name, "", "", "told to end");
-        exchange.capDeadlines(time.now() + ANSWERED_MS);
-        int mine = life;
-        time.after(ANSWERED_MS + 1, () -> {
-            if (mine == life) {
+        requestTracker.capDeadlines(time.now() + LAST_ANSWER_AFTER_TERM_MS);
+        int expectedStart = startCount;
+        time.after(LAST_ANSWER_AFTER_TERM_MS + 1, () -> {
+            if (expectedStart == startCount) {
                 alive = false;
-                life++;
-                ways.values().forEach(way -> way.idle = 0);
-                over();
-                // As with real processes: its clients see their connections end before anybody sees it gone.
+                startCount++;
+                routes.values().forEach(route -> route.idle = 0);
+                endConnections();
+                // As with real processes, clients see their connections end before the end of the process is seen.
                 time.after(1, () -> history.tell(What.PROCESS, name, "", "", "ended 0"));
             }
         });
@@ -232,45 +248,48 @@
         if (alive && paused) {
             paused = false;
             history.tell(What.PROCESS, name, "", "", "resumed");
-            // What waited was read and was due before anything that comes now.
-            int mine = life;
-            while (!waiting.isEmpty() && mine == life && !paused) {
-                waiting.poll().run();
+            // Waiting events arrived before any new one, so they run first.
+            int expectedStart = startCount;
+            while (!deferred.isEmpty() && expectedStart == startCount && !paused) {
+                deferred.poll().run();
             }
         }
     }
 
-    /** Something comes to this process, or is due in it. */
-    private void enter(int mine, Runnable work) {
-        if (mine != life || !alive) {
+    /**
+     * Runs an event or timer of the process that was started as number {@code expectedStart}. Drops it if that
+     * process has ended, and defers it while the process is paused.
+     */
+    private void runInProcess(int expectedStart, Runnable work) {
+        if (expectedStart != startCount || !alive) {
             return;
         }
         if (paused) {
-            waiting.add(() -> enter(mine, work));
+            deferred.add(() -> runInProcess(expectedStart, work));
         } else {
             work.run();
         }
     }
 
-    /** A client's request has come; its deadline is a time on the simulation's clock. */
+    /** Accepts a client's request, whose deadline is a time on the simulation's clock. */
     void request(Request request, ResponseListener client) {
-        enter(life, () -> {
-            double latest = leavesAt + ANSWERED_MS - time.elapsed() + time.now();
+        runInProcess(startCount, () -> {
+            double latest = terminatedAtMs + LAST_ANSWER_AFTER_TERM_MS - time.elapsed() + time.now();
             Request taken = request.deadlineMs() <= latest
                     ? request
                     : new Request(
                             request.id(), request.classIndex(), request.tenantIndex(), latest, request.clientRetry());
-            exchange.accept(
+            requestTracker.accept(
                     taken, (server, wait, notAfter, ending) -> send(request.id(), server, notAfter, ending), client);
         });
     }
 
-    /** Its client has gone away. */
+    /** Called when the client of a request disconnects. */
     void clientGone(String id) {
-        enter(life, () -> exchange.onClientDisconnected(id));
+        runInProcess(startCount, () -> requestTracker.onClientDisconnected(id));
     }
 
-    private final class OwnTime implements Scheduler {
+    private final class ProcessScheduler implements Scheduler {
         @Override
         public double now() {
             return time.now();
@@ -278,11 +297,11 @@
 
         @Override
         public Timer after(double ms, Runnable task) {
-            int mine = life;
+            int expectedStart = startCount;
             boolean[] cancelled = new boolean[1];
             Timer timer = time.after(
                     ms,
-                    () -> enter(mine, () -> {
+                    () -> runInProcess(expectedStart, () -> {
                         if (!cancelled[0]) {
                             task.run();
                         }
@@ -294,7 +313,7 @@
         }
     }
 
-    private final class Table implements EndpointConnections {
+    private final class SimConnections implements EndpointConnections {
         @Override
         public void update(EndpointList list) {
             return;
@@ -307,20 +326,20 @@
 
         @Override
         public void closeIdleConnections(String server) {
-            Way way = ways.get(server);
-            if (way != null) {
-                way.idle = 0;
+            Route route = routes.get(server);
+            if (route != null) {
+                route.idle = 0;
             }
         }
     }
 
     // ---- attempts ----
 
-    private Way way(String server) {
-        return ways.computeIfAbsent(server, id -> new Way(endpoints.apply(id), seed * 1_000_003 + id.hashCode()));
+    private Route route(String server) {
+        return routes.computeIfAbsent(server, id -> new Route(endpoints.apply(id), seed * 1_000_003 + id.hashCode()));
     }
 
-    private final class Sent implements Transport.Attempt {
+    private final class SimAttempt implements Transport.Attempt {
         private boolean written;
         private boolean over;
 
@@ -341,27 +360,27 @@
     }
 
     private Transport.Attempt send(String id, String server, double notAfter, Transport.AttemptListener ending) {
-        Way way = way(server);
-        Sent sent = new Sent();
-        int mine = life;
-        if (way.idle > 0) {
-            way.idle--;
-            write(way, id, sent, ending, mine);
+        Route route = route(server);
+        SimAttempt sent = new SimAttempt();
+        int expectedStart = startCount;
+        if (route.idle > 0) {
+            route.idle--;
+            write(route, id, sent, ending, expectedStart);
             return sent;
         }
-        double up = 2 * SimLink.BASE_MS;
+        double up = 2 * SimLink.BASE_LATENCY_MS;
         Scheduler.Timer failed = time.after(
                 settings.limits().connectTimeoutMs(),
-                () -> enter(mine, () -> {
+                () -> runInProcess(expectedStart, () -> {
                     if (!sent.written && !sent.over) {
                         sent.over = true;
                         ending.onAttemptFinished(AttemptOutcome.CONNECT_ERROR, null);
                     }
                 }));
-        if (!way.isCut()) {
+        if (!route.isCut()) {
             time.after(
                     up,
-                    () -> enter(mine, () -> {
+                    () -> runInProcess(expectedStart, () -> {
                         if (sent.over) {
                             return;
                         }
@@ -369,8 +388,8 @@
                         if (time.now() > notAfter) {
                             sent.over = true;
                             ending.onAttemptFinished(AttemptOutcome.NOT_EXECUTED, null);
-                        } else if (way.endpoint.isAlive()) {
-                            write(way, id, sent, ending, mine);
+                        } else if (route.endpoint.isAlive()) {
+                            write(route, id, sent, ending, expectedStart);
                         } else {
                             sent.over = true;
                             ending.onAttemptFinished(AttemptOutcome.CONNECT_ERROR, null);
@@ -380,20 +399,20 @@
         return sent;
     }
 
-    private void write(Way way, String id, Sent sent, Transport.AttemptListener ending, int mine) {
+    private void write(Route route, String id, SimAttempt sent, Transport.AttemptListener ending, int expectedStart) {
         sent.written = true;
-        history.tell(What.SENT, name, way.endpoint.id(), id, "");
+        history.tell(What.SENT, name, route.endpoint.id(), id, "");
         boolean[] answered = new boolean[1];
-        way.onwards.send(() -> way.endpoint.receive(
+        route.onwards.send(() -> route.endpoint.receive(
                 id,
-                reply -> way.backwards.send(() -> enter(mine, () -> {
+                reply -> route.backwards.send(() -> runInProcess(expectedStart, () -> {
                     if (sent.over || answered[0]) {
                         return;
                     }
                     answered[0] = true;
                     sent.over = true;
                     if (reply != SimEndpoint.Reply.RESET) {
-                        way.idle++;
+                        route.idle++;
                     }
                     switch (reply) {
                         case OK ->
@@ -406,9 +425,9 @@
                 }))));
     }
 
-    // ---- the watch on discovery ----
+    // ---- discovery ----
 
-    private final class Line implements DiscoveryTransport {
+    private final class SimDiscoveryTransport implements DiscoveryTransport {
         private final Map<Long, SimDiscovery.Connection> superseded = new HashMap<>();
         private SimDiscovery.Connection connection = open();
 
@@ -425,19 +444,20 @@
 
         @Override
         public void send(Poll poll) {
-            int mine = life;
+            int expectedStart = startCount;
             long index = poll.knownVersion().orElse(-1);
             long wait = poll.timing().waitMs();
             SimDiscovery.Connection present = connection;
-            toDiscovery.send(() -> discovery.ask(present, index, wait, new SimDiscovery.Caller() {
+            toDiscovery.send(() -> discovery.poll(present, index, wait, new SimDiscovery.Caller() {
                 @Override
-                public void answered(EndpointList list) {
-                    fromDiscovery.send(() -> enter(mine, () -> watch.onList(poll.number(), list)));
+                public void onList(EndpointList list) {
+                    fromDiscovery.send(() -> runInProcess(expectedStart, () -> watch.onList(poll.number(), list)));
                 }
 
                 @Override
-                public void refused() {
-                    fromDiscovery.send(() -> enter(mine, () -> watch.onFailure(poll.number(), "status 503")));
+                public void onRejected() {
+                    fromDiscovery.send(
+                            () -> runInProcess(expectedStart, () -> watch.onFailure(poll.number(), "status 503")));
                 }
             }));
         }
@@ -467,33 +487,33 @@
         }
     }
 
-    /** Its configuration is read again, and names another discovery. */
-    void moved() {
+    /** Reloads a configuration that names another discovery address. */
+    void moveDiscovery() {
         if (alive) {
-            int mine = life;
+            int expectedStart = startCount;
             history.tell(What.PROCESS, name, "", "", "reloads");
-            enter(mine, watch::onMoved);
+            runInProcess(expectedStart, watch::onMoved);
         }
     }
 
-    /** Links have changed their ways. */
-    void conductChanged() {
-        Conducts now = conducts.apply(Group.DISCOVERY.name(0));
-        toDiscovery.conduct(now.onwards());
-        fromDiscovery.conduct(now.backwards());
-        ways.values().forEach(Way::conduct);
+    /** Called when link conditions change; updates all of this sidecar's links. */
+    void onConditionsChanged() {
+        LinkPair now = linkConditions.apply(Group.DISCOVERY.name(0));
+        toDiscovery.setConditions(now.onwards());
+        fromDiscovery.setConditions(now.backwards());
+        routes.values().forEach(Route::updateConditions);
     }
 
-    /** All connections to an endpoint have ended. */
-    void broken(String endpoint) {
-        Way way = ways.get(endpoint);
-        if (way != null) {
-            way.idle = 0;
+    /** Drops the idle connections to an endpoint whose connections have ended. */
+    void closeIdleConnections(String endpoint) {
+        Route route = routes.get(endpoint);
+        if (route != null) {
+            route.idle = 0;
         }
     }
 
-    /** Requests in hand. */
-    int open() {
-        return alive ? exchange.pendingRequests() : 0;
+    /** Returns how many requests are pending; 0 if the process is not alive. */
+    int pendingRequests() {
+        return alive ? requestTracker.pendingRequests() : 0;
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/sim/VirtualTime.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/VirtualTime.java
@@ -4,24 +4,24 @@
 import martenlatch.request.Scheduler;
 
 /**
- * The one clock of a simulation. Tasks run in the order of their times, and of one time in that of their
- * making.
+ * The clock and scheduler of a simulation. Tasks run in the order of their due times; tasks due at the same
+ * time run in the order in which they were scheduled.
  */
 public final class VirtualTime implements Scheduler {
 
-    /** Any moment will do; endpoints' start times must lie above 0. */
+    /** Any start works as long as it is above 0, because endpoints' start times must be positive. */
     private static final double START_MS = 1.7e12;
 
-    private static final double NANOS_IN_MS = 1e6;
+    private static final double NANOS_PER_MS = 1e6;
 
     private static final class Task implements Comparable<Task>, Timer {
-        private final double at;
-        private final long order;
+        private final double dueMs;
+        private final long sequence;
         private Runnable work;
 
-        Task(double at, long order, Runnable work) {
-            this.at = at;
-            this.order = order;
+        Task(double dueMs, long sequence, Runnable work) {
+            this.dueMs = dueMs;
+            this.sequence = sequence;
             this.work = work;
         }
 
@@ -32,48 +32,48 @@
 
         @Override
         public int compareTo(Task other) {
-            return at != other.at ? Double.compare(at, other.at) : Long.compare(order, other.order);
+            return dueMs != other.dueMs ? Double.compare(dueMs, other.dueMs) : Long.compare(sequence, other.sequence);
         }
     }
 
     private final PriorityQueue<Task> tasks = new PriorityQueue<>();
-    private double sinceStart;
-    private long order;
+    private double elapsedMs;
+    private long sequence;
 
     @Override
     public double now() {
-        return START_MS + sinceStart;
+        return START_MS + elapsedMs;
     }
 
-    /** Milliseconds since the simulation began. */
+    /** Returns the milliseconds since the simulation began. */
     public double elapsed() {
-        return sinceStart;
+        return elapsedMs;
     }
 
-    /** The same, as {@link System#nanoTime()} would tell it. */
+    /** Returns nanoseconds since the simulation began, in place of {@link System#nanoTime()}. */
     public long nanos() {
-        return (long) (sinceStart * NANOS_IN_MS);
+        return (long) (elapsedMs * NANOS_PER_MS);
     }
 
     @Override
     public Timer after(double ms, Runnable work) {
-        Task task = new Task(sinceStart + Math.max(0, ms), order++, work);
+        Task task = new Task(elapsedMs + Math.max(0, ms), sequence++, work);
         tasks.add(task);
         return task;
     }
 
-    /** Runs until that time, or until nothing is left; returns how many tasks have run. */
+    /** Runs all tasks due up to {@code endMs}, advances the clock to it and returns how many tasks ran. */
     public long runUntil(double endMs) {
-        long ran = 0;
-        while (!tasks.isEmpty() && tasks.peek().at <= endMs) {
+        long tasksRun = 0;
+        while (!tasks.isEmpty() && tasks.peek().dueMs <= endMs) {
             Task next = tasks.poll();
-            sinceStart = next.at;
+            elapsedMs = next.dueMs;
             if (next.work != null) {
                 next.work.run();
-                ran++;
+                tasksRun++;
             }
         }
-        sinceStart = Math.max(sinceStart, endMs);
-        return ran;
+        elapsedMs = Math.max(elapsedMs, endMs);
+        return tasksRun;
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/sim/package-info.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A fleet in simulated time: one thread, one clock, one seed. Sidecars are the program's own decisions and
- * their host, behind the interfaces that real sockets have; endpoints, discovery, clients and links are
- * models. It uses the host's words, links' models, scenarios and the history, and no socket.
+ * Simulates a fleet with one thread, one virtual clock and one seed. Sidecars run the production request
+ * tracking and endpoint list code behind its transport interfaces; endpoints, discovery, clients and links are
+ * models. Depends on the sidecar's interfaces, the link models, scenarios and the history, and opens no socket.
  */
 package martenlatch.fleet.sim;
--- a/fleet/src/test/java/martenlatch/fleet/link/LinksOnSocketsTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/link/LinksOnSocketsTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Links as processes meet them: what each end sees of a cut in one direction, a reset, a refusal. */
+/** Tests links on real sockets: what each end sees of a one-way cut, a reset and a refused connection. */
 @Timeout(60)
 class LinksOnSocketsTest {
 
@@ -33,16 +33,17 @@
     private static final int PATIENCE_MS = 20_000;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final Loopback addresses = new Loopback(ProcessHandle.current().pid() + 1);
+    private final LoopbackAddresses addresses =
+            new LoopbackAddresses(ProcessHandle.current().pid() + 1);
     private final List<String> heads = new CopyOnWriteArrayList<>();
-    private final LinkWatch watch = new LinkWatch() {
+    private final LinkObserver watch = new LinkObserver() {
         @Override
-        public void request(String from, String to, String id) {
+        public void onRequest(String from, String to, String id) {
             heads.add(from + " " + to + " " + id);
         }
 
         @Override
-        public void late(double ms) {
+        public void onLate(double ms) {
             return;
         }
     };
@@ -95,7 +96,7 @@
     }
 
     @Test
-    void aPortThatIsTakenIsNamed() {
+    void listenOnUsedPortNamesTheAddress() {
         InetSocketAddress taken = (InetSocketAddress) server.getLocalSocketAddress();
         StreamLink late = new StreamLink((EventLoop) group.next(), "a", "b", taken, 1, watch, System::nanoTime);
         String said = assertThrows(IllegalStateException.class, () -> late.listen(taken))
@@ -104,7 +105,7 @@
     }
 
     @Test
-    void whatIsSentArrivesBothWaysAndSoDoEnds() throws Exception {
+    void dataAndEndOfStreamAreRelayedBothWays() throws Exception {
         try (Socket near = connect();
                 Socket far = accept()) {
             near.getOutputStream().write("GET /api HTTP/1.1\r\nX-Request".getBytes());
@@ -122,37 +123,37 @@
     }
 
     /**
-     * One-way cuts: one end reaches the other while nothing comes back; no end, no reset; all comes when it
-     * is over.
+     * During a one-way cut, one end reaches the other but nothing comes back, without an end of stream or a reset.
+     * Everything sent meanwhile arrives once the cut ends.
      */
     @Test
-    void aCutInOneDirectionIsSilentInThatOneOnly() throws Exception {
+    void oneWayCutIsSilentInThatDirectionOnly() throws Exception {
         try (Socket near = connect();
                 Socket far = accept()) {
-            link.conduct(LinkConditions.CLEAR, LinkConditions.SILENT);
+            link.setConditions(LinkConditions.CLEAR, LinkConditions.SILENT);
             near.getOutputStream().write('q');
             assertEquals('q', far.getInputStream().read());
             far.getOutputStream().write('a');
             assertSilent(near);
-            link.conduct(LinkConditions.SILENT, LinkConditions.CLEAR);
+            link.setConditions(LinkConditions.SILENT, LinkConditions.CLEAR);
             assertEquals('a', near.getInputStream().read());
             near.getOutputStream().write('r');
             assertSilent(far);
-            link.conduct(LinkConditions.CLEAR, LinkConditions.CLEAR);
+            link.setConditions(LinkConditions.CLEAR, LinkConditions.CLEAR);
             assertEquals('r', far.getInputStream().read());
         }
     }
 
-    /** A cut lets no connection come up, as packets vanish; it is no refusal. When it is over they do. */
+    /** During a cut, connection attempts time out instead of being refused; afterwards they succeed. */
     @Test
-    void nobodyConnectsThroughACut() throws Exception {
-        link.conduct(LinkConditions.CLEAR, LinkConditions.SILENT);
+    void connectTimesOutDuringCut() throws Exception {
+        link.setConditions(LinkConditions.CLEAR, LinkConditions.SILENT);
         group.next().submit(() -> {}).sync();
         Thread.sleep(QUIET_MS);
         try (Socket socket = new Socket()) {
             assertThrows(SocketTimeoutException.class, () -> socket.connect(link.address(), QUIET_MS));
         }
-        link.conduct(LinkConditions.CLEAR, LinkConditions.CLEAR);
+        link.setConditions(LinkConditions.CLEAR, LinkConditions.CLEAR);
         try (Socket near = connect();
                 Socket far = accept()) {
             near.getOutputStream().write('x');
@@ -161,7 +162,7 @@
     }
 
     @Test
-    void refusalsAndResetsAreSeenAtOnce() throws Exception {
+    void refusalsAndResetsAreSeenImmediately() throws Exception {
         try (Socket near = connect();
                 Socket far = accept()) {
             near.getOutputStream().write('x');
@@ -181,14 +182,14 @@
     }
 
     @Test
-    void writesComeTwiceOrHalf() throws Exception {
-        link.conduct(new LinkConditions(0, 0, 0, 1, 0, Double.POSITIVE_INFINITY, 0, false), LinkConditions.CLEAR);
+    void writesAreDuplicatedOrTruncated() throws Exception {
+        link.setConditions(new LinkConditions(0, 0, 0, 1, 0, Double.POSITIVE_INFINITY, 0, false), LinkConditions.CLEAR);
         try (Socket near = connect();
                 Socket far = accept()) {
             near.getOutputStream().write("once".getBytes());
             assertEquals("onceonce", read(far, 8));
         }
-        link.conduct(new LinkConditions(0, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 1, false), LinkConditions.CLEAR);
+        link.setConditions(new LinkConditions(0, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 1, false), LinkConditions.CLEAR);
         try (Socket near = connect();
                 Socket far = accept()) {
             near.getOutputStream().write("half".getBytes());
@@ -197,8 +198,9 @@
     }
 
     @Test
-    void aDelayIsKept() throws Exception {
-        link.conduct(new LinkConditions(150, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 0, false), LinkConditions.CLEAR);
+    void delayIsApplied() throws Exception {
+        link.setConditions(
+                new LinkConditions(150, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 0, false), LinkConditions.CLEAR);
         try (Socket near = connect();
                 Socket far = accept()) {
             long sent = System.nanoTime();
@@ -208,27 +210,27 @@
         }
     }
 
-    /** UDP as the platform gives it: who sends is known by an address of one's own, and directions differ. */
+    /** As on the platform, receivers identify a UDP sender by its own address, and each direction can be cut alone. */
     @Test
-    void datagramsGoBetweenMembersAndAreCutOneWay() throws Exception {
+    void datagramsAreRelayedAndCutOneWay() throws Exception {
         DatagramLinks links = new DatagramLinks((EventLoop) group.next(), 3, addresses, 1, watch, System::nanoTime);
         DatagramSocket[] members = new DatagramSocket[3];
         for (int i = 0; i < members.length; i++) {
             members[i] = new DatagramSocket(addresses.next());
             members[i].setSoTimeout(PATIENCE_MS);
-            links.home(i, (InetSocketAddress) members[i].getLocalSocketAddress());
+            links.setAddress(i, (InetSocketAddress) members[i].getLocalSocketAddress());
         }
-        say(members[0], "to 1", links.seenBy(0).get(1));
-        assertEquals("to 1 from " + links.seenBy(1).get(0), hear(members[1]));
-        say(members[2], "to all", links.all(2));
-        assertEquals("to all from " + links.seenBy(0).get(2), hear(members[0]));
-        assertEquals("to all from " + links.seenBy(1).get(2), hear(members[1]));
-        links.conduct(0, 1, LinkConditions.SILENT);
-        say(members[0], "lost", links.seenBy(0).get(1));
-        say(members[1], "back", links.seenBy(1).get(0));
-        assertEquals("back from " + links.seenBy(0).get(1), hear(members[0]));
+        send(members[0], "to 1", links.peerAddresses(0).get(1));
+        assertEquals("to 1 from " + links.peerAddresses(1).get(0), receive(members[1]));
+        send(members[2], "to all", links.broadcastAddress(2));
+        assertEquals("to all from " + links.peerAddresses(0).get(2), receive(members[0]));
+        assertEquals("to all from " + links.peerAddresses(1).get(2), receive(members[1]));
+        links.setConditions(0, 1, LinkConditions.SILENT);
+        send(members[0], "lost", links.peerAddresses(0).get(1));
+        send(members[1], "back", links.peerAddresses(1).get(0));
+        assertEquals("back from " + links.peerAddresses(0).get(1), receive(members[0]));
         members[1].setSoTimeout(QUIET_MS);
-        assertThrows(SocketTimeoutException.class, () -> hear(members[1]));
+        assertThrows(SocketTimeoutException.class, () -> receive(members[1]));
         assertEquals(8, links.sentBytes(0));
         links.close();
         for (DatagramSocket member : members) {
@@ -236,11 +238,11 @@
         }
     }
 
-    private static void say(DatagramSocket from, String text, InetSocketAddress to) throws IOException {
+    private static void send(DatagramSocket from, String text, InetSocketAddress to) throws IOException {
         from.send(new DatagramPacket(text.getBytes(), text.length(), to));
     }
 
-    private static String hear(DatagramSocket at) throws IOException {
+    private static String receive(DatagramSocket at) throws IOException {
         DatagramPacket packet = new DatagramPacket(new byte[256], 256);
         at.receive(packet);
         return new String(packet.getData(), 0, packet.getLength()) + " from " + packet.getSocketAddress();
--- a/fleet/src/test/java/martenlatch/fleet/rig/FleetRunTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/rig/FleetRunTest.java
@@ -124,7 +124,7 @@
         Verdict verdict = play(
                 small("3", ""),
                 run -> run.clientLink(1)
-                        .conduct(
+                        .setConditions(
                                 LinkConditions.CLEAR,
                                 new LinkConditions(60_000, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 0, false)));
         assertTrue(judges(verdict).contains("lost"), verdict.toString());
--- a/fleet/src/test/java/martenlatch/fleet/sim/SimRunTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/sim/SimRunTest.java
@@ -16,7 +16,7 @@
 import martenlatch.fleet.scenario.Scenario;
 import org.junit.jupiter.api.Test;
 
-/** The program's decisions and host in simulated time. */
+/** Runs production sidecar code in simulated time, under faults. */
 class SimRunTest {
 
     private static final String FLEET = """
@@ -53,9 +53,9 @@
         return Verdict.of(new Record(scenario, history.events(), history.missing()));
     }
 
-    /** One plan and one seed give one history, event for event; another seed gives another. */
+    /** The same plan and seed give the same history, event for event; another seed gives another history. */
     @Test
-    void aRunRepeatsEventForEvent() {
+    void sameSeedReproducesHistory() {
         Scenario plan = RandomFaults.in(scenario(""), 3, 8);
         String first = new SimRun(plan).play(at -> {}).digest();
         assertEquals(first, new SimRun(plan).play(at -> {}).digest());
@@ -64,25 +64,24 @@
                 new SimRun(RandomFaults.in(scenario(""), 4, 8)).play(at -> {}).digest());
     }
 
-    /** Whatever befalls a fleet, the four rules hold, and nothing is left open. */
+    /** All judges pass under random faults, and no request stays open at the end. */
     @Test
-    void theRulesHoldUnderRandomFaults() {
+    void rulesHoldUnderRandomFaults() {
         for (int seed = 1; seed <= 40; seed++) {
             Scenario plan = RandomFaults.in(scenario(""), seed, 6);
             SimRun run = new SimRun(plan);
             Verdict verdict = judged(plan, run.play(at -> {}));
             assertEquals(List.of(), verdict.findings(), "plan " + seed);
             assertEquals(List.of(), verdict.spoilt(), "plan " + seed);
-            assertEquals(0, run.open(), "plan " + seed);
+            assertEquals(0, run.openRequests(), "plan " + seed);
         }
     }
 
     /**
-     * Guards against a simulation that finds nothing: a link that writes twice has unsafe requests run
-     * twice.
+     * Guards against a simulation that detects nothing: on a link that duplicates writes, unsafe requests run twice.
      */
     @Test
-    void aLinkThatWritesTwiceIsFoundOut() {
+    void duplicatingLinkIsDetected() {
         Scenario plan = scenario("""
             [[fault]]
             at = 2
@@ -98,9 +97,9 @@
         assertTrue(found.stream().allMatch(one -> one.judge().equals("twice")), found.toString());
     }
 
-    /** Requests that were in hand at SIGTERM and whose clients wait for longer than the process lives. */
+    /** Requests that are pending at SIGTERM, with deadlines after the end of the process, are still answered. */
     @Test
-    void aRestartBeforeHungEndpointsLosesNothing() {
+    void restartWithHungEndpointsLosesNoRequest() {
         Scenario plan = scenario("""
             [[fault]]
             at = 1
