--- a/fleet/src/main/java/martenlatch/fleet/gossip/GossipUnderTest.java
+++ b/fleet/src/main/java/martenlatch/fleet/gossip/GossipUnderTest.java
@@ -5,14 +5,14 @@
 import martenlatch.gossip.PeerState;
 import martenlatch.gossip.PeerView;
 
-/** The program's own membership. */
+/** The sidecar's gossip membership. */
 final class GossipUnderTest implements Membership {
 
-    private final GossipMembership peers;
+    private final GossipMembership membership;
 
-    GossipUnderTest(int self, int told, int zone, long seed, Wire wire) {
-        peers = new GossipMembership(
-                GossipSettings.withDefaults(self, told, 0, zone), seed, new GossipMembership.Environment() {
+    GossipUnderTest(int self, int memberCount, int zone, long seed, Wire wire) {
+        membership = new GossipMembership(
+                GossipSettings.withDefaults(self, memberCount, 0, zone), seed, new GossipMembership.Environment() {
                     @Override
                     public void send(int to, byte[] datagram) {
                         wire.send(to, datagram);
@@ -27,34 +27,34 @@
 
     @Override
     public double start(double now) {
-        return peers.start(now);
+        return membership.start(now);
     }
 
     @Override
     public double tick(double now) {
-        return peers.tick(now);
+        return membership.tick(now);
     }
 
     @Override
     public void receive(double now, int from, byte[] datagram) {
-        peers.receive(now, from, datagram);
+        membership.receive(now, from, datagram);
     }
 
     @Override
     public void leave(double now) {
-        peers.leave(now);
+        membership.leave(now);
     }
 
     @Override
     public PeerState state(int peer) {
-        return peers.state(peer);
+        return membership.state(peer);
     }
 
     PeerView view(double now) {
-        return peers.view(now);
+        return membership.view(now);
     }
 
-    GossipMembership peers() {
-        return peers;
+    GossipMembership membership() {
+        return membership;
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/gossip/Heartbeats.java
+++ b/fleet/src/main/java/martenlatch/fleet/gossip/Heartbeats.java
@@ -4,84 +4,84 @@
 import martenlatch.gossip.PeerState;
 
 /**
- * Baselines: everybody tells everybody once a second that it lives. Plain, a peer is faulty when it was not
- * heard for a fixed time; or by phi accrual (Hayashibara et al., SRDS 2004), when its silence is too unlikely
- * after the gaps that it had before.
+ * Baseline detectors in which each member sends a heartbeat to all others once a second. A peer is faulty after a
+ * fixed time without a heartbeat or, with phi accrual (Hayashibara et al., SRDS 2004), when the silence is too
+ * unlikely given the previous gaps between its heartbeats.
  */
 final class Heartbeats implements Membership {
 
     private static final double TICK_MS = 100;
-    private static final double EVERY_MS = 1000;
+    private static final double HEARTBEAT_INTERVAL_MS = 1000;
     private static final double TIMEOUT_MS = 3000;
-    /** As Akka has it by default. */
-    private static final double PHI = 8;
+    /** Akka's default threshold. */
+    private static final double PHI_THRESHOLD = 8;
 
-    private static final double LEAST_DEVIATION_MS = 100;
-    private static final double GAIN = 0.05;
+    private static final double MIN_DEVIATION_MS = 100;
+    private static final double SMOOTHING_FACTOR = 0.05;
 
     private final int self;
-    private final boolean phi;
+    private final boolean usePhiAccrual;
     private final Wire wire;
     private final PeerState[] states;
-    private final double[] heardAt;
-    private final double[] mean;
+    private final double[] lastHeartbeatMs;
+    private final double[] meanGapMs;
     private final double[] variance;
-    private final double offset;
-    private double nextBeat;
+    private final double firstHeartbeatDelayMs;
+    private double nextHeartbeatMs;
 
-    Heartbeats(boolean phi, int self, int told, long seed, Wire wire) {
-        this.phi = phi;
+    Heartbeats(boolean usePhiAccrual, int self, int memberCount, long seed, Wire wire) {
+        this.usePhiAccrual = usePhiAccrual;
         this.self = self;
         this.wire = wire;
-        states = new PeerState[told];
-        heardAt = new double[told];
-        mean = new double[told];
-        variance = new double[told];
-        for (int i = 0; i < told; i++) {
+        states = new PeerState[memberCount];
+        lastHeartbeatMs = new double[memberCount];
+        meanGapMs = new double[memberCount];
+        variance = new double[memberCount];
+        for (int i = 0; i < memberCount; i++) {
             states[i] = i == self ? PeerState.ALIVE : PeerState.ABSENT;
-            mean[i] = EVERY_MS;
+            meanGapMs[i] = HEARTBEAT_INTERVAL_MS;
         }
-        offset = Math.floorMod(seed, (long) EVERY_MS);
+        firstHeartbeatDelayMs = Math.floorMod(seed, (long) HEARTBEAT_INTERVAL_MS);
     }
 
     @Override
     public double start(double now) {
-        nextBeat = now + offset;
+        nextHeartbeatMs = now + firstHeartbeatDelayMs;
         return now + TICK_MS;
     }
 
     @Override
     public double tick(double now) {
-        if (now >= nextBeat) {
-            nextBeat = now + EVERY_MS;
+        if (now >= nextHeartbeatMs) {
+            nextHeartbeatMs = now + HEARTBEAT_INTERVAL_MS;
             for (int to = 0; to < states.length; to++) {
                 if (to != self) {
-                    // What our own have as a header, without news.
+                    // The same size as the header of the sidecars' gossip messages, without updates.
                     wire.send(to, ByteBuffer.allocate(8).putInt(self).array());
                 }
             }
         }
         for (int peer = 0; peer < states.length; peer++) {
-            if (states[peer] == PeerState.ALIVE && peer != self && silent(peer, now - heardAt[peer])) {
-                move(peer, PeerState.FAULTY);
+            if (states[peer] == PeerState.ALIVE && peer != self && isSilentTooLong(peer, now - lastHeartbeatMs[peer])) {
+                setState(peer, PeerState.FAULTY);
             }
         }
         return now + TICK_MS;
     }
 
-    private boolean silent(int peer, double gap) {
-        if (!phi) {
+    private boolean isSilentTooLong(int peer, double gap) {
+        if (!usePhiAccrual) {
             return gap > TIMEOUT_MS;
         }
-        double deviation = Math.max(LEAST_DEVIATION_MS, Math.sqrt(variance[peer]));
-        double y = (gap - mean[peer]) / deviation;
+        double deviation = Math.max(MIN_DEVIATION_MS, Math.sqrt(variance[peer]));
+        double y = (gap - meanGapMs[peer]) / deviation;
         // The logistic approximation of the normal distribution's tail, as published with the detector.
         double e = Math.exp(-y * (1.5976 + 0.070566 * y * y));
-        double later = gap > mean[peer] ? e / (1 + e) : 1 - 1 / (1 + e);
-        return -Math.log10(Math.max(later, Double.MIN_NORMAL)) > PHI;
+        double tailProbability = gap > meanGapMs[peer] ? e / (1 + e) : 1 - 1 / (1 + e);
+        return -Math.log10(Math.max(tailProbability, Double.MIN_NORMAL)) > PHI_THRESHOLD;
     }
 
-    private void move(int peer, PeerState next) {
+    private void setState(int peer, PeerState next) {
         PeerState before = states[peer];
         if (before != next) {
             states[peer] = next;
@@ -92,13 +92,13 @@
     @Override
     public void receive(double now, int from, byte[] datagram) {
         if (states[from] == PeerState.ALIVE) {
-            double gap = now - heardAt[from];
-            double off = gap - mean[from];
-            mean[from] += GAIN * off;
-            variance[from] += GAIN * (off * off - variance[from]);
+            double gap = now - lastHeartbeatMs[from];
+            double error = gap - meanGapMs[from];
+            meanGapMs[from] += SMOOTHING_FACTOR * error;
+            variance[from] += SMOOTHING_FACTOR * (error * error - variance[from]);
         }
-        heardAt[from] = now;
-        move(from, PeerState.ALIVE);
+        lastHeartbeatMs[from] = now;
+        setState(from, PeerState.ALIVE);
     }
 
     @Override
--- a/fleet/src/main/java/martenlatch/fleet/gossip/Membership.java
+++ b/fleet/src/main/java/martenlatch/fleet/gossip/Membership.java
@@ -2,30 +2,30 @@
 
 import martenlatch.gossip.PeerState;
 
-/** One way to know who lives, as one member runs it. Times are milliseconds since 1970. */
+/** A failure detector, as one member runs it. Times are in milliseconds since 1970. */
 interface Membership {
 
-    /** Carries out what it wants. */
+    /** Sends a member's datagrams and receives its state changes. */
     interface Wire {
         void send(int to, byte[] datagram);
 
         void changed(int peer, PeerState before, PeerState now);
     }
 
-    /** Makes one for a life that begins. */
+    /** Creates the detector of a member that starts. */
     interface Maker {
-        Membership make(int self, int told, int zone, long seed, Wire wire);
+        Membership make(int self, int memberCount, int zone, long seed, Wire wire);
     }
 
-    /** Begins; returns when the first tick is due. */
+    /** Starts the detector and returns when the first tick is due. */
     double start(double now);
 
-    /** Returns when the next one is due. */
+    /** Runs the periodic work and returns when the next tick is due. */
     double tick(double now);
 
     void receive(double now, int from, byte[] datagram);
 
-    /** Is about to end, and may say so. */
+    /** Called before the member ends, so that it can announce that it leaves. */
     void leave(double now);
 
     PeerState state(int peer);
--- a/fleet/src/main/java/martenlatch/fleet/gossip/MembershipComparison.java
+++ b/fleet/src/main/java/martenlatch/fleet/gossip/MembershipComparison.java
@@ -10,7 +10,7 @@
 import martenlatch.gossip.PeerState;
 import org.HdrHistogram.Histogram;
 
-/** Plays cases with each way to know who lives, on the same seeds, and says what came of them. */
+/** Runs fault scenarios with each failure detector on the same seeds and reports the results. */
 public final class MembershipComparison {
 
     private static final Map<String, Membership.Maker> WAYS = new TreeMap<>(Map.of(
@@ -20,14 +20,14 @@
             "phi-accrual", (self, told, zone, seed, wire) -> new Heartbeats(true, self, told, seed, wire)));
 
     /**
-     * What one way came to over some seeds.
+     * The results of one failure detector over several seeds.
      *
-     * @param wronglyFaulty times that a member which ran was called faulty by another, for each play
-     * @param bytesPerSecond sent by a member from the fault on, on average
-     * @param worstSecond messages sent by one member in one second, the most
-     * @param firstMs until the first noticed a death, median; NaN where nobody dies
-     * @param allMs until all had, 99th percentile over seeds
-     * @param whole whether at the end all that run believe each other alive, in every play
+     * @param wronglyFaulty how often, per run, a running member was declared faulty by another
+     * @param bytesPerSecond average bytes per second that a member sends from the start of the faults on
+     * @param worstSecond maximum number of messages sent by one member in one second
+     * @param firstMs median time until the first member detects a death; NaN if no death was detected
+     * @param allMs 99th percentile over seeds of the time until all members have detected it
+     * @param whole whether in every run all running members believe each other alive at the end
      */
     public record Result(
             String way,
@@ -39,7 +39,7 @@
             double firstMs,
             double allMs,
             boolean whole) {
-        /** As a row of a table. */
+        /** Returns the result as a row of a Markdown table. */
         public String row() {
             return String.format(
                     Locale.ROOT,
@@ -62,24 +62,24 @@
 
     private MembershipComparison() {}
 
-    /** All ways there are. */
+    /** Returns the names of all failure detectors. */
     public static Set<String> ways() {
         return WAYS.keySet();
     }
 
-    /** All cases there are. */
+    /** Returns the names of all fault scenarios. */
     public static List<String> cases() {
-        return PeerCase.words();
+        return PeerCase.optionNames();
     }
 
-    /** Plays one case one way, on seeds from 1 on. */
+    /** Runs one scenario with one failure detector on the seeds 1 to {@code seeds}. */
     public static Result measure(String way, String what, int members, int seeds) {
         Membership.Maker maker = WAYS.get(way);
         if (maker == null) {
             throw new IllegalArgumentException("--ways must be of " + ways() + " but is \"" + way + "\"");
         }
-        PeerCase played = PeerCase.valueOf(named(what));
-        int wrong = 0;
+        PeerCase played = PeerCase.valueOf(constantName(what));
+        int wronglyFaulty = 0;
         long worst = 0;
         double bytes = 0;
         boolean whole = true;
@@ -87,8 +87,8 @@
         Histogram all = new Histogram(3);
         for (int seed = 1; seed <= seeds; seed++) {
             PeerSim sim = played.play(members, seed, maker);
-            wrong += sim.wronglyFaulty();
-            worst = Math.max(worst, sim.messagesOnWorstSecond());
+            wronglyFaulty += sim.wronglyFaulty();
+            worst = Math.max(worst, sim.maxMessagesPerSecond());
             for (int i = 0; i < members; i++) {
                 bytes += sim.bytes(i) / ((sim.now() - PeerCase.SETTLE_MS) / 1000) / members / seeds;
             }
@@ -96,14 +96,14 @@
                 whole = !sim.runs(i) || sim.allBelieve(i, PeerState.ALIVE);
             }
             if (played == PeerCase.KILL) {
-                detection(sim, PeerCase.one(members), first, all);
+                recordDetection(sim, PeerCase.singleTarget(members), first, all);
             }
         }
         return new Result(
                 way,
                 members,
                 what,
-                (double) wrong / seeds,
+                (double) wronglyFaulty / seeds,
                 bytes,
                 worst,
                 first.getTotalCount() == 0 ? Double.NaN : first.getValueAtPercentile(50),
@@ -111,25 +111,25 @@
                 whole);
     }
 
-    private static String named(String what) {
-        if (!PeerCase.words().contains(what)) {
+    private static String constantName(String what) {
+        if (!PeerCase.optionNames().contains(what)) {
             throw new IllegalArgumentException("--cases must be of " + cases() + " but is \"" + what + "\"");
         }
         return what.toUpperCase(Locale.ROOT).replace('-', '_');
     }
 
-    private static void detection(PeerSim sim, int dead, Histogram first, Histogram all) {
-        Set<Integer> knows = new HashSet<>();
+    private static void recordDetection(PeerSim sim, int dead, Histogram first, Histogram all) {
+        Set<Integer> detectedBy = new HashSet<>();
         List<Double> times = new ArrayList<>();
         for (PeerSim.Change change : sim.changes()) {
-            if (change.peer() == dead && change.now() == PeerState.FAULTY && knows.add(change.who())) {
+            if (change.peer() == dead && change.now() == PeerState.FAULTY && detectedBy.add(change.observer())) {
                 times.add(change.atMs() - PeerCase.SETTLE_MS);
             }
         }
         times.sort(null);
         if (!times.isEmpty()) {
             first.recordValue(Math.max(0, (long) (double) times.get(0)));
-            // Who never noticed counts as having noticed at the end.
+            // A member that never detected the death counts as having detected it at the end.
             all.recordValue(
                     times.size() < sim.size() - 1
                             ? (long) (sim.now() - PeerCase.SETTLE_MS)
--- a/fleet/src/main/java/martenlatch/fleet/gossip/PeerCase.java
+++ b/fleet/src/main/java/martenlatch/fleet/gossip/PeerCase.java
@@ -8,60 +8,65 @@
 import martenlatch.fleet.link.LinkConditions;
 
 /**
- * What befalls a fleet of members, which has had {@link #SETTLE_MS} to get to know itself. Faults begin then,
+ * A fault scenario for a fleet of members. Faults begin after {@link #SETTLE_MS}, when the members know each other,
  * and last for {@link #lastsMs}.
  */
 enum PeerCase {
     CALM(10_000, (sim, n) -> {}),
-    /** One dies. */
-    KILL(10_000, (sim, n) -> sim.kill(PeerCase.one(n))),
-    PAUSE_HALF_SECOND(500, (sim, n) -> paused(sim, i -> i == PeerCase.one(n), 500)),
-    PAUSE_2S(2000, (sim, n) -> paused(sim, i -> i == PeerCase.one(n), 2000)),
-    PAUSE_10S(10_000, (sim, n) -> paused(sim, i -> i == PeerCase.one(n), 10_000)),
-    PAUSE_THIRD_2S(2000, (sim, n) -> paused(sim, i -> i % 3 == 0, 2000)),
-    PAUSE_THIRD_10S(10_000, (sim, n) -> paused(sim, i -> i % 3 == 0, 10_000)),
-    /** One stands still for a second, again and again, with half a second between. */
+    /** One member dies. */
+    KILL(10_000, (sim, n) -> sim.kill(PeerCase.singleTarget(n))),
+    PAUSE_HALF_SECOND(500, (sim, n) -> pauseMatching(sim, i -> i == PeerCase.singleTarget(n), 500)),
+    PAUSE_2S(2000, (sim, n) -> pauseMatching(sim, i -> i == PeerCase.singleTarget(n), 2000)),
+    PAUSE_10S(10_000, (sim, n) -> pauseMatching(sim, i -> i == PeerCase.singleTarget(n), 10_000)),
+    PAUSE_THIRD_2S(2000, (sim, n) -> pauseMatching(sim, i -> i % 3 == 0, 2000)),
+    PAUSE_THIRD_10S(10_000, (sim, n) -> pauseMatching(sim, i -> i % 3 == 0, 10_000)),
+    /** One member is paused for a second, ten times, with half a second between two pauses. */
     PAUSE_AGAIN(15_000, (sim, n) -> {
         for (int i = 0; i < 10; i++) {
-            sim.at(PeerCase.SETTLE_MS + i * 1500.0, () -> sim.pause(PeerCase.one(n)));
-            sim.at(PeerCase.SETTLE_MS + i * 1500.0 + 1000, () -> sim.resume(PeerCase.one(n)));
+            sim.at(PeerCase.SETTLE_MS + i * 1500.0, () -> sim.pause(PeerCase.singleTarget(n)));
+            sim.at(PeerCase.SETTLE_MS + i * 1500.0 + 1000, () -> sim.resume(PeerCase.singleTarget(n)));
         }
     }),
-    LOSS_10(30_000, (sim, n) -> on(sim, (a, b) -> true, lossy(0.1), 30_000)),
-    LOSS_30(30_000, (sim, n) -> on(sim, (a, b) -> true, lossy(0.3), 30_000)),
-    LOSS_50(30_000, (sim, n) -> on(sim, (a, b) -> true, lossy(0.5), 30_000)),
+    LOSS_10(30_000, (sim, n) -> impairLinks(sim, (a, b) -> true, lossy(0.1), 30_000)),
+    LOSS_30(30_000, (sim, n) -> impairLinks(sim, (a, b) -> true, lossy(0.3), 30_000)),
+    LOSS_50(30_000, (sim, n) -> impairLinks(sim, (a, b) -> true, lossy(0.5), 30_000)),
     DELAY_2S(
             30_000,
-            (sim, n) -> on(
+            (sim, n) -> impairLinks(
                     sim,
                     (a, b) -> true,
                     new LinkConditions(0, 2000, 0, 0, 0, Double.POSITIVE_INFINITY, 0, false),
                     30_000)),
     REORDER_DUPLICATE(
             30_000,
-            (sim, n) -> on(
+            (sim, n) -> impairLinks(
                     sim,
                     (a, b) -> true,
                     new LinkConditions(1, 50, 0, 0.3, 0.3, Double.POSITIVE_INFINITY, 0, false),
                     30_000)),
-    /** What others send to one is lost; what it sends arrives. */
-    DEAF_ONE(15_000, (sim, n) -> on(sim, (a, b) -> b == PeerCase.one(n), LinkConditions.SILENT, 15_000)),
-    /** What one sends is lost; what others send it arrives. */
-    MUTE_ONE(15_000, (sim, n) -> on(sim, (a, b) -> a == PeerCase.one(n), LinkConditions.SILENT, 15_000)),
-    /** Between two alone, both ways. */
-    CUT_PAIR(30_000, (sim, n) -> on(sim, (a, b) -> a + b == 1, LinkConditions.SILENT, 30_000)),
-    /** From one zone to the other, and not back. */
-    ONE_WAY_ZONES(15_000, (sim, n) -> on(sim, (a, b) -> a % 2 == 0 && b % 2 == 1, LinkConditions.SILENT, 15_000)),
-    SPLIT_6S(6000, (sim, n) -> on(sim, (a, b) -> a % 2 != b % 2, LinkConditions.SILENT, 6000)),
+    /** Datagrams to one member are lost; those that it sends arrive. */
+    DEAF_ONE(
+            15_000,
+            (sim, n) -> impairLinks(sim, (a, b) -> b == PeerCase.singleTarget(n), LinkConditions.SILENT, 15_000)),
+    /** Datagrams from one member are lost; those sent to it arrive. */
+    MUTE_ONE(
+            15_000,
+            (sim, n) -> impairLinks(sim, (a, b) -> a == PeerCase.singleTarget(n), LinkConditions.SILENT, 15_000)),
+    /** The link between two members is cut in both directions. */
+    CUT_PAIR(30_000, (sim, n) -> impairLinks(sim, (a, b) -> a + b == 1, LinkConditions.SILENT, 30_000)),
+    /** Datagrams from one zone to the other are lost, but not those in the other direction. */
+    ONE_WAY_ZONES(
+            15_000, (sim, n) -> impairLinks(sim, (a, b) -> a % 2 == 0 && b % 2 == 1, LinkConditions.SILENT, 15_000)),
+    SPLIT_6S(6000, (sim, n) -> impairLinks(sim, (a, b) -> a % 2 != b % 2, LinkConditions.SILENT, 6000)),
     SPLIT_60S(60_000, (sim, n) -> {
-        on(sim, (a, b) -> a % 2 != b % 2, LinkConditions.SILENT, 60_000);
+        impairLinks(sim, (a, b) -> a % 2 != b % 2, LinkConditions.SILENT, 60_000);
         for (int i = 0; i < n; i += 2 * Math.max(1, n / 10)) {
             int number = i;
             sim.at(PeerCase.SETTLE_MS + 20_000, () -> sim.kill(number));
             sim.at(PeerCase.SETTLE_MS + 23_000, () -> sim.start(number));
         }
     }),
-    SPLIT_IN_THREE(15_000, (sim, n) -> on(sim, (a, b) -> a % 3 != b % 3, LinkConditions.SILENT, 15_000)),
+    SPLIT_IN_THREE(15_000, (sim, n) -> impairLinks(sim, (a, b) -> a % 3 != b % 3, LinkConditions.SILENT, 15_000)),
     SEVEN_IN_TEN_KILLED(5000, (sim, n) -> {
         for (int i = 0; i < n; i++) {
             if (i % 10 < 7) {
@@ -87,19 +92,19 @@
         }
     });
 
-    /** So long a fleet that starts all at once has to know itself. */
+    /** Time for a fleet whose members start together to learn of each other. */
     static final double SETTLE_MS = 15_000;
-    /** And so long after the last fault to know itself again. */
-    static final double AFTER_MS = 20_000;
+    /** Time to recover after the last fault. */
+    static final double RECOVERY_MS = 20_000;
 
-    /** Puts its faults into a run that stands at their beginning. */
+    /** Schedules the faults in a simulation that has reached their start. */
     interface Plan {
-        void into(PeerSim sim, int members);
+        void schedule(PeerSim sim, int members);
     }
 
-    /** Which of two: a sender and a receiver. */
+    /** Selects links by sender and receiver. */
     interface Pair {
-        boolean is(int from, int to);
+        boolean matches(int from, int to);
     }
 
     private final double lastsMs;
@@ -114,37 +119,37 @@
         return lastsMs;
     }
 
-    String word() {
+    String optionName() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** Whom a fault of one hits. */
-    static int one(int members) {
+    /** Returns the member that a fault of a single member affects. */
+    static int singleTarget(int members) {
         return members / 2;
     }
 
-    static List<String> words() {
-        return Arrays.stream(values()).map(PeerCase::word).toList();
+    static List<String> optionNames() {
+        return Arrays.stream(values()).map(PeerCase::optionName).toList();
     }
 
-    /** Plays it: a fleet starts all at once, the faults come, and time to get over them. */
+    /** Runs the scenario: starts all members together, applies the faults and leaves time to recover. */
     PeerSim play(int members, long seed, Membership.Maker maker) {
         PeerSim sim = new PeerSim(members, 2, seed, maker);
         sim.startAll(1000);
         sim.runUntil(SETTLE_MS);
-        sim.countBytes();
-        into(sim);
+        sim.resetByteCounts();
+        schedule(sim);
         sim.runUntil(SETTLE_MS + lastsMs);
-        sim.runUntil(SETTLE_MS + lastsMs + AFTER_MS);
+        sim.runUntil(SETTLE_MS + lastsMs + RECOVERY_MS);
         return sim;
     }
 
-    /** Puts its faults into a run that stands at their beginning. */
-    void into(PeerSim sim) {
-        plan.into(sim, sim.size());
+    /** Schedules the faults in a simulation that has reached their start. */
+    void schedule(PeerSim sim) {
+        plan.schedule(sim, sim.size());
     }
 
-    private static void paused(PeerSim sim, IntPredicate who, double forMs) {
+    private static void pauseMatching(PeerSim sim, IntPredicate who, double forMs) {
         for (int i = 0; i < sim.size(); i++) {
             if (who.test(i)) {
                 int number = i;
@@ -158,10 +163,10 @@
         return new LinkConditions(0, 0, share, 0, 0, Double.POSITIVE_INFINITY, 0, false);
     }
 
-    private static void on(PeerSim sim, Pair which, LinkConditions conduct, double forMs) {
+    private static void impairLinks(PeerSim sim, Pair which, LinkConditions conditions, double forMs) {
         BiFunction<Integer, Integer, LinkConditions> links =
-                (from, to) -> which.is(from, to) ? conduct : LinkConditions.CLEAR;
-        sim.links(links);
-        sim.at(SETTLE_MS + forMs, () -> sim.links((from, to) -> LinkConditions.CLEAR));
+                (from, to) -> which.matches(from, to) ? conditions : LinkConditions.CLEAR;
+        sim.setLinks(links);
+        sim.at(SETTLE_MS + forMs, () -> sim.setLinks((from, to) -> LinkConditions.CLEAR));
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/gossip/PeerSim.java
+++ b/fleet/src/main/java/martenlatch/fleet/gossip/PeerSim.java
@@ -13,33 +13,33 @@
 import martenlatch.gossip.PeerState;
 
 /**
- * A fleet of members in simulated time, each on its own, with links between them that have a conduct for each
- * direction. What is paused keeps what comes to it, as a socket does, up to a bound.
+ * Simulates a fleet of members and the links between them, with separate conditions for each direction. A paused
+ * member buffers incoming datagrams up to a limit, as a socket does.
  */
 final class PeerSim {
 
-    /** Within a data centre, one way. */
-    private static final double BASE_MS = 0.3;
-    /** What a socket holds of small datagrams by Linux' usual settings. */
-    private static final int SOCKET = 250;
+    /** One-way latency within a data centre. */
+    private static final double BASE_LATENCY_MS = 0.3;
+    /** How many small datagrams a socket buffers under Linux's default settings. */
+    private static final int SOCKET_BUFFER_DATAGRAMS = 250;
 
     private static final double SECOND_MS = 1000;
 
-    /** Who was paused or down is owed this much time to show that it is back. */
-    private static final double SETTLED_MS = 2000;
+    /** Grace period after a start or resume, in which a member declared faulty does not count as wrongly faulty. */
+    private static final double GRACE_MS = 2000;
 
-    /** What a member has come to believe of another. */
-    record Change(double atMs, int who, int peer, PeerState before, PeerState now) {}
+    /** A change of the state that one member holds for another. */
+    record Change(double atMs, int observer, int peer, PeerState before, PeerState now) {}
 
     private final class Node {
         private final int number;
-        private final Deque<Runnable> waiting = new ArrayDeque<>();
+        private final Deque<Runnable> deferred = new ArrayDeque<>();
         private Membership member;
         private boolean paused;
         private boolean alive;
-        private int life;
+        private int startCount;
         private double runningSince;
-        private double offMs;
+        private double clockOffsetMs;
         private long bytes;
         private long[] messagesBySecond = new long[64];
 
@@ -47,38 +47,38 @@
             this.number = number;
         }
 
-        void enter(int of, Runnable work) {
-            if (!alive || of != life) {
+        void runInProcess(int expectedStart, Runnable work) {
+            if (!alive || expectedStart != startCount) {
                 return;
             }
             if (!paused) {
                 work.run();
-            } else if (waiting.size() < SOCKET) {
-                waiting.add(work);
+            } else if (deferred.size() < SOCKET_BUFFER_DATAGRAMS) {
+                deferred.add(work);
             }
         }
 
-        void tickAt(double due, int of) {
-            time.after(due - clock(), () -> tick(of));
+        void tickAt(double due, int expectedStart) {
+            time.after(due - clock(), () -> tick(expectedStart));
         }
 
         private double clock() {
-            return time.now() + offMs;
+            return time.now() + clockOffsetMs;
         }
 
-        private void tick(int of) {
-            if (!alive || of != life) {
+        private void tick(int expectedStart) {
+            if (!alive || expectedStart != startCount) {
                 return;
             }
             if (paused) {
-                // A timer is due once, however long the process stands.
-                late = true;
+                // A timer fires once, however long the process is paused.
+                tickOverdue = true;
                 return;
             }
-            tickAt(member.tick(clock()), of);
+            tickAt(member.tick(clock()), expectedStart);
         }
 
-        private boolean late;
+        private boolean tickOverdue;
     }
 
     private final VirtualTime time = new VirtualTime();
@@ -109,14 +109,14 @@
         Node node = nodes[number];
         node.alive = true;
         node.paused = false;
-        node.life++;
+        node.startCount++;
         node.runningSince = time.elapsed();
-        node.waiting.clear();
-        int of = node.life;
+        node.deferred.clear();
+        int expectedStart = node.startCount;
         Membership.Wire wire = new Membership.Wire() {
             @Override
             public void send(int to, byte[] datagram) {
-                if (of == node.life) {
+                if (expectedStart == node.startCount) {
                     PeerSim.this.send(number, to, datagram);
                 }
             }
@@ -128,18 +128,18 @@
                 if (now == PeerState.FAULTY
                         && subject.alive
                         && !subject.paused
-                        && time.elapsed() - subject.runningSince > SETTLED_MS) {
+                        && time.elapsed() - subject.runningSince > GRACE_MS) {
                     wronglyFaulty++;
                 }
             }
         };
         node.member = maker.make(number, nodes.length, number % zones, random.nextLong(), wire);
-        node.tickAt(node.member.start(node.clock()), of);
+        node.tickAt(node.member.start(node.clock()), expectedStart);
     }
 
-    /** Starts it with a clock that is off by so many milliseconds. */
-    void startWithClock(int number, double offMs) {
-        nodes[number].offMs = offMs;
+    /** Starts a member whose clock differs from the simulation's by {@code offMs} milliseconds. */
+    void startWithClock(int number, double clockOffsetMs) {
+        nodes[number].clockOffsetMs = clockOffsetMs;
         start(number);
     }
 
@@ -152,15 +152,15 @@
 
     void kill(int number) {
         nodes[number].alive = false;
-        nodes[number].life++;
+        nodes[number].startCount++;
     }
 
     void leave(int number, double afterMs) {
         Node node = nodes[number];
-        int of = node.life;
-        node.enter(of, () -> node.member.leave(node.clock()));
+        int expectedStart = node.startCount;
+        node.runInProcess(expectedStart, () -> node.member.leave(node.clock()));
         time.after(afterMs, () -> {
-            if (of == node.life) {
+            if (expectedStart == node.startCount) {
                 kill(number);
             }
         });
@@ -177,26 +177,26 @@
         }
         node.paused = false;
         node.runningSince = time.elapsed();
-        // A loop runs what is due first, or reads first what has come: either may be.
+        // An event loop may run due timers before or after it reads pending datagrams.
         boolean timersFirst = random.nextBoolean();
         if (timersFirst) {
-            overdue(node);
+            runOverdueTick(node);
         }
-        while (!node.waiting.isEmpty() && !node.paused) {
-            node.waiting.poll().run();
+        while (!node.deferred.isEmpty() && !node.paused) {
+            node.deferred.poll().run();
         }
-        overdue(node);
+        runOverdueTick(node);
     }
 
-    private static void overdue(Node node) {
-        if (node.late) {
-            node.late = false;
-            node.tick(node.life);
+    private static void runOverdueTick(Node node) {
+        if (node.tickOverdue) {
+            node.tickOverdue = false;
+            node.tick(node.startCount);
         }
     }
 
-    /** How links are from now on, by sender and receiver. */
-    void links(BiFunction<Integer, Integer, LinkConditions> next) {
+    /** Sets the link conditions from now on, by sender and receiver. */
+    void setLinks(BiFunction<Integer, Integer, LinkConditions> next) {
         links = next;
     }
 
@@ -214,13 +214,13 @@
         for (double at : model.datagramArrivalsMs(now, datagram.length)) {
             Node receiver = nodes[to];
             time.after(
-                    at - now + BASE_MS,
-                    () -> receiver.enter(
-                            receiver.life, () -> receiver.member.receive(receiver.clock(), from, datagram)));
+                    at - now + BASE_LATENCY_MS,
+                    () -> receiver.runInProcess(
+                            receiver.startCount, () -> receiver.member.receive(receiver.clock(), from, datagram)));
         }
     }
 
-    // ---- what came of it ----
+    // ---- time and results ----
 
     void at(double ms, Runnable work) {
         time.after(ms - time.elapsed(), work);
@@ -258,24 +258,24 @@
         return changes;
     }
 
-    /** Times that a member was called faulty by another, though both ran, and had for a while. */
+    /** Returns how often a member was declared faulty although it had been running for longer than the grace period. */
     int wronglyFaulty() {
         return wronglyFaulty;
     }
 
-    /** Sent since {@link #countBytes}. */
+    /** Returns the bytes that a member has sent since {@link #resetByteCounts}. */
     long bytes(int number) {
         return nodes[number].bytes;
     }
 
-    /** From here on. */
-    void countBytes() {
+    /** Restarts the byte counts of all members at 0. */
+    void resetByteCounts() {
         for (Node node : nodes) {
             node.bytes = 0;
         }
     }
 
-    long messagesOnWorstSecond() {
+    long maxMessagesPerSecond() {
         long worst = 0;
         for (Node node : nodes) {
             for (long count : node.messagesBySecond) {
@@ -285,7 +285,7 @@
         return worst;
     }
 
-    /** Whether all who run believe this of a member. */
+    /** Returns whether all other running members hold this state for a member. */
     boolean allBelieve(int of, PeerState state) {
         for (Node node : nodes) {
             if (node.number != of && node.alive && !node.paused && node.member.state(of) != state) {
--- a/fleet/src/main/java/martenlatch/fleet/gossip/package-info.java
+++ b/fleet/src/main/java/martenlatch/fleet/gossip/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Membership among sidecars in simulated time: the program's own module beside plain heartbeats, phi accrual
- * and plain SWIM, over links with conduct, with pauses, kills and restarts. It uses links' models, simulated
- * time and the sidecar's room peers, and no socket.
+ * Compares the sidecars' gossip membership with plain heartbeats, phi accrual and plain SWIM in simulated time, over
+ * impaired links and with pauses, kills and restarts. Depends on the link models, simulated time and the sidecar's
+ * peers package, and opens no socket.
  */
 package martenlatch.fleet.gossip;
--- a/fleet/src/test/java/martenlatch/fleet/gossip/PeerSimTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/gossip/PeerSimTest.java
@@ -15,100 +15,101 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What may befall a fleet, over 1,000 plays in all. */
+/** Tests gossip membership under faults, in over 1,000 simulated runs. */
 class PeerSimTest {
 
     private static final int SEEDS = 40;
-    private static final double BACK_MS = 2000;
+    private static final double RECOVERY_MS = 2000;
 
     private static int members(int seed) {
         return 8 + seed % 9;
     }
 
-    /** Nobody that runs is called faulty, and after each fault all know each other again. */
+    /** No running member is declared faulty, and after each fault all members believe each other alive again. */
     @ParameterizedTest
     @EnumSource(
             mode = EnumSource.Mode.EXCLUDE,
             names = {"MUTE_ONE", "KILL", "LOSS_50"})
-    void nobodyThatRunsIsCalledFaulty(PeerCase what) {
+    void runningMembersAreNotDeclaredFaulty(PeerCase what) {
         for (int seed = 1; seed <= SEEDS; seed++) {
             PeerSim sim = what.play(members(seed), seed, GossipUnderTest::new);
             assertEquals(0, sim.wronglyFaulty(), what + " with seed " + seed);
-            assertWhole(sim, what + " with seed " + seed);
+            assertAllBelieveEachOtherAlive(sim, what + " with seed " + seed);
         }
     }
 
-    private static void assertWhole(PeerSim sim, String what) {
+    private static void assertAllBelieveEachOtherAlive(PeerSim sim, String what) {
         for (int i = 0; i < sim.size(); i++) {
             if (sim.runs(i)) {
-                assertTrue(sim.allBelieve(i, PeerState.ALIVE), what + ": " + i + " is not known to live");
+                assertTrue(sim.allBelieve(i, PeerState.ALIVE), what + ": " + i + " is not believed alive");
             }
         }
     }
 
-    /** With half of all messages lost some accusation may go through; the fleet is whole soon after. */
+    /** With half of all messages lost, a few members may be declared faulty; all are alive in every view soon after. */
     @ParameterizedTest
     @EnumSource(
             mode = EnumSource.Mode.INCLUDE,
             names = {"MUTE_ONE", "LOSS_50"})
-    void whoCannotBeHeardIsBackWhenItCan(PeerCase what) {
+    void unheardMembersRecoverAfterTheFault(PeerCase what) {
         int wrong = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
             PeerSim sim = what.play(members(seed), seed, GossipUnderTest::new);
-            assertWhole(sim, what + " with seed " + seed);
+            assertAllBelieveEachOtherAlive(sim, what + " with seed " + seed);
             wrong += what == PeerCase.LOSS_50 ? sim.wronglyFaulty() : 0;
         }
-        assertTrue(wrong <= SEEDS, "called faulty: " + wrong);
+        assertTrue(wrong <= SEEDS, "members declared faulty: " + wrong);
     }
 
     @Test
-    void aDeathIsKnownToAllSoon() {
+    void deathIsDetectedByAllMembers() {
         for (int seed = 1; seed <= SEEDS; seed++) {
             int members = members(seed);
             PeerSim sim = PeerCase.KILL.play(members, seed, GossipUnderTest::new);
-            int dead = PeerCase.one(members);
+            int dead = PeerCase.singleTarget(members);
             Map<Integer, Double> at = new HashMap<>();
             sim.changes().stream()
                     .filter(one -> one.peer() == dead && one.now() == PeerState.FAULTY)
-                    .forEach(one -> at.putIfAbsent(one.who(), one.atMs() - PeerCase.SETTLE_MS));
+                    .forEach(one -> at.putIfAbsent(one.observer(), one.atMs() - PeerCase.SETTLE_MS));
             assertEquals(members - 1, at.size(), "seed " + seed);
             assertTrue(at.values().stream().allMatch(ms -> ms < 7000), "seed " + seed + ": " + at);
         }
     }
 
-    /** However long it stood still, and so did a third of all: back in every view within two seconds. */
+    /** A paused member, or a third of all, is alive in every view within two seconds, whatever the length of the pause. */
     @ParameterizedTest
     @EnumSource(
             mode = EnumSource.Mode.INCLUDE,
             names = {"PAUSE_HALF_SECOND", "PAUSE_2S", "PAUSE_10S", "PAUSE_THIRD_2S", "PAUSE_THIRD_10S"})
-    void whoWakesIsBackWithinTwoSeconds(PeerCase what) {
+    void resumedMembersAreAliveWithinTwoSeconds(PeerCase what) {
         for (int seed = 1; seed <= SEEDS / 4; seed++) {
             PeerSim sim = new PeerSim(members(seed), 2, seed, GossipUnderTest::new);
             sim.startAll(1000);
             sim.runUntil(PeerCase.SETTLE_MS);
-            what.into(sim);
-            sim.runUntil(PeerCase.SETTLE_MS + what.lastsMs() + BACK_MS);
-            assertWhole(sim, what + " with seed " + seed);
+            what.schedule(sim);
+            sim.runUntil(PeerCase.SETTLE_MS + what.lastsMs() + RECOVERY_MS);
+            assertAllBelieveEachOtherAlive(sim, what + " with seed " + seed);
         }
     }
 
     /**
-     * What ran out while it stood still speaks against nobody. A tenth of all is lost, so that something is
-     * out whenever it stops; that alone has one in some plays accused (11 plays of 40 without the notice).
+     * Timeouts that expired during a member's own pause must not make it suspect others. A tenth of all messages is
+     * lost, so that a probe is outstanding at each pause; without detection of pauses, members were suspected in 11 of
+     * 40 runs.
      */
     @Test
-    void whoWakesAccusesNobody() {
+    void resumedMemberSuspectsNobody() {
         int accused = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
             PeerSim sim = new PeerSim(members(seed), 2, seed, GossipUnderTest::new);
             sim.startAll(1000);
-            sim.links((from, to) -> new LinkConditions(0, 0, 0.1, 0, 0, Double.POSITIVE_INFINITY, 0, false));
+            sim.setLinks((from, to) -> new LinkConditions(0, 0, 0.1, 0, 0, Double.POSITIVE_INFINITY, 0, false));
             sim.runUntil(PeerCase.SETTLE_MS);
-            PeerCase.PAUSE_AGAIN.into(sim);
-            sim.runUntil(PeerCase.SETTLE_MS + PeerCase.PAUSE_AGAIN.lastsMs() + BACK_MS);
-            int paused = PeerCase.one(sim.size());
+            PeerCase.PAUSE_AGAIN.schedule(sim);
+            sim.runUntil(PeerCase.SETTLE_MS + PeerCase.PAUSE_AGAIN.lastsMs() + RECOVERY_MS);
+            int paused = PeerCase.singleTarget(sim.size());
             accused += sim.changes().stream()
-                            .anyMatch(one -> one.who() == paused
+                            .anyMatch(one -> one.observer() == paused
                                     && one.atMs() >= PeerCase.SETTLE_MS
                                     && one.now() == PeerState.SUSPECT)
                     ? 1
@@ -117,33 +118,33 @@
         assertTrue(accused <= 3, accused + " of " + SEEDS + " plays");
     }
 
-    /** A life that is over does not come back by what is still on its way. */
+    /** A dead member does not become alive again through messages that are still in transit. */
     @Test
-    void aDeadLifeStaysDead() {
+    void deadMemberIsNotRevivedByLateMessages() {
         for (int seed = 1; seed <= SEEDS; seed++) {
             PeerSim sim = PeerCase.KILL.play(members(seed), seed, GossipUnderTest::new);
-            int dead = PeerCase.one(sim.size());
+            int dead = PeerCase.singleTarget(sim.size());
             List<PeerSim.Change> after = new ArrayList<>();
             Map<Integer, Boolean> faulty = new HashMap<>();
             for (PeerSim.Change one : sim.changes()) {
-                if (one.peer() == dead && Boolean.TRUE.equals(faulty.get(one.who()))) {
+                if (one.peer() == dead && Boolean.TRUE.equals(faulty.get(one.observer()))) {
                     after.add(one);
                 }
                 if (one.peer() == dead && one.now() == PeerState.FAULTY) {
-                    faulty.put(one.who(), true);
+                    faulty.put(one.observer(), true);
                 }
             }
             assertEquals(List.of(), after, "seed " + seed);
         }
     }
 
-    /** In a split each half knows itself for sure, and does not take the other for dead. */
+    /** In a split, each half is certain of its own members and does not declare the other half dead. */
     @Test
-    void aSplitIsSeenAsOne() {
+    void splitIsDetectedByBothHalves() {
         PeerSim sim = new PeerSim(12, 2, 3, GossipUnderTest::new);
         sim.startAll(1000);
         sim.runUntil(PeerCase.SETTLE_MS);
-        PeerCase.SPLIT_60S.into(sim);
+        PeerCase.SPLIT_60S.schedule(sim);
         sim.runUntil(PeerCase.SETTLE_MS + 15_000);
         for (int i = 0; i < 12; i++) {
             PeerView view = ((GossipUnderTest) sim.member(i)).view(sim.clock());
@@ -155,47 +156,47 @@
         }
     }
 
-    /** Who hears nobody takes itself to be cut off, and says so; who is heard by all still lives for them. */
+    /** A member that receives nothing reports itself as cut off; members that still receive from it believe it alive. */
     @Test
-    void whoHearsNobodyIsCutOff() {
+    void memberThatReceivesNothingReportsItselfCutOff() {
         PeerSim sim = new PeerSim(12, 2, 4, GossipUnderTest::new);
         sim.startAll(1000);
         sim.runUntil(PeerCase.SETTLE_MS);
-        PeerCase.DEAF_ONE.into(sim);
+        PeerCase.DEAF_ONE.schedule(sim);
         sim.runUntil(PeerCase.SETTLE_MS + 10_000);
-        PeerView view = ((GossipUnderTest) sim.member(PeerCase.one(12))).view(sim.clock());
+        PeerView view = ((GossipUnderTest) sim.member(PeerCase.singleTarget(12))).view(sim.clock());
         assertTrue(view.cutOff(), view.toString());
         assertEquals(1, view.atLeast());
         assertEquals(12, view.atMost());
-        assertTrue(sim.allBelieve(PeerCase.one(12), PeerState.ALIVE));
+        assertTrue(sim.allBelieve(PeerCase.singleTarget(12), PeerState.ALIVE));
     }
 
-    /** A process whose clock was set back starts with a number below that of its life before. */
+    /** A process whose clock was set back starts with a lower incarnation than before, and must overtake it. */
     @Test
-    void aClockSetBackIsOvercome() {
+    void memberWithClockSetBackRejoins() {
         PeerSim sim = new PeerSim(10, 2, 6, GossipUnderTest::new);
         sim.startAll(1000);
         sim.runUntil(PeerCase.SETTLE_MS);
-        long before = ((GossipUnderTest) sim.member(3)).peers().incarnation();
+        long before = ((GossipUnderTest) sim.member(3)).membership().incarnation();
         sim.kill(3);
         sim.startWithClock(3, -3600_000);
         sim.runUntil(PeerCase.SETTLE_MS + 5000);
         assertTrue(sim.allBelieve(3, PeerState.ALIVE));
-        assertTrue(((GossipUnderTest) sim.member(3)).peers().incarnation() > before);
+        assertTrue(((GossipUnderTest) sim.member(3)).membership().incarnation() > before);
     }
 
-    /** What a member sends does not grow with the fleet. */
+    /** The bytes that a member sends do not grow with the size of the fleet. */
     @ParameterizedTest
     @ValueSource(ints = {10, 300})
-    void bytesDoNotGrowWithTheFleet(int members) {
+    void bytesDoNotGrowWithFleetSize(int members) {
         MembershipComparison.Result calm = MembershipComparison.measure("ours", "calm", members, 1);
         assertTrue(calm.bytesPerSecond() < 200 && calm.whole(), calm.toString());
         assertEquals(0, calm.wronglyFaulty());
     }
 
-    /** On the same seeds plain SWIM calls many more faulty: what is measured can tell them apart. */
+    /** On the same seeds, plain SWIM declares many more members faulty: the comparison distinguishes detectors. */
     @Test
-    void plainSwimDoesWorseOnTheSameSeeds() {
+    void plainSwimDeclaresMoreMembersFaultyOnTheSameSeeds() {
         for (String what : List.of("loss-30", "deaf-one", "one-way-zones", "split-6s")) {
             MembershipComparison.Result ours = MembershipComparison.measure("ours", what, 30, 2);
             MembershipComparison.Result swim = MembershipComparison.measure("swim", what, 30, 2);
