--- a/fleet/src/main/java/martenlatch/fleet/launch/DeployFile.java
+++ b/fleet/src/main/java/martenlatch/fleet/launch/DeployFile.java
@@ -10,65 +10,70 @@
 import martenlatch.toml.TomlFile;
 
 /**
- * How a deployment starts a sidecar, as {@code deploy/balancer.toml} says.
+ * The command that starts a sidecar in a deployment, read from {@code deploy/balancer.toml}.
  *
- * @param root the folder that the command's paths start from
- * @param command the program and what it is told, the shell's part left out
+ * @param root the directory that relative paths in the command refer to
+ * @param command the program and its arguments, without the shell's {@code exec}
  */
 public record DeployFile(Path root, List<String> command) {
 
-    private static final String EXEC = "exec ";
-    private static final String JAR = "-jar";
-    private static final String ARCHIVE = "-XX:SharedArchiveFile=";
+    private static final String EXEC_PREFIX = "exec ";
+    private static final String JAR_OPTION = "-jar";
+    private static final String ARCHIVE_OPTION = "-XX:SharedArchiveFile=";
 
-    /** Reads the file of a checkout; what can't be used is an exception that names field and value. */
+    /** Reads the deploy file of a checkout.
+     *
+     * @throws IllegalArgumentException if the command cannot be used; the message names the field and its value */
     public static DeployFile read(Path root) throws IOException {
         JsonNode run = TomlFile.read(root.resolve("deploy/balancer.toml")).path("run");
         String line = run.asText("");
-        if (!line.startsWith(EXEC) || line.chars().anyMatch(c -> "\"'$`|&;<>(){}\\".indexOf(c) >= 0)) {
+        if (!line.startsWith(EXEC_PREFIX) || line.chars().anyMatch(c -> "\"'$`|&;<>(){}\\".indexOf(c) >= 0)) {
             throw new IllegalArgumentException("run must be exec and a plain command but is " + run);
         }
-        List<String> words = Arrays.asList(line.substring(EXEC.length()).trim().split("\\s+"));
-        int at = words.indexOf(JAR);
+        List<String> words =
+                Arrays.asList(line.substring(EXEC_PREFIX.length()).trim().split("\\s+"));
+        int at = words.indexOf(JAR_OPTION);
         if (at < 0 || at + 1 >= words.size()) {
             throw new IllegalArgumentException("run must name a jar by -jar but is " + run);
         }
         return new DeployFile(root, List.copyOf(words));
     }
 
-    /** The jar that it names, in full. */
+    /** Returns the path of the jar that the command starts. */
     public Path jar() {
-        return root.resolve(command.get(command.indexOf(JAR) + 1));
+        return root.resolve(command.get(command.indexOf(JAR_OPTION) + 1));
     }
 
-    /** The same command with one word more at its end. */
-    public DeployFile and(String word) {
+    /** Returns the same command with {@code word} appended. */
+    public DeployFile withArgument(String word) {
         List<String> next = new ArrayList<>(command);
         next.add(word);
         return new DeployFile(root, List.copyOf(next));
     }
 
     /**
-     * The same command with another build's jar; a class archive fits one build only, and is left out
-     * unless it stands beside that jar. A jar that is not there is an exception that names it.
+     * Returns the same command with the jar of another build. A class archive fits one build only, so it is left out
+     * unless that build's archive is next to its jar.
+     *
+     * @throws IllegalArgumentException if the jar does not exist
      */
-    public DeployFile with(Path jar) {
+    public DeployFile withJar(Path jar) {
         if (!Files.isRegularFile(jar)) {
             throw new IllegalArgumentException("the jar is not built: " + jar);
         }
         List<String> next = new ArrayList<>();
         for (String word : command) {
-            if (word.startsWith(ARCHIVE)) {
+            if (word.startsWith(ARCHIVE_OPTION)) {
                 Path archive = jar.resolveSibling(
-                        Path.of(word.substring(ARCHIVE.length())).getFileName());
+                        Path.of(word.substring(ARCHIVE_OPTION.length())).getFileName());
                 if (Files.isRegularFile(archive)) {
-                    next.add(ARCHIVE + archive.toAbsolutePath());
+                    next.add(ARCHIVE_OPTION + archive.toAbsolutePath());
                 }
             } else {
                 next.add(word);
             }
         }
-        next.set(next.indexOf(JAR) + 1, jar.toAbsolutePath().toString());
+        next.set(next.indexOf(JAR_OPTION) + 1, jar.toAbsolutePath().toString());
         return new DeployFile(root, List.copyOf(next));
     }
 }
--- a/fleet/src/main/java/martenlatch/fleet/launch/Reaper.java
+++ b/fleet/src/main/java/martenlatch/fleet/launch/Reaper.java
@@ -16,16 +16,16 @@
 import java.util.stream.Stream;
 
 /**
- * Keeps a rig's folder, and sees to it that neither its processes nor the folder outlive the rig: each
- * process that is started is written into a file, by its id and its start time (an id alone may be
- * another's by then), and a shell that waits for the rig's end, however that comes, ends those in the file.
- * Should that shell be killed too, the next start of a rig does its work.
+ * Owns the rig's directory and ensures that neither its processes nor the directory outlive the rig. Each started
+ * process is recorded in a file with its id and start time, because an id alone may have been reused. A shell waits
+ * for the rig to end for whatever reason, then kills the recorded processes. If the shell is killed too, the next
+ * start of a rig cleans up.
  */
 public final class Reaper implements Closeable {
 
     private static final String PREFIX = "martenlatch-fleet-";
-    private static final String FILE = "processes";
-    private static final int START_FIELD = 19;
+    private static final String PROCESSES_FILE = "processes";
+    private static final int START_TIME_FIELD = 19;
     private static final String SCRIPT = """
         trap '' INT TERM HUP
         cat >/dev/null
@@ -45,14 +45,15 @@
         this.shell = shell;
     }
 
-    /** Cleans up after rigs that are gone, and begins a folder for this one under {@code parent}. */
+    /** Cleans up after rigs that have ended and creates a directory for this one under {@code parent}. */
     public static Reaper begin(Path parent) throws IOException {
         cleanUp(parent);
         Path folder = Files.createTempDirectory(parent, PREFIX);
         Files.writeString(
-                folder.resolve("owner"), line(ProcessHandle.current().pid()).orElse(""));
-        Files.createFile(folder.resolve(FILE));
-        // A group of its own, so that Ctrl-C at a terminal is the rig's alone.
+                folder.resolve("owner"),
+                processEntry(ProcessHandle.current().pid()).orElse(""));
+        Files.createFile(folder.resolve(PROCESSES_FILE));
+        // Runs in its own process group, so that Ctrl-C in a terminal does not reach it.
         Process shell = new ProcessBuilder("setsid", "sh", "-c", SCRIPT, "reaper", folder.toString())
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
@@ -60,62 +61,62 @@
         return new Reaper(folder, shell);
     }
 
-    /** Where the rig keeps its files. */
+    /** Returns the directory for the rig's files. */
     public Path folder() {
         return folder;
     }
 
-    /** A process that must not outlive the rig. */
-    void mind(long pid) {
-        line(pid).ifPresent(line -> {
+    /** Records a process that must not outlive the rig. */
+    void register(long pid) {
+        processEntry(pid).ifPresent(entry -> {
             try {
-                Files.writeString(folder.resolve(FILE), line + "\n", StandardOpenOption.APPEND);
+                Files.writeString(folder.resolve(PROCESSES_FILE), entry + "\n", StandardOpenOption.APPEND);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         });
     }
 
-    /** A process by id and start time, if it is there. */
-    private static Optional<String> line(long pid) {
+    /** Returns the id and start time of a process, or empty if it does not exist. */
+    private static Optional<String> processEntry(long pid) {
         try {
             String stat = Files.readString(Path.of("/proc/" + pid + "/stat"), StandardCharsets.ISO_8859_1);
-            // Its name, in brackets, may hold anything; what follows is numbers (proc(5)).
+            // The process name, in brackets, may contain anything; the fields after it are numbers (proc(5)).
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            return Optional.of(pid + " " + fields[START_FIELD]);
+            return Optional.of(pid + " " + fields[START_TIME_FIELD]);
         } catch (IOException e) {
             return Optional.empty();
         }
     }
 
-    /** Ends what rigs have left that are gone; true if there was any such. */
+    /** Kills the processes and deletes the directories of rigs that have ended; returns whether there were any. */
     static boolean cleanUp(Path parent) throws IOException {
         List<Path> folders;
         try (Stream<Path> all = Files.list(parent)) {
             folders = all.filter(path -> path.getFileName().toString().startsWith(PREFIX))
                     .toList();
         }
-        boolean any = false;
+        boolean foundAny = false;
         for (Path one : folders) {
             Path owner = one.resolve("owner");
             if (!Files.isRegularFile(owner) || isAlive(Files.readString(owner))) {
                 continue;
             }
-            any = true;
-            for (String line : Files.readAllLines(one.resolve(FILE))) {
-                if (isAlive(line)) {
-                    ProcessHandle.of(Long.parseLong(line.split(" ")[0])).ifPresent(ProcessHandle::destroyForcibly);
+            foundAny = true;
+            for (String entry : Files.readAllLines(one.resolve(PROCESSES_FILE))) {
+                if (isAlive(entry)) {
+                    ProcessHandle.of(Long.parseLong(entry.split(" ")[0])).ifPresent(ProcessHandle::destroyForcibly);
                 }
             }
             delete(one);
         }
-        return any;
+        return foundAny;
     }
 
-    private static boolean isAlive(String line) {
-        return !line.isBlank()
-                && line(Long.parseLong(line.split(" ")[0]))
-                        .filter(line.trim()::equals)
+    private static boolean isAlive(String entry) {
+        return !entry.isBlank()
+                && processEntry(Long.parseLong(entry.split(" ")[0]))
+                        .filter(entry.trim()::equals)
                         .isPresent();
     }
 
@@ -129,7 +130,7 @@
 
             @Override
             public FileVisitResult visitFileFailed(Path file, IOException e) {
-                // Its reaper may be at work at the same time.
+                // The reaper shell of that rig may be deleting files at the same time.
                 return FileVisitResult.CONTINUE;
             }
 
@@ -141,7 +142,7 @@
         });
     }
 
-    /** Ends whatever is left, and waits until it is gone. */
+    /** Kills all remaining processes and waits until the reaper shell has finished. */
     @Override
     public void close() throws IOException {
         shell.getOutputStream().close();
--- a/fleet/src/main/java/martenlatch/fleet/launch/SidecarProcess.java
+++ b/fleet/src/main/java/martenlatch/fleet/launch/SidecarProcess.java
@@ -21,35 +21,35 @@
 import java.util.function.Function;
 
 /**
- * One sidecar under one name: its process, and the next one when that has ended. It listens at the address
- * at which its first process came to listen. Calls come from one thread; {@link Watch} hears from others.
+ * One named sidecar: its current process, and the next one after that has ended. All its processes listen at the
+ * address that the first one was given. Methods are called from one thread; {@link Watch} is called from others.
  */
 public final class SidecarProcess {
 
-    /** Hears of a process, on a thread of its own for each. */
+    /** Receives the events of a process, on a separate thread for each process. */
     public interface Watch {
-        /** A line of its log. */
+        /** Called for each line of its log. */
         void line(String name, String line);
 
-        /** It has ended, with this status. */
+        /** Called when it has ended, with its exit status. */
         void ended(String name, int status);
     }
 
-    /** How a signal came out. */
+    /** The result of {@link #pause}. */
     public enum Stop {
         STOPPED,
         NOT_STOPPED
     }
 
-    private static final String LISTENS = "martenlatch: listening on /";
-    private static final String SERVES = "martenlatch: serving on ";
+    private static final String LISTENING_LINE = "martenlatch: listening on /";
+    private static final String SERVING_LINE = "martenlatch: serving on ";
     private static final int STATE_POLLS = 100;
 
     private final String name;
     private final Path folder;
     private final Reaper reaper;
     private final Watch watch;
-    /** Its configuration, by the address to listen at. */
+    /** Creates the configuration for a listen address. */
     private final Function<InetSocketAddress, String> config;
 
     private InetSocketAddress listen;
@@ -58,9 +58,9 @@
     private CompletableFuture<Void> serving;
 
     /**
-     * A sidecar that has not begun.
+     * Creates a sidecar that has not been started.
      *
-     * @param listen with port 0: the system's choice
+     * @param listen the address to listen at; with port 0 the system chooses the port
      */
     public SidecarProcess(
             String name,
@@ -81,17 +81,17 @@
         return name;
     }
 
-    /** Where it listens, or is to. */
+    /** Returns the address at which the sidecar listens, or will listen. */
     public InetSocketAddress listen() {
         return listen;
     }
 
-    /** The file with all that its processes have logged. */
+    /** Returns the file with the logs of all its processes. */
     public Path log() {
         return folder.resolve("log");
     }
 
-    /** Starts a process; the one before must have ended. */
+    /** Starts a process; the previous one must have ended. */
     public void start(DeployFile deploy) throws IOException {
         if (isAlive()) {
             throw new IllegalStateException(name + " is running");
@@ -109,22 +109,22 @@
         listening = bound;
         serving = ready;
         process = builder.start();
-        reaper.mind(process.pid());
+        reaper.register(process.pid());
         Process mine = process;
         Thread reader = new Thread(() -> read(mine, bound, ready), name + "-log");
         reader.setDaemon(true);
         reader.start();
     }
 
-    /** Writes its configuration, in one step, for the next start or {@link #hup}. */
+    /** Replaces the configuration file atomically, for the next start or {@link #reload}. */
     public void writeConfig() throws IOException {
         Path next = Files.writeString(folder.resolve("config.next"), config.apply(listen));
         Files.move(next, folder.resolve("config.json"), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    private void read(Process of, CompletableFuture<InetSocketAddress> bound, CompletableFuture<Void> ready) {
+    private void read(Process source, CompletableFuture<InetSocketAddress> bound, CompletableFuture<Void> ready) {
         try (BufferedReader in =
-                        new BufferedReader(new InputStreamReader(of.getInputStream(), StandardCharsets.UTF_8));
+                        new BufferedReader(new InputStreamReader(source.getInputStream(), StandardCharsets.UTF_8));
                 var out = Files.newBufferedWriter(
                         log(), StandardCharsets.UTF_8, StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
@@ -132,13 +132,13 @@
                 out.newLine();
                 out.flush();
                 watch.line(name, line);
-                if (line.startsWith(LISTENS)) {
-                    bound.complete(address(line.substring(LISTENS.length())));
-                } else if (line.startsWith(SERVES)) {
+                if (line.startsWith(LISTENING_LINE)) {
+                    bound.complete(address(line.substring(LISTENING_LINE.length())));
+                } else if (line.startsWith(SERVING_LINE)) {
                     ready.complete(null);
                 }
             }
-            int status = of.waitFor();
+            int status = source.waitFor();
             IOException over = new IOException(name + " ended with status " + status);
             bound.completeExceptionally(over);
             ready.completeExceptionally(over);
@@ -157,19 +157,21 @@
     }
 
     /**
-     * Waits until it listens, and keeps its address; an exception says that it has ended or takes too long.
+     * Waits until the process listens, and keeps its address.
+     *
+     * @throws IOException if the process ends first or {@code ms} is over
      */
     public InetSocketAddress awaitListening(long ms) throws IOException {
         listen = await(listening, ms, "listen");
         return listen;
     }
 
-    /** Waits until it is warm and serves. */
+    /** Waits until the process has warmed up and serves. */
     public void awaitServing(long ms) throws IOException {
         await(serving, ms, "serve");
     }
 
-    /** Whether it serves by now. */
+    /** Returns whether the process serves. */
     public boolean serves() {
         return serving != null && serving.isDone() && !serving.isCompletedExceptionally() && isAlive();
     }
@@ -192,12 +194,12 @@
         return process != null && process.isAlive();
     }
 
-    /** Its process, of which there must have been one. */
+    /** Returns the id of the latest process; one must have been started. */
     public long pid() {
         return process.pid();
     }
 
-    /** Stops it (SIGSTOP) and looks whether it has stopped. */
+    /** Stops the process (SIGSTOP) and waits shortly until the system reports it as stopped. */
     public Stop pause() {
         Signals.send(pid(), Signals.STOP);
         for (int i = 0; i < STATE_POLLS; i++) {
@@ -214,7 +216,7 @@
         return isStopped() ? Stop.STOPPED : Stop.NOT_STOPPED;
     }
 
-    /** Whether the system says that it is stopped. */
+    /** Returns whether the system reports the process as stopped. */
     public boolean isStopped() {
         try {
             String stat = Files.readString(Path.of("/proc/" + pid() + "/stat"), StandardCharsets.ISO_8859_1);
@@ -224,34 +226,34 @@
         }
     }
 
-    /** Lets it go on (SIGCONT). */
+    /** Resumes the process (SIGCONT). */
     public void resume() {
         Signals.send(pid(), Signals.CONT);
     }
 
-    /** Has it read its configuration again (SIGHUP). */
-    public void hup() {
+    /** Makes the process reload its configuration (SIGHUP). */
+    public void reload() {
         Signals.send(pid(), Signals.HUP);
     }
 
-    /** Asks it to end (SIGTERM). */
-    public void term() {
+    /** Asks the process to end (SIGTERM). */
+    public void terminate() {
         Signals.send(pid(), Signals.TERM);
     }
 
-    /** Ends it at once (SIGKILL). */
+    /** Kills the process (SIGKILL). */
     public void kill() {
         if (process != null) {
             process.destroyForcibly();
         }
     }
 
-    /** Waits for its end; false if it goes on. */
+    /** Waits for the process to end; returns whether it has. */
     public boolean awaitEnd(long ms) throws InterruptedException {
         return process == null || process.waitFor(ms, TimeUnit.MILLISECONDS);
     }
 
-    /** A seed for the next start, as the platform gives one. */
+    /** Returns a random seed for the next start, as the platform provides one. */
     public static String seed() {
         return String.format("%016x", ThreadLocalRandom.current().nextLong());
     }
--- a/fleet/src/main/java/martenlatch/fleet/launch/Signals.java
+++ b/fleet/src/main/java/martenlatch/fleet/launch/Signals.java
@@ -3,17 +3,17 @@
 import com.sun.jna.Library;
 import com.sun.jna.Native;
 
-/** Signals to processes, without a process for each. */
+/** Sends signals through the C library, without starting a process for each. */
 final class Signals {
 
-    /** The numbers that Linux gives them (signal(7)). */
+    /** Signal numbers on Linux; see signal(7). */
     static final int HUP = 1;
 
     static final int TERM = 15;
     static final int CONT = 18;
     static final int STOP = 19;
 
-    /** What is used of the C library. */
+    /** The function that is used from the C library. */
     interface LibC extends Library {
         int kill(int pid, int signal);
     }
@@ -22,7 +22,7 @@
 
     private Signals() {}
 
-    /** Whether the signal could be sent. */
+    /** Sends a signal and returns whether that succeeded. */
     static boolean send(long pid, int signal) {
         return C.kill((int) pid, signal) == 0;
     }
--- a/fleet/src/main/java/martenlatch/fleet/launch/package-info.java
+++ b/fleet/src/main/java/martenlatch/fleet/launch/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Starts sidecars as processes of their own with the options of the deploy file, signals them, and sees to
- * it that none outlives the rig. It uses the system's processes and nothing of the other rooms.
+ * Starts sidecars as separate processes with the options of the deploy file, sends signals to them and ensures that
+ * none outlives the test rig. Depends on the operating system's processes and on no other package of this module.
  */
 package martenlatch.fleet.launch;
--- a/fleet/src/main/java/martenlatch/fleet/link/DatagramLinks.java
+++ b/fleet/src/main/java/martenlatch/fleet/link/DatagramLinks.java
@@ -25,7 +25,7 @@
 
     private final EventLoop loop;
     private final int members;
-    private final LinkObserver watch;
+    private final LinkObserver observer;
     private final LongSupplier clock;
     private final InetSocketAddress[] memberAddresses;
     private final DatagramChannel[][] pairChannels;
@@ -39,11 +39,11 @@
             int members,
             LoopbackAddresses addresses,
             long seed,
-            LinkObserver watch,
+            LinkObserver observer,
             LongSupplier clock) {
         this.loop = loop;
         this.members = members;
-        this.watch = watch;
+        this.observer = observer;
         this.clock = clock;
         memberAddresses = new InetSocketAddress[members];
         pairChannels = new DatagramChannel[members][members];
@@ -105,7 +105,7 @@
             } else {
                 loop.schedule(
                         () -> {
-                            watch.onLate(now() - dueMs);
+                            observer.onLate(now() - dueMs);
                             pairChannels[to][from].writeAndFlush(new DatagramPacket(copy, receiver));
                         },
                         (long) ((dueMs - now) * NANOS_PER_MS),
--- a/fleet/src/main/java/martenlatch/fleet/link/StreamLink.java
+++ b/fleet/src/main/java/martenlatch/fleet/link/StreamLink.java
@@ -46,7 +46,7 @@
     private final String from;
     private final String to;
     private final InetSocketAddress target;
-    private final LinkObserver watch;
+    private final LinkObserver observer;
     private final LongSupplier clock;
     private final LinkModel onwardsModel;
     private final LinkModel backwardsModel;
@@ -68,13 +68,13 @@
             String to,
             InetSocketAddress target,
             long seed,
-            LinkObserver watch,
+            LinkObserver observer,
             LongSupplier clock) {
         this.loop = loop;
         this.from = from;
         this.to = to;
         this.target = target;
-        this.watch = watch;
+        this.observer = observer;
         this.clock = clock;
         onwardsModel = new LinkModel(seed);
         backwardsModel = new LinkModel(~seed);
@@ -276,7 +276,7 @@
                         }
                         far = (DuplexChannel) up.channel();
                         onwards = new Direction(
-                                this, near, far, onwardsModel, new RequestIds(id -> watch.onRequest(from, to, id)));
+                                this, near, far, onwardsModel, new RequestIds(id -> observer.onRequest(from, to, id)));
                         backwards = new Direction(this, far, near, backwardsModel, null);
                         near.pipeline().addLast(onwards);
                         far.pipeline().addLast(backwards);
@@ -421,7 +421,7 @@
                         () -> {
                             wakeAtMs = Double.POSITIVE_INFINITY;
                             if (!model.conditions().silent()) {
-                                watch.onLate(now() - dueMs);
+                                observer.onLate(now() - dueMs);
                             }
                             forwardDue();
                         },
--- a/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
@@ -52,31 +52,31 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One run of a scenario with real processes, each link between them a relay. */
+/** Runs a scenario with real processes; each link between them is a relay. */
 public final class FleetRun implements Closeable {
 
     private static final Logger LOG = LoggerFactory.getLogger(FleetRun.class);
-    private static final int MOST_EVENTS = 10_000_000;
+    private static final int MAX_EVENTS = 10_000_000;
     private static final int CONNECTIONS = 4096;
-    private static final long START_MS = 60_000;
+    private static final long START_TIMEOUT_MS = 60_000;
     /**
-     * A sidecar drains for up to 3.7 s (the platform kills it no sooner), and a busy machine takes longer.
+     * A sidecar drains for up to 3.7 s, before which the platform does not kill it; a busy machine takes longer.
      */
-    private static final long END_MS = 15_000;
-    /** New connections go on coming for so long after SIGTERM, as on the platform. */
-    private static final double LEAVE_MS = 300;
-    /** Where discovery was before a move it still answers for so long, as others read their files later. */
-    private static final long MOVED_MS = 500;
-    /** So often the rig looks how late it is itself. */
-    private static final long BEAT_MS = 5;
-
-    private static final double LATE_MS = 20;
-    /** Any would do: each sidecar has a loopback address of its own. */
+    private static final long END_TIMEOUT_MS = 15_000;
+    /** Time after SIGTERM during which new connections still arrive, as on the platform. */
+    private static final double ROUTED_AFTER_SIGTERM_MS = 300;
+    /** Time for which a previous discovery address still responds, as other sidecars reload their files later. */
+    private static final long OLD_DISCOVERY_CLOSE_MS = 500;
+    /** Interval at which the rig checks how late its own threads run. */
+    private static final long CHECK_INTERVAL_MS = 5;
+
+    private static final double MAX_LATENESS_MS = 20;
+    /** Any port works, because each sidecar has its own loopback address. */
     private static final int PEER_PORT = 7946;
 
     private final Scenario scenario;
     private final DeployFile deploy;
-    private final History history = new History(System::nanoTime, MOST_EVENTS);
+    private final History history = new History(System::nanoTime, MAX_EVENTS);
     private final Reaper reaper;
     private final MultiThreadIoEventLoopGroup group;
     private final World world;
@@ -84,42 +84,42 @@
     private final List<StreamLink> clientLinks = new ArrayList<>();
     private final Map<String, StreamLink> links = new HashMap<>();
     private final Front front;
-    private final ScheduledExecutorService clockwork;
+    private final ScheduledExecutorService faultScheduler;
     private final Set<Fault> active = new HashSet<>();
     private final LinkFaults linkFaults = new LinkFaults();
     private final LoopbackAddresses addresses =
             new LoopbackAddresses(ProcessHandle.current().pid());
-    private final Map<String, InetSocketAddress> views = new HashMap<>();
-    /** Each sidecar's list when it was first started, as its configuration has it. */
+    private final Map<String, InetSocketAddress> discoveryViews = new HashMap<>();
+    /** The endpoint list in each sidecar's configuration at its first start. */
     private final Map<String, String> firstLists = new HashMap<>();
 
-    private final List<StreamLink> retired = new ArrayList<>();
-    private final Map<String, Boolean> mayEnd = new ConcurrentHashMap<>();
+    private final List<StreamLink> previousDiscoveryLinks = new ArrayList<>();
+    private final Map<String, Boolean> expectedToEnd = new ConcurrentHashMap<>();
     private final List<SidecarProcess> twins = new ArrayList<>();
     private DatagramLinks peers;
     private volatile LoadRun load;
 
     /**
-     * Starts all that the scenario names; where that fails nothing is left behind.
+     * Starts everything that the scenario names; if that fails, stops what was started.
      *
-     * @param parent where the run's folder is made
+     * @param parent the directory in which the run's own directory is created
      */
     public FleetRun(Scenario scenario, DeployFile deploy, Path parent) throws IOException {
         this.scenario = scenario;
-        DeployFile built = deploy.with(deploy.jar());
-        this.deploy = scenario.sizes().peers() ? built.and("--peers") : built;
+        DeployFile built = deploy.withJar(deploy.jar());
+        this.deploy = scenario.sizes().peers() ? built.withArgument("--peers") : built;
         for (Fault fault : scenario.faults()) {
             if (!fault.jar().isEmpty()) {
-                this.deploy.with(Path.of(fault.jar()));
+                this.deploy.withJar(Path.of(fault.jar()));
             }
         }
         reaper = Reaper.begin(parent);
         group = new MultiThreadIoEventLoopGroup(2, new DefaultThreadFactory("links", true), NioIoHandler.newFactory());
-        clockwork = Executors.newSingleThreadScheduledExecutor(new DefaultThreadFactory("faults", true));
+        faultScheduler = Executors.newSingleThreadScheduledExecutor(new DefaultThreadFactory("faults", true));
         front = new Front(scenario.sizes().sidecars(), scenario.load().skew(), scenario.seedFor("front"));
-        world = new World(scenario.world(), 0, new Ledger(scenario.world().ids(), new Tally()));
+        world = new World(scenario.world(), 0, new Ledger(scenario.world().ids(), new EndpointRecorder()));
         try {
-            world.endpoints().forEach(one -> up(one, 0));
+            world.endpoints().forEach(one -> recordStarted(one, 0));
             build();
             start();
         } catch (IOException | RuntimeException e) {
@@ -128,12 +128,12 @@
         }
     }
 
-    private void up(Endpoint endpoint, double coldMs) {
+    private void recordStarted(Endpoint endpoint, double coldMs) {
         history.tell(What.ENDPOINT_UP, endpoint.id(), "", "", String.valueOf(coldMs));
     }
 
-    /** What endpoints see goes into the history. */
-    private final class Tally implements Ledger.Observer {
+    /** Records what endpoints see in the history. */
+    private final class EndpointRecorder implements Ledger.Observer {
         @Override
         public void ran(String endpoint, String id, boolean cold) {
             history.tell(What.RAN, endpoint, "", id, cold ? "cold" : "");
@@ -150,8 +150,8 @@
         }
     }
 
-    /** Of links whose requests are in the history already, or are none. */
-    private final LinkObserver late = new LinkObserver() {
+    /** Observes links whose requests are already in the history, or that carry none; records late forwarding only. */
+    private final LinkObserver latenessObserver = new LinkObserver() {
         @Override
         public void onRequest(String from, String to, String id) {
             return;
@@ -159,14 +159,14 @@
 
         @Override
         public void onLate(double ms) {
-            if (ms > LATE_MS) {
+            if (ms > MAX_LATENESS_MS) {
                 history.tell(What.RIG, "link", "", "", String.valueOf(ms));
             }
         }
     };
 
-    /** What discovery does goes into the history. */
-    private final Discovery.Teller lists = new Discovery.Teller() {
+    /** Records what discovery does in the history. */
+    private final Discovery.Teller discoveryRecorder = new Discovery.Teller() {
         @Override
         public void told(String viewer, Endpoint endpoint, String state) {
             history.tell(What.TOLD, viewer, endpoint.id(), "", state);
@@ -192,14 +192,19 @@
 
             @Override
             public void onLate(double ms) {
-                late.onLate(ms);
+                latenessObserver.onLate(ms);
             }
         };
         world.discovery().queue(scenario.discovery().queue());
-        world.discovery().listen(lists);
+        world.discovery().listen(discoveryRecorder);
         long seed = scenario.seedFor("links");
         peers = new DatagramLinks(
-                (EventLoop) group.next(), scenario.sizes().sidecars(), addresses, seed, late, System::nanoTime);
+                (EventLoop) group.next(),
+                scenario.sizes().sidecars(),
+                addresses,
+                seed,
+                latenessObserver,
+                System::nanoTime);
         for (int i = 0; i < scenario.sizes().sidecars(); i++) {
             String name = Group.SIDECAR.name(i);
             Map<String, InetSocketAddress> seen = new HashMap<>();
@@ -216,24 +221,30 @@
                 links.put(name + " " + endpoint.id(), link);
                 seen.put(endpoint.id(), link.address());
             }
-            InetSocketAddress view =
-                    world.discovery().listen(addresses.next(), name, endpoint -> seen.get(endpoint.id()), lists);
-            views.put(name, view);
+            InetSocketAddress view = world.discovery()
+                    .listen(addresses.next(), name, endpoint -> seen.get(endpoint.id()), discoveryRecorder);
+            discoveryViews.put(name, view);
             StreamLink discovery = new StreamLink(
-                            (EventLoop) group.next(), name, "discovery", view, ++seed, late, System::nanoTime)
+                            (EventLoop) group.next(),
+                            name,
+                            "discovery",
+                            view,
+                            ++seed,
+                            latenessObserver,
+                            System::nanoTime)
                     .listen(addresses.next());
             links.put(name + " discovery", discovery);
             InetSocketAddress home = new InetSocketAddress(addresses.next().getAddress(), PEER_PORT);
             peers.setAddress(i, home);
             int number = i;
             sidecars.add(new SidecarProcess(
-                    name, addresses.next(), listen -> config(number, listen, home), reaper, new Processes()));
+                    name, addresses.next(), listen -> config(number, listen, home), reaper, new ProcessRecorder()));
         }
         long last = seed;
         for (int i = 0; i < sidecars.size(); i++) {
             SidecarProcess one = sidecars.get(i);
-            // Where it will listen is known only once it does: until then nobody is let in.
-            late(one);
+            // The listen address is known only once the process listens, so clients are refused until then.
+            findAddressOfLateSidecar(one);
             if (!isLate(one.name())) {
                 one.start(deploy);
                 history.tell(What.PROCESS, one.name(), "", "", "started");
@@ -241,7 +252,7 @@
         }
         for (SidecarProcess one : sidecars) {
             if (!isLate(one.name())) {
-                one.awaitListening(START_MS);
+                one.awaitListening(START_TIMEOUT_MS);
             }
         }
         for (int i = 0; i < sidecars.size(); i++) {
@@ -252,13 +263,13 @@
                             one.name(),
                             one.listen(),
                             ++last,
-                            late,
+                            latenessObserver,
                             System::nanoTime)
                     .listen(addresses.next()));
         }
     }
 
-    /** The list that a process finds in its configuration. */
+    /** Returns the endpoint list for a process's configuration. */
     private String knownList(String name) {
         if (scenario.discovery().known() == ListService.KnownList.FIRST) {
             return firstLists.computeIfAbsent(name, this::currentList);
@@ -282,17 +293,17 @@
                 knownList(name));
     }
 
-    private void late(SidecarProcess one) throws IOException {
+    private void findAddressOfLateSidecar(SidecarProcess one) throws IOException {
         if (!isLate(one.name())) {
             return;
         }
-        // Its address has to be known to the link before it is there.
+        // The link needs the sidecar's address before the sidecar runs, so start it once to obtain the address.
         one.start(deploy);
-        one.awaitListening(START_MS);
-        mayEnd.put(one.name(), true);
+        one.awaitListening(START_TIMEOUT_MS);
+        expectedToEnd.put(one.name(), true);
         one.kill();
         try {
-            one.awaitEnd(END_MS);
+            one.awaitEnd(END_TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -309,16 +320,16 @@
             if (isLate(one.name())) {
                 clientLinks.get(i).refuse(true);
             } else {
-                one.awaitServing(START_MS);
-                process(one, "serves");
+                one.awaitServing(START_TIMEOUT_MS);
+                recordProcess(one, "serves");
                 front.believe(i, Front.State.UP, 0);
             }
         }
         LOG.info("{} sidecars serve", sidecars.size());
     }
 
-    /** What processes do goes into the history; one that ends unasked is told as such. */
-    private final class Processes implements SidecarProcess.Watch {
+    /** Records process events in the history, and distinguishes processes that ended without being told to. */
+    private final class ProcessRecorder implements SidecarProcess.Watch {
         @Override
         public void line(String name, String line) {
             history.tell(What.LOG, name, "", "", line);
@@ -326,15 +337,15 @@
 
         @Override
         public void ended(String name, int status) {
-            boolean asked = mayEnd.getOrDefault(name, false);
+            boolean asked = expectedToEnd.getOrDefault(name, false);
             history.tell(What.PROCESS, name, "", "", (asked ? "ended " : "died ") + status);
         }
     }
 
-    /** Plays the scenario to its end and returns what came of the load; what happened is in the history. */
+    /** Plays the scenario to its end and returns the report of the load; events are in {@link #history}. */
     public LoadReport play(Consumer<Second> live) throws IOException, InterruptedException {
         Load wanted = scenario.load();
-        // Clients wait for a little longer than they say: who answers at the last moment has answered.
+        // Clients wait slightly past their deadline, so that a response at the last moment still counts.
         List<Kind> kinds = wanted.classes().stream()
                 .map(Load.ClassOf::kind)
                 .map(kind -> new Kind(
@@ -356,10 +367,10 @@
                                 scenario.seedFor("times")),
                         kinds,
                         scenario.seedFor("kinds")),
-                (loop, most) -> new FrontDriver(loop, targets, most, front, history),
+                (loop, maxConnections) -> new FrontDriver(loop, targets, maxConnections, front, history),
                 live);
         history.startAt(load.startNanos());
-        beat();
+        startLatenessCheck();
         for (Fault fault : scenario.faults()) {
             at(fault.atMs(), () -> begin(fault));
             if (!Double.isInfinite(fault.forMs())) {
@@ -372,7 +383,7 @@
         return report;
     }
 
-    /** Nothing new is sent from now on; {@link #play} returns soon. */
+    /** Stops sending new requests; {@link #play} returns soon. */
     public void stop() {
         if (load != null) {
             load.stop();
@@ -380,17 +391,17 @@
     }
 
     private void at(double ms, Step step) {
-        clockwork.schedule(
+        faultScheduler.schedule(
                 () -> {
                     try {
-                        double late = history.now() - ms;
-                        if (late > LATE_MS) {
-                            history.tell(What.RIG, "faults", "", "", String.valueOf(late));
+                        double lateMs = history.now() - ms;
+                        if (lateMs > MAX_LATENESS_MS) {
+                            history.tell(What.RIG, "faults", "", "", String.valueOf(lateMs));
                         }
                         step.run();
                     } catch (IOException | RuntimeException e) {
                         history.tell(What.RIG, "faults", "", "", "failed " + e.getMessage());
-                        LOG.error("a step of the plan failed", e);
+                        LOG.error("step of the fault plan failed", e);
                     }
                 },
                 (long) ((ms - history.now()) * 1000),
@@ -401,20 +412,20 @@
         void run() throws IOException;
     }
 
-    /** A thread that does nothing else tells how late this machine lets threads run. */
-    private void beat() {
+    /** Starts a thread that measures how late this machine schedules threads and records delays in the history. */
+    private void startLatenessCheck() {
         Thread thread = new Thread(
                 () -> {
                     long due = System.nanoTime();
-                    while (!clockwork.isShutdown()) {
-                        due += TimeUnit.MILLISECONDS.toNanos(BEAT_MS);
+                    while (!faultScheduler.isShutdown()) {
+                        due += TimeUnit.MILLISECONDS.toNanos(CHECK_INTERVAL_MS);
                         long left = due - System.nanoTime();
                         if (left > 0) {
                             LockSupport.parkNanos(left);
                         }
-                        double late = (System.nanoTime() - due) / 1e6;
-                        if (late > LATE_MS) {
-                            history.tell(What.RIG, "beat", "", "", String.valueOf(late));
+                        double lateMs = (System.nanoTime() - due) / 1e6;
+                        if (lateMs > MAX_LATENESS_MS) {
+                            history.tell(What.RIG, "beat", "", "", String.valueOf(lateMs));
                             due = System.nanoTime();
                         }
                     }
@@ -424,7 +435,7 @@
         thread.start();
     }
 
-    // ---- faults; all on the one thread of the clockwork ----
+    // ---- faults; all run on the single thread of the fault scheduler ----
 
     private void begin(Fault fault) throws IOException {
         active.add(fault);
@@ -438,7 +449,7 @@
                     begin(fault, number(name));
                 }
             }
-            case ENDPOINTS -> fault.who().forEach(name -> endpoint(fault, number(name), true));
+            case ENDPOINTS -> fault.who().forEach(name -> applyEndpointFault(fault, number(name), true));
             case DISCOVERY ->
                 world.discovery()
                         .manner(
@@ -447,7 +458,7 @@
                                     case DOWN -> Discovery.Manner.DOWN;
                                     default -> Discovery.Manner.WRONG;
                                 });
-            default -> links(fault, fault.what() == Fault.What.BREAK);
+            default -> applyLinkFault(fault, fault.what() == Fault.What.BREAK);
         }
     }
 
@@ -460,9 +471,9 @@
                     end(fault, number(name));
                 }
             }
-            case ENDPOINTS -> fault.who().forEach(name -> endpoint(fault, number(name), false));
+            case ENDPOINTS -> fault.who().forEach(name -> applyEndpointFault(fault, number(name), false));
             case DISCOVERY -> world.discovery().manner(Discovery.Manner.GOOD);
-            default -> links(fault, false);
+            default -> applyLinkFault(fault, false);
         }
         history.tell(
                 What.FAULT_ENDS, String.valueOf(fault.number()), String.join(" ", fault.who()), "", fault.toString());
@@ -473,7 +484,7 @@
         return Integer.parseInt(name.substring(1));
     }
 
-    private void process(SidecarProcess one, String what) {
+    private void recordProcess(SidecarProcess one, String what) {
         history.tell(What.PROCESS, one.name(), "", "", what);
     }
 
@@ -495,10 +506,10 @@
             }
             case TERM, RESTART -> {
                 leave(one, "told to end");
-                one.term();
-                front.believe(number, Front.State.LEAVING, now + LEAVE_MS);
+                one.terminate();
+                front.believe(number, Front.State.LEAVING, now + ROUTED_AFTER_SIGTERM_MS);
                 if (fault.what() == Fault.What.RESTART) {
-                    again(number, fault);
+                    startAgain(number, fault);
                 } else {
                     awaitEnd(number);
                 }
@@ -508,8 +519,8 @@
                     move(one.name());
                 }
                 one.writeConfig();
-                one.hup();
-                process(one, "reloads");
+                one.reload();
+                recordProcess(one, "reloads");
             }
             case TWIN -> {
                 SidecarProcess twin = new SidecarProcess(
@@ -518,11 +529,11 @@
                         listen -> config(
                                 number, listen, peers.peerAddresses(number).get(number)),
                         reaper,
-                        new Processes());
+                        new ProcessRecorder());
                 twins.add(twin);
-                mayEnd.put(twin.name(), true);
+                expectedToEnd.put(twin.name(), true);
                 twin.start(deploy);
-                process(twin, "started");
+                recordProcess(twin, "started");
             }
             default -> {}
         }
@@ -541,55 +552,55 @@
                             "failed " + one.name() + " did not stand still for as long as it should");
                 }
                 one.resume();
-                process(one, "resumed");
+                recordProcess(one, "resumed");
                 front.believe(number, Front.State.UP, history.now());
             }
-            case KILL, TERM, LATE -> again(number, fault);
+            case KILL, TERM, LATE -> startAgain(number, fault);
             case TWIN ->
                 twins.stream()
                         .filter(twin -> twin.name().equals(one.name() + "-twin"))
-                        .forEach(SidecarProcess::term);
+                        .forEach(SidecarProcess::terminate);
             default -> {}
         }
     }
 
-    /** Discovery is elsewhere for this sidecar from its next configuration on; where it was, it ends soon. */
+    /** Moves discovery to another address for this sidecar's next configuration; the previous address closes soon. */
     private void move(String name) {
         StreamLink before = links.get(name + " discovery");
         StreamLink next = new StreamLink(
                         (EventLoop) group.next(),
                         name,
                         "discovery",
-                        views.get(name),
-                        scenario.seedFor("moved " + name + retired.size()),
-                        late,
+                        discoveryViews.get(name),
+                        scenario.seedFor("moved " + name + previousDiscoveryLinks.size()),
+                        latenessObserver,
                         System::nanoTime)
                 .listen(addresses.next());
         next.setConditions(linkFaults.conduct(name, "discovery", true), linkFaults.conduct(name, "discovery", false));
         links.put(name + " discovery", next);
-        retired.add(before);
-        clockwork.schedule(before::close, MOVED_MS, TimeUnit.MILLISECONDS);
+        previousDiscoveryLinks.add(before);
+        faultScheduler.schedule(before::close, OLD_DISCOVERY_CLOSE_MS, TimeUnit.MILLISECONDS);
     }
 
     private void pause(SidecarProcess one) {
         if (one.pause() == SidecarProcess.Stop.STOPPED) {
-            process(one, "paused");
+            recordProcess(one, "paused");
         } else {
             history.tell(What.RIG, "faults", "", "", "failed " + one.name() + " was not paused");
         }
     }
 
-    /** Runs for its share of each tenth of a second, and stands for the rest. */
+    /** Lets the process run for the fault's share of each tenth of a second, and pauses it for the rest. */
     private void crawl(Fault fault, SidecarProcess one) {
         if (!active.contains(fault) || !one.isAlive()) {
             return;
         }
         one.pause();
-        process(one, "crawls");
-        clockwork.schedule(
+        recordProcess(one, "crawls");
+        faultScheduler.schedule(
                 () -> {
                     one.resume();
-                    clockwork.schedule(
+                    faultScheduler.schedule(
                             () -> crawl(fault, one), (long) (100_000 * fault.share()), TimeUnit.MICROSECONDS);
                 },
                 (long) (100_000 * (1 - fault.share())),
@@ -597,33 +608,33 @@
     }
 
     private void leave(SidecarProcess one, String what) {
-        mayEnd.put(one.name(), true);
-        process(one, what);
+        expectedToEnd.put(one.name(), true);
+        recordProcess(one, what);
     }
 
-    /** Once it has ended, clients are refused. */
+    /** Refuses clients once the process has ended. */
     private void awaitEnd(int number) {
         SidecarProcess one = sidecars.get(number);
         if (one.isAlive()) {
-            clockwork.schedule(() -> awaitEnd(number), BEAT_MS, TimeUnit.MILLISECONDS);
+            faultScheduler.schedule(() -> awaitEnd(number), CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         } else {
             clientLinks.get(number).refuse(true);
             front.believe(number, Front.State.DOWN, history.now());
         }
     }
 
-    /** Starts it as soon as the process before has ended. */
-    private void again(int number, Fault fault) throws IOException {
+    /** Starts the next process as soon as the previous one has ended. */
+    private void startAgain(int number, Fault fault) throws IOException {
         SidecarProcess one = sidecars.get(number);
         if (one.isAlive()) {
-            at(history.now() + BEAT_MS, () -> again(number, fault));
+            at(history.now() + CHECK_INTERVAL_MS, () -> startAgain(number, fault));
             return;
         }
         clientLinks.get(number).refuse(true);
         front.believe(number, Front.State.DOWN, history.now());
-        mayEnd.put(one.name(), false);
-        one.start(fault.jar().isEmpty() ? deploy : deploy.with(Path.of(fault.jar())));
-        process(one, "started");
+        expectedToEnd.put(one.name(), false);
+        one.start(fault.jar().isEmpty() ? deploy : deploy.withJar(Path.of(fault.jar())));
+        recordProcess(one, "started");
         awaitServing(number);
     }
 
@@ -631,21 +642,21 @@
         SidecarProcess one = sidecars.get(number);
         if (one.serves()) {
             clientLinks.get(number).refuse(false);
-            process(one, "serves");
+            recordProcess(one, "serves");
             front.believe(number, Front.State.UP, history.now());
         } else if (one.isAlive()) {
-            clockwork.schedule(() -> awaitServing(number), BEAT_MS, TimeUnit.MILLISECONDS);
+            faultScheduler.schedule(() -> awaitServing(number), CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void endpoint(Fault fault, int number, boolean begins) {
+    private void applyEndpointFault(Fault fault, int number, boolean begins) {
         Endpoint one = world.endpoints().get(number);
         switch (fault.what()) {
             case DIE, DRAIN -> {
                 if (!begins) {
                     world.restart(number);
                     refuse(one, false);
-                    up(one, scenario.world().coldMs());
+                    recordStarted(one, scenario.world().coldMs());
                 } else if (fault.what() == Fault.What.DIE) {
                     world.die(number);
                     refuse(one, true);
@@ -672,8 +683,8 @@
         sidecars.forEach(one -> links.get(one.name() + " " + endpoint.id()).refuse(now));
     }
 
-    /** Each link has what all faults on it come to. */
-    private void links(Fault changed, boolean broken) {
+    /** Sets each affected link to the combination of all active faults on it. */
+    private void applyLinkFault(Fault changed, boolean broken) {
         for (String from : changed.who()) {
             for (String to : changed.to()) {
                 if (Fault.isSidecar(from) && Fault.isSidecar(to)) {
@@ -690,37 +701,37 @@
         }
     }
 
-    /** Lets all sidecars drain, and waits for their ends. */
+    /** Terminates all sidecars and waits until they have drained and ended. */
     private void finish() throws InterruptedException {
-        clockwork.shutdownNow();
-        clockwork.awaitTermination(END_MS, TimeUnit.MILLISECONDS);
+        faultScheduler.shutdownNow();
+        faultScheduler.awaitTermination(END_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         List<SidecarProcess> all = new ArrayList<>(sidecars);
         all.addAll(twins);
         for (SidecarProcess one : all) {
-            mayEnd.put(one.name(), true);
+            expectedToEnd.put(one.name(), true);
             if (one.isAlive()) {
                 one.resume();
-                one.term();
+                one.terminate();
             }
         }
         for (SidecarProcess one : all) {
-            if (!one.awaitEnd(END_MS)) {
+            if (!one.awaitEnd(END_TIMEOUT_MS)) {
                 history.tell(What.RIG, "faults", "", "", "failed " + one.name() + " did not end");
             }
         }
     }
 
-    /** The clients' link to a sidecar. */
+    /** Returns the link from clients to a sidecar. */
     StreamLink clientLink(int sidecar) {
         return clientLinks.get(sidecar);
     }
 
-    /** One of the processes. */
+    /** Returns the sidecar with this number. */
     SidecarProcess sidecar(int number) {
         return sidecars.get(number);
     }
 
-    /** Plants a fault of the rig's own: the links' threads do nothing else for a time, from that time on. */
+    /** Injects a fault into the rig: blocks the links' threads for {@code forMs}, starting after {@code afterMs}. */
     void stallLinks(long afterMs, long forMs) {
         group.forEach(loop -> loop.schedule(
                 () -> LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(forMs)), afterMs, TimeUnit.MILLISECONDS));
@@ -730,19 +741,19 @@
         return history;
     }
 
-    /** Where it keeps logs until it is closed. */
+    /** Returns the directory with the logs, which exists until {@link #close}. */
     public Path folder() {
         return reaper.folder();
     }
 
     @Override
     public void close() throws IOException {
-        clockwork.shutdownNow();
+        faultScheduler.shutdownNow();
         sidecars.forEach(SidecarProcess::kill);
         twins.forEach(SidecarProcess::kill);
         clientLinks.forEach(StreamLink::close);
         links.values().forEach(StreamLink::close);
-        retired.forEach(StreamLink::close);
+        previousDiscoveryLinks.forEach(StreamLink::close);
         if (peers != null) {
             peers.close();
         }
--- a/fleet/src/main/java/martenlatch/fleet/rig/FrontDriver.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FrontDriver.java
@@ -12,38 +12,41 @@
 import martenlatch.load.Wish;
 import martenlatch.load.http.HttpDriver;
 
-/** Clients behind the front: each request goes to the sidecar that the front names, and into the history. */
+/**
+ * Drives clients behind the front: sends each request to the sidecar that the front picks, and records it in the
+ * history.
+ */
 final class FrontDriver implements Driver {
 
-    /** Clients give up so much later than they say that they will. */
+    /** Clients give up this much after the deadline that they send. */
     static final int GRACE_MS = 250;
 
-    private static final String CLIENTS = "clients";
+    private static final String CLIENTS_NAME = "clients";
 
     private final List<HttpDriver> drivers = new ArrayList<>();
     private final Front front;
     private final History history;
 
-    FrontDriver(IoEventLoop loop, List<InetSocketAddress> targets, int most, Front front, History history) {
+    FrontDriver(IoEventLoop loop, List<InetSocketAddress> targets, int maxConnections, Front front, History history) {
         this.front = front;
         this.history = history;
         for (InetSocketAddress target : targets) {
-            drivers.add(new HttpDriver(loop, List.of(target), Math.max(1, most / targets.size())));
+            drivers.add(new HttpDriver(loop, List.of(target), Math.max(1, maxConnections / targets.size())));
         }
     }
 
     @Override
     public Call send(Wish wish, String id, boolean retry, long leftNanos, Ending ending) {
-        long said = leftNanos - GRACE_MS * 1_000_000L;
+        long deadlineNanos = leftNanos - GRACE_MS * 1_000_000L;
         int sidecar = front.pick(history.now(), i -> drivers.get(i).hasIdle());
         String name = "n" + sidecar;
         history.tell(
                 What.ASKED,
-                CLIENTS,
+                CLIENTS_NAME,
                 name,
                 id,
-                wish.kind().name() + " " + wish.kind().effect() + " " + said / 1_000_000);
-        Call call = drivers.get(sidecar).send(wish, id, retry, said, new Ending() {
+                wish.kind().name() + " " + wish.kind().effect() + " " + deadlineNanos / 1_000_000);
+        Call call = drivers.get(sidecar).send(wish, id, retry, deadlineNanos, new Ending() {
             @Override
             public void written() {
                 ending.written();
@@ -51,13 +54,13 @@
 
             @Override
             public void ended(End end, String cause, double retryAfterMs) {
-                history.tell(What.ENDED, CLIENTS, name, id, end + (cause.isEmpty() ? "" : " " + cause));
+                history.tell(What.ENDED, CLIENTS_NAME, name, id, end + (cause.isEmpty() ? "" : " " + cause));
                 ending.ended(end, cause, retryAfterMs);
             }
         });
         return () -> {
             boolean sent = call.giveUp();
-            history.tell(What.ENDED, CLIENTS, name, id, (sent ? End.TIMED_OUT : End.NOT_SENT).toString());
+            history.tell(What.ENDED, CLIENTS_NAME, name, id, (sent ? End.TIMED_OUT : End.NOT_SENT).toString());
             return sent;
         };
     }
--- a/fleet/src/main/java/martenlatch/fleet/rig/RelayCost.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/RelayCost.java
@@ -24,17 +24,17 @@
 import martenlatch.world.WorldSettings;
 
 /**
- * What a relay adds to a request's time: the same load on an endpoint that answers at once, without and
- * with one.
+ * Measures the latency that a relay adds: runs the same load on an endpoint that responds immediately, without and
+ * with a relay.
  */
 public final class RelayCost {
 
     private static final int CONNECTIONS = 64;
-    private static final double WARM_SECONDS = 3;
+    private static final double WARM_UP_SECONDS = 3;
 
     private RelayCost() {}
 
-    /** Both reports; the first is that without a relay. */
+    /** Returns both reports, the one without a relay first. */
     public static List<LoadReport> measure(double rate, double seconds) throws IOException, InterruptedException {
         MultiThreadIoEventLoopGroup group =
                 new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("links", true), NioIoHandler.newFactory());
@@ -70,12 +70,12 @@
         List<InetSocketAddress> targets = List.of(target);
         List<Kind> kinds = List.of(new Kind("look-up", 1, Kind.Effect.REPEATABLE, 0, 1000, 0));
         return new LoadRun(
-                        new LoadPlan(targets, 1, CONNECTIONS, WARM_SECONDS),
+                        new LoadPlan(targets, 1, CONNECTIONS, WARM_UP_SECONDS),
                         Arrivals.drawn(
-                                new Schedule(List.of(new Shape.Constant(rate, seconds + WARM_SECONDS)), true, 1),
+                                new Schedule(List.of(new Shape.Constant(rate, seconds + WARM_UP_SECONDS)), true, 1),
                                 kinds,
                                 1),
-                        (loop, most) -> new HttpDriver(loop, targets, most),
+                        (loop, maxConnections) -> new HttpDriver(loop, targets, maxConnections),
                         second -> {})
                 .run();
     }
--- a/fleet/src/main/java/martenlatch/fleet/rig/SidecarConfig.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/SidecarConfig.java
@@ -12,7 +12,7 @@
 import martenlatch.fleet.scenario.Scenario;
 import martenlatch.load.Kind;
 
-/** The configuration that a platform would give a sidecar, as JSON. */
+/** Creates the JSON configuration that the platform would give to a sidecar. */
 final class SidecarConfig {
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -21,13 +21,13 @@
 
     private SidecarConfig() {}
 
-    /** How a sidecar reaches the others: where it listens, each of them, and all. */
+    /** The peer addresses of a sidecar: the one it listens at, the one for each peer, and the one for all peers. */
     record Peers(InetSocketAddress listen, List<InetSocketAddress> each, InetSocketAddress all) {}
 
     /**
-     * Of one sidecar.
+     * Returns the configuration of one sidecar.
      *
-     * @param known the list that it starts from, as discovery's JSON
+     * @param known the endpoint list that it starts from, as discovery's JSON
      */
     static String of(
             Scenario scenario,
--- a/fleet/src/main/java/martenlatch/fleet/rig/package-info.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Puts a run together: processes, links, endpoints, load and faults, each in its time. It decides nothing
- * about what a run has shown.
+ * Runs a scenario with real processes: starts processes, links, endpoints and load, and applies faults on time. The
+ * judges, not this package, decide what a run has shown.
  */
 package martenlatch.fleet.rig;
--- a/fleet/src/test/java/martenlatch/fleet/launch/ReaperTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/launch/ReaperTest.java
@@ -19,27 +19,27 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Nothing outlives the rig, however it ends. */
+/** Tests that no process or directory outlives the rig, however it ends. */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ReaperTest {
 
-    private static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(40);
+    private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(40);
 
-    private static final long STARVED_MS = 1500;
+    private static final long STOPPED_MS = 1500;
     private static final int VOID = 3;
 
     @TempDir
     Path folder;
 
     private static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + PATIENCE_NANOS;
+        long until = System.nanoTime() + TIMEOUT_NANOS;
         while (!condition.getAsBoolean()) {
             assertTrue(System.nanoTime() < until, what);
             Thread.sleep(5);
         }
     }
 
-    private List<Path> left() {
+    private List<Path> remainingFolders() {
         try (Stream<Path> all = Files.list(folder)) {
             return all.filter(path -> path.getFileName().toString().startsWith("martenlatch-fleet-"))
                     .toList();
@@ -50,7 +50,7 @@
 
     private List<Long> processes() {
         List<Long> pids = new ArrayList<>();
-        for (Path one : left()) {
+        for (Path one : remainingFolders()) {
             try {
                 Files.readAllLines(one.resolve("processes")).forEach(l -> pids.add(Long.parseLong(l.split(" ")[0])));
             } catch (IOException e) {
@@ -61,15 +61,14 @@
     }
 
     /**
-     * Guards against sidecars that go on for ever: Ctrl-C, and a rig that is killed before it can do
-     * anything.
+     * Guards against sidecars that keep running after Ctrl-C, or after the rig was killed and could not clean up.
      */
     @ParameterizedTest
     @ValueSource(strings = {"INT", "KILL"})
-    void nothingIsLeftWhenTheRigEnds(String signal) throws Exception {
+    void nothingRemainsAfterRigEnds(String signal) throws Exception {
         Process rig = rig();
         try (var out = rig.inputReader()) {
-            // The first line of the load: all sidecars serve.
+            // The first line about the load is printed once all sidecars serve.
             String line = out.readLine();
             assertTrue(line != null && line.contains("served"), line);
             List<Long> pids = processes();
@@ -87,22 +86,22 @@
                             .noneMatch(pid -> ProcessHandle.of(pid)
                                     .filter(ProcessHandle::isAlive)
                                     .isPresent()));
-            await("its folder goes", () -> left().isEmpty());
+            await("its folder goes", () -> remainingFolders().isEmpty());
         } finally {
             rig.destroyForcibly();
         }
     }
 
-    /** Guards against a verdict from a rig that had no processor: here it gets none for 1.5 s. */
+    /** Guards against a verdict from a rig that had no processor time; here it is stopped for 1.5 s. */
     @Test
-    void aStarvedRigCallsItsRunVoid() throws Exception {
+    void runOfStarvedRigIsVoid() throws Exception {
         Process rig = rig();
         try (var out = rig.inputReader()) {
             assertTrue(out.readLine().contains("served"));
             assertEquals(
                     0,
                     new ProcessBuilder("kill", "-STOP", "" + rig.pid()).start().waitFor());
-            Thread.sleep(STARVED_MS);
+            Thread.sleep(STOPPED_MS);
             assertEquals(
                     0,
                     new ProcessBuilder("kill", "-CONT", "" + rig.pid()).start().waitFor());
@@ -131,29 +130,28 @@
     }
 
     /**
-     * Where not even the reaper was left, the next start does its work; a living rig's processes it leaves
-     * alone.
+     * If the reaper shell was killed too, the next start cleans up, without touching the processes of a running rig.
      */
     @Test
-    void theNextStartCleansUp() throws Exception {
+    void nextStartCleansUp() throws Exception {
         Process old = new ProcessBuilder("sleep", "100").start();
         Process other = new ProcessBuilder("sleep", "100").start();
         try (Reaper living = Reaper.begin(folder)) {
-            living.mind(other.pid());
+            living.register(other.pid());
             Path gone = Files.createDirectory(folder.resolve("martenlatch-fleet-gone"));
             Files.writeString(gone.resolve("owner"), "999999999 1");
-            // The second line's process has another's id by now.
+            // The id in the second line has been reused by another process.
             Files.writeString(gone.resolve("processes"), line(old.pid()) + "\n" + other.pid() + " 1\n");
             assertTrue(Reaper.cleanUp(folder));
             assertTrue(old.waitFor(20, TimeUnit.SECONDS));
             assertTrue(other.isAlive());
-            assertEquals(List.of(living.folder()), left());
+            assertEquals(List.of(living.folder()), remainingFolders());
             assertFalse(Reaper.cleanUp(folder));
         } finally {
             old.destroyForcibly();
         }
-        assertTrue(other.waitFor(20, TimeUnit.SECONDS), "a reaper ends what is its own");
-        assertEquals(List.of(), left());
+        assertTrue(other.waitFor(20, TimeUnit.SECONDS), "a reaper kills the processes of its own rig");
+        assertEquals(List.of(), remainingFolders());
     }
 
     private static String line(long pid) throws IOException {
@@ -162,7 +160,7 @@
     }
 
     @Test
-    void aJarThatIsNotBuiltAndARunThatIsNoCommandAreNamed() throws Exception {
+    void missingJarAndInvalidCommandAreReported() throws Exception {
         Files.createDirectory(folder.resolve("deploy"));
         Path file = folder.resolve("deploy/balancer.toml");
         Files.writeString(file, "run = \"exec java -Xmx64m -jar no.jar serve\"\n");
@@ -170,7 +168,7 @@
         assertEquals(List.of("java", "-Xmx64m", "-jar", "no.jar", "serve"), read.command());
         assertEquals(
                 "the jar is not built: " + folder.resolve("no.jar"),
-                assertThrows(IllegalArgumentException.class, () -> read.with(read.jar()))
+                assertThrows(IllegalArgumentException.class, () -> read.withJar(read.jar()))
                         .getMessage());
         Files.writeString(file, "run = \"java -jar x.jar | tee log\"\n");
         assertTrue(assertThrows(IllegalArgumentException.class, () -> DeployFile.read(folder))
--- a/fleet/src/test/java/martenlatch/fleet/rig/FleetRunTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/rig/FleetRunTest.java
@@ -22,11 +22,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real processes of the built jar, with faults between them. */
+/** Runs real processes of the built jar, with faults between them. */
 @Timeout(value = 180, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class FleetRunTest {
 
-    /** A run that the machine has spoilt says nothing: it is played again, and not for ever. */
+    /** A run that was void because of the machine is repeated, up to this many times. */
     private static final int TRIES = 3;
 
     private static final String SMALL = """
@@ -89,11 +89,10 @@
     }
 
     /**
-     * Guards against a rig that finds nothing: an unsafe request that a relay writes twice is named by its
-     * id.
+     * Guards against a rig that detects nothing: an unsafe request that a relay duplicates is reported by its id.
      */
     @Test
-    void aRelayThatWritesTwiceIsFoundOut() throws Exception {
+    void duplicatingRelayIsDetected() throws Exception {
         Verdict verdict = play(small("3", """
             [[fault]]
             at = 0.5
@@ -118,9 +117,9 @@
         assertTrue(ranTwice.containsAll(twice.stream().map(Finding::id).toList()), ranTwice.toString());
     }
 
-    /** The same: answers that a relay loses, which the plan does not say, are requests lost. */
+    /** Guards against a rig that detects nothing: responses that a relay loses outside the plan are lost requests. */
     @Test
-    void aRelayThatLosesAnswersIsFoundOut() throws Exception {
+    void relayThatLosesResponsesIsDetected() throws Exception {
         Verdict verdict = play(
                 small("3", ""),
                 run -> run.clientLink(1)
@@ -135,9 +134,9 @@
                 verdict.toString());
     }
 
-    /** Guards against a rig that calls the program right, or wrong, for a fault that was not there. */
+    /** Guards against a verdict, good or bad, on a run whose planned fault did not take place. */
     @Test
-    void aProcessThatDidNotStandStillMakesTheRunVoid() throws Exception {
+    void failedPauseMakesRunVoid() throws Exception {
         Verdict verdict = play(
                 small("3", """
             [[fault]]
@@ -162,9 +161,9 @@
                 verdict.spoilt().toString());
     }
 
-    /** A relay whose thread has no time passes on what it holds later than its conduct says. */
+    /** A relay whose thread is blocked forwards data later than its link conditions ask for. */
     @Test
-    void aRelayThatFallsBehindMakesTheRunVoid() throws Exception {
+    void lateRelayMakesRunVoid() throws Exception {
         Verdict verdict = play(small("3", """
             [[fault]]
             at = 0.2
@@ -180,9 +179,9 @@
                 verdict.spoilt().toString());
     }
 
-    /** Over UDP: a death is known to all, who stood still accuses nobody, a cut of two alone is no death. */
+    /** Over UDP, a death is detected by all, a resumed member suspects nobody, and a cut between two is not a death. */
     @Test
-    void sidecarsKnowWhoLives() throws Exception {
+    void sidecarsDetectDeaths() throws Exception {
         Scenario plan = Scenario.of(new TomlMapper()
                 .readTree(SMALL.replace("sidecars = 3", "sidecars = 5\npeers = true")
                                 .formatted("16") + """
@@ -214,15 +213,15 @@
             assertTrue(told.contains("n" + i + ": peer 4: SUSPECT -> FAULTY"), told.toString());
             assertTrue(told.contains("n" + i + ": peer 4: FAULTY -> ALIVE"), told.toString());
         }
-        // What is said after the load is over is of the end of all.
+        // State changes that are logged after the load come from the shutdown of all sidecars.
         assertTrue(
                 told.stream().filter(line -> line.endsWith("FAULTY")).allMatch(line -> line.contains("peer 4:")),
                 told.toString());
     }
 
-    /** Who hears nobody but is heard, and the other half of a split, are not dead: nobody calls them so. */
+    /** A member that only sends, and the other half of a split, are not declared faulty. */
     @Test
-    void oneSidedCutsAndSplitsAreNoDeaths() throws Exception {
+    void oneWayCutsAndSplitsAreNotDeaths() throws Exception {
         Scenario plan = Scenario.of(new TomlMapper()
                 .readTree(SMALL.replace("sidecars = 3", "sidecars = 6\npeers = true")
                                 .formatted("20") + """
@@ -252,9 +251,9 @@
                         .toList());
     }
 
-    /** A drain is told, a link delays what is on its way: the sidecar has done nothing wrong. */
+    /** Requests in transit on a slow link when a drain is announced are not a violation by the sidecar. */
     @Test
-    void aDrainBehindASlowLinkIsNoBreach() throws Exception {
+    void drainBehindSlowLinkIsNoViolation() throws Exception {
         Verdict verdict = play(small("5", """
             [[fault]]
             at = 0.5
@@ -278,7 +277,7 @@
      * time. The drain counts as notified 6 s after it was announced, one second after these processes begin.
      */
     @Test
-    void processesThatStartFromAnOldListHearOfADrainInTime() throws Exception {
+    void processesStartingFromOldListLearnOfDrainInTime() throws Exception {
         Verdict verdict = play(
                 Scenario.of(new TomlMapper()
                         .readTree(SMALL.replace("sidecars = 3", "sidecars = 8").formatted("13") + """
@@ -299,11 +298,11 @@
     }
 
     /**
-     * Configurations that name another discovery, one soon after another: the polls that each of them delays must not
-     * add up to more than a change may stay unknown.
+     * Several moves of discovery in a row: the polls that each move delays must not add up to more than the time for which
+     * a change may stay unknown.
      */
     @Test
-    void sidecarsThatAreMovedAgainAndAgainHearOfADrainInTime() throws Exception {
+    void repeatedlyMovedSidecarsLearnOfDrainInTime() throws Exception {
         StringBuilder moves = new StringBuilder();
         for (int move = 0; move < 12; move++) {
             moves.append("[[fault]]\nat = ").append(1 + move * 0.7).append("\ndo = \"reload\"\nmoves = true\n");
@@ -319,9 +318,9 @@
         assertEquals(List.of(), verdict.findings(), verdict.toString());
     }
 
-    /** The requests in hand at SIGTERM have their answers before the end, whatever endpoints do. */
+    /** Requests that are pending at SIGTERM are answered before the process ends, whatever endpoints do. */
     @Test
-    void aRestartBeforeHungEndpointsLosesNothing() throws Exception {
+    void restartWithHungEndpointsLosesNoRequest() throws Exception {
         Verdict verdict = play(small("9", """
             [[class]]
             name = "long"
--- a/fleet/src/test/java/martenlatch/fleet/sim/EndpointListAgeSimTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/sim/EndpointListAgeSimTest.java
@@ -193,7 +193,7 @@
      */
     @ParameterizedTest
     @CsvSource({"60, 20", "150, 60"})
-    void aFleetThatStartsAtACrowdedDiscoveryServesFromACurrentList(int callMs, int rejectionMs) {
+    void fleetStartingAtCrowdedDiscoveryServesFromCurrentList(int callMs, int rejectionMs) {
         List<String> found = new ArrayList<>();
         for (int seed = 1; seed <= CROWDED_STARTS; seed++) {
             String fleet = crowded(seed, callMs, rejectionMs);
@@ -206,7 +206,7 @@
 
     /** Polls that come sooner do not bring down a discovery that serves calls in turn: what it rejects is bounded. */
     @Test
-    void aFleetThatStartsTogetherIsHeardInTime() {
+    void fleetStartingTogetherIsAnsweredInTime() {
         Scenario plan = scenario(
                 FLEET.formatted(1, 150) + fault(2, 3, "kill", who("sidecars")).text());
         History history = new SimRun(plan).play(at -> {});
