--- a/fleet/src/main/java/martenlatch/fleet/link/LinkConditions.java
+++ b/fleet/src/main/java/martenlatch/fleet/link/LinkConditions.java
@@ -7,7 +7,7 @@
  * @param delayMs latency of each message
  * @param jitterMs maximum additional latency, drawn uniformly for each message
  * @param loss fraction of messages that are lost, 0 to 0.95
- * @param duplicate fraction of datagrams that arrive twice, or of a stream's writes that are written twice
+ * @param duplicate fraction of datagrams, or of a stream's writes, that are duplicated
  * @param reorder fraction of datagrams that arrive after later ones
  * @param bytesPerSecond bandwidth; infinite means unlimited
  * @param half fraction of a stream's writes of which only the first half arrives, followed by a reset
--- a/fleet/src/test/java/martenlatch/fleet/gossip/PeerSimTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/gossip/PeerSimTest.java
@@ -76,7 +76,7 @@
         }
     }
 
-    /** A paused member, or a third of all, is alive in every view within two seconds, whatever the length of the pause. */
+    /** Paused members are alive in every view within two seconds after they resume, however long the pause was. */
     @ParameterizedTest
     @EnumSource(
             mode = EnumSource.Mode.INCLUDE,
@@ -156,7 +156,7 @@
         }
     }
 
-    /** A member that receives nothing reports itself as cut off; members that still receive from it believe it alive. */
+    /** A member that receives nothing reports itself as cut off; members that receive from it believe it alive. */
     @Test
     void memberThatReceivesNothingReportsItselfCutOff() {
         PeerSim sim = new PeerSim(12, 2, 4, GossipUnderTest::new);
--- a/fleet/src/test/java/martenlatch/fleet/rig/FleetRunTest.java
+++ b/fleet/src/test/java/martenlatch/fleet/rig/FleetRunTest.java
@@ -298,8 +298,8 @@
     }
 
     /**
-     * Several moves of discovery in a row: the polls that each move delays must not add up to more than the time for which
-     * a change may stay unknown.
+     * Several moves of discovery in a row: the delays of polls by each move must not add up to more than the time for
+     * which a change may stay unknown.
      */
     @Test
     void repeatedlyMovedSidecarsLearnOfDrainInTime() throws Exception {
