--- a/fleet/src/main/java/martenlatch/fleet/judge/LostJudge.java
+++ b/fleet/src/main/java/martenlatch/fleet/judge/LostRequestChecker.java
@@ -8,7 +8,7 @@
  * No request lost: each that a living sidecar has taken gets one final answer by its deadline. Not a
  * sidecar's doing is what ends while it is dead or stands still, and what its link to the client spoils.
  */
-public final class LostJudge implements Judge {
+public final class LostRequestChecker implements RunChecker {
 
     @Override
     public String name() {
@@ -16,9 +16,9 @@
     }
 
     @Override
-    public List<Finding> judge(Record run) {
+    public List<Finding> check(RunRecord run) {
         List<Finding> found = new ArrayList<>();
-        for (Record.Asked one : run.requests()) {
+        for (RunRecord.RequestRecord one : run.requests()) {
             if (Double.isNaN(one.askedAt()) || isAnswered(one.end()) || neverTaken(one.end()) || isCrossed(run, one)) {
                 continue;
             }
@@ -55,7 +55,7 @@
      * A sidecar may close a connection between two requests; one that crosses this and was not read is sent
      * again by its client.
      */
-    static boolean isCrossed(Record run, Record.Asked one) {
+    static boolean isCrossed(RunRecord run, RunRecord.RequestRecord one) {
         return one.sent().isEmpty()
                 && (one.end().equals("FAILED closed") || one.end().equals("FAILED reset"))
                 && run.wasLeaving(one.sidecar(), one.askedAt(), one.endedAt());
--- a/fleet/src/main/java/martenlatch/fleet/link/LinkConditions.java
+++ b/fleet/src/main/java/martenlatch/fleet/link/LinkConditions.java
@@ -11,8 +11,7 @@
  * @param reorder fraction of datagrams that arrive after later ones
  * @param bytesPerSecond bandwidth; infinite means unlimited
  * @param half fraction of a stream's writes of which only the first half arrives, followed by a reset
- * @param silent whether nothing passes, without any error at either end; data sent on a stream meanwhile arrives once this
- *     ends
+ * @param silent whether nothing passes, without an error at either end; stream data sent meanwhile arrives afterwards
  */
 public record LinkConditions(
         double delayMs,
--- a/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
@@ -129,24 +129,24 @@
     }
 
     private void recordStarted(Endpoint endpoint, double coldMs) {
-        history.tell(What.ENDPOINT_UP, endpoint.id(), "", "", String.valueOf(coldMs));
+        history.record(What.ENDPOINT_UP, endpoint.id(), "", "", String.valueOf(coldMs));
     }
 
     /** Records what endpoints see in the history. */
     private final class EndpointRecorder implements Ledger.Observer {
         @Override
         public void ran(String endpoint, String id, boolean cold) {
-            history.tell(What.RAN, endpoint, "", id, cold ? "cold" : "");
+            history.record(What.RAN, endpoint, "", id, cold ? "cold" : "");
         }
 
         @Override
         public void turnedAway(String endpoint, String id) {
-            history.tell(What.TURNED_AWAY, endpoint, "", id, "");
+            history.record(What.TURNED_AWAY, endpoint, "", id, "");
         }
 
         @Override
         public void answered(String endpoint, String id) {
-            history.tell(What.ANSWERED, endpoint, "", id, "");
+            history.record(What.ANSWERED, endpoint, "", id, "");
         }
     }
 
@@ -160,7 +160,7 @@
         @Override
         public void onLate(double ms) {
             if (ms > MAX_LATENESS_MS) {
-                history.tell(What.RIG, "link", "", "", String.valueOf(ms));
+                history.record(What.RIG, "link", "", "", String.valueOf(ms));
             }
         }
     };
@@ -169,17 +169,17 @@
     private final Discovery.Teller discoveryRecorder = new Discovery.Teller() {
         @Override
         public void told(String viewer, Endpoint endpoint, String state) {
-            history.tell(What.TOLD, viewer, endpoint.id(), "", state);
+            history.record(What.TOLD, viewer, endpoint.id(), "", state);
         }
 
         @Override
         public void called(String viewer, boolean refused) {
-            history.tell(What.LIST_CALL, viewer, "discovery", "", refused ? "refused" : "answered");
+            history.record(What.LIST_CALL, viewer, "discovery", "", refused ? "refused" : "answered");
         }
 
         @Override
         public void changed(Endpoint endpoint, String state) {
-            history.tell(What.CHANGED, "discovery", endpoint.id(), "", state);
+            history.record(What.CHANGED, "discovery", endpoint.id(), "", state);
         }
     };
 
@@ -187,7 +187,7 @@
         LinkObserver watch = new LinkObserver() {
             @Override
             public void onRequest(String from, String to, String id) {
-                history.tell(What.SENT, from, to, id, "");
+                history.record(What.SENT, from, to, id, "");
             }
 
             @Override
@@ -247,7 +247,7 @@
             findAddressOfLateSidecar(one);
             if (!isLate(one.name())) {
                 one.start(deploy);
-                history.tell(What.PROCESS, one.name(), "", "", "started");
+                history.record(What.PROCESS, one.name(), "", "", "started");
             }
         }
         for (SidecarProcess one : sidecars) {
@@ -322,7 +322,7 @@
             } else {
                 one.awaitServing(START_TIMEOUT_MS);
                 recordProcess(one, "serves");
-                front.believe(i, Front.State.UP, 0);
+                front.setStateAt(i, Front.State.UP, 0);
             }
         }
         LOG.info("{} sidecars serve", sidecars.size());
@@ -332,13 +332,13 @@
     private final class ProcessRecorder implements SidecarProcess.Watch {
         @Override
         public void line(String name, String line) {
-            history.tell(What.LOG, name, "", "", line);
+            history.record(What.LOG, name, "", "", line);
         }
 
         @Override
         public void ended(String name, int status) {
             boolean asked = expectedToEnd.getOrDefault(name, false);
-            history.tell(What.PROCESS, name, "", "", (asked ? "ended " : "died ") + status);
+            history.record(What.PROCESS, name, "", "", (asked ? "ended " : "died ") + status);
         }
     }
 
@@ -347,7 +347,7 @@
         Load wanted = scenario.load();
         // Clients wait slightly past their deadline, so that a response at the last moment still counts.
         List<Kind> kinds = wanted.classes().stream()
-                .map(Load.ClassOf::kind)
+                .map(Load.ClassSettings::kind)
                 .map(kind -> new Kind(
                         kind.name(),
                         kind.share(),
@@ -396,11 +396,11 @@
                     try {
                         double lateMs = history.now() - ms;
                         if (lateMs > MAX_LATENESS_MS) {
-                            history.tell(What.RIG, "faults", "", "", String.valueOf(lateMs));
+                            history.record(What.RIG, "faults", "", "", String.valueOf(lateMs));
                         }
                         step.run();
                     } catch (IOException | RuntimeException e) {
-                        history.tell(What.RIG, "faults", "", "", "failed " + e.getMessage());
+                        history.record(What.RIG, "faults", "", "", "failed " + e.getMessage());
                         LOG.error("step of the fault plan failed", e);
                     }
                 },
@@ -425,7 +425,7 @@
                         }
                         double lateMs = (System.nanoTime() - due) / 1e6;
                         if (lateMs > MAX_LATENESS_MS) {
-                            history.tell(What.RIG, "beat", "", "", String.valueOf(lateMs));
+                            history.record(What.RIG, "beat", "", "", String.valueOf(lateMs));
                             due = System.nanoTime();
                         }
                     }
@@ -440,7 +440,7 @@
     private void begin(Fault fault) throws IOException {
         active.add(fault);
         linkFaults.begin(fault);
-        history.tell(
+        history.record(
                 What.FAULT_BEGINS, String.valueOf(fault.number()), String.join(" ", fault.who()), "", fault.toString());
         LOG.info("fault {} begins: {}", fault.number(), fault);
         switch (fault.what().aim()) {
@@ -475,7 +475,7 @@
             case DISCOVERY -> world.discovery().manner(Discovery.Manner.GOOD);
             default -> applyLinkFault(fault, false);
         }
-        history.tell(
+        history.record(
                 What.FAULT_ENDS, String.valueOf(fault.number()), String.join(" ", fault.who()), "", fault.toString());
         LOG.info("fault {} is over", fault.number());
     }
@@ -485,7 +485,7 @@
     }
 
     private void recordProcess(SidecarProcess one, String what) {
-        history.tell(What.PROCESS, one.name(), "", "", what);
+        history.record(What.PROCESS, one.name(), "", "", what);
     }
 
     private void begin(Fault fault, int number) throws IOException {
@@ -495,19 +495,19 @@
         switch (fault.what()) {
             case PAUSE -> {
                 pause(one);
-                front.believe(number, Front.State.DOWN, notice);
+                front.setStateAt(number, Front.State.DOWN, notice);
             }
             case CRAWL -> crawl(fault, one);
             case KILL -> {
                 leave(one, "killed");
                 one.kill();
                 clientLinks.get(number).refuse(true);
-                front.believe(number, Front.State.DOWN, notice);
+                front.setStateAt(number, Front.State.DOWN, notice);
             }
             case TERM, RESTART -> {
                 leave(one, "told to end");
                 one.terminate();
-                front.believe(number, Front.State.LEAVING, now + ROUTED_AFTER_SIGTERM_MS);
+                front.setStateAt(number, Front.State.LEAVING, now + ROUTED_AFTER_SIGTERM_MS);
                 if (fault.what() == Fault.What.RESTART) {
                     startAgain(number, fault);
                 } else {
@@ -544,7 +544,7 @@
         switch (fault.what()) {
             case PAUSE, CRAWL -> {
                 if (fault.what() == Fault.What.PAUSE && one.isAlive() && !one.isStopped()) {
-                    history.tell(
+                    history.record(
                             What.RIG,
                             "faults",
                             "",
@@ -553,7 +553,7 @@
                 }
                 one.resume();
                 recordProcess(one, "resumed");
-                front.believe(number, Front.State.UP, history.now());
+                front.setStateAt(number, Front.State.UP, history.now());
             }
             case KILL, TERM, LATE -> startAgain(number, fault);
             case TWIN ->
@@ -586,7 +586,7 @@
         if (one.pause() == SidecarProcess.Stop.STOPPED) {
             recordProcess(one, "paused");
         } else {
-            history.tell(What.RIG, "faults", "", "", "failed " + one.name() + " was not paused");
+            history.record(What.RIG, "faults", "", "", "failed " + one.name() + " was not paused");
         }
     }
 
@@ -619,7 +619,7 @@
             faultScheduler.schedule(() -> awaitEnd(number), CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         } else {
             clientLinks.get(number).refuse(true);
-            front.believe(number, Front.State.DOWN, history.now());
+            front.setStateAt(number, Front.State.DOWN, history.now());
         }
     }
 
@@ -631,7 +631,7 @@
             return;
         }
         clientLinks.get(number).refuse(true);
-        front.believe(number, Front.State.DOWN, history.now());
+        front.setStateAt(number, Front.State.DOWN, history.now());
         expectedToEnd.put(one.name(), false);
         one.start(fault.jar().isEmpty() ? deploy : deploy.withJar(Path.of(fault.jar())));
         recordProcess(one, "started");
@@ -643,7 +643,7 @@
         if (one.serves()) {
             clientLinks.get(number).refuse(false);
             recordProcess(one, "serves");
-            front.believe(number, Front.State.UP, history.now());
+            front.setStateAt(number, Front.State.UP, history.now());
         } else if (one.isAlive()) {
             faultScheduler.schedule(() -> awaitServing(number), CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
@@ -716,7 +716,7 @@
         }
         for (SidecarProcess one : all) {
             if (!one.awaitEnd(END_TIMEOUT_MS)) {
-                history.tell(What.RIG, "faults", "", "", "failed " + one.name() + " did not end");
+                history.record(What.RIG, "faults", "", "", "failed " + one.name() + " did not end");
             }
         }
     }
--- a/fleet/src/main/java/martenlatch/fleet/rig/FrontDriver.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FrontDriver.java
@@ -40,7 +40,7 @@
         long deadlineNanos = leftNanos - GRACE_MS * 1_000_000L;
         int sidecar = front.pick(history.now(), i -> drivers.get(i).hasIdle());
         String name = "n" + sidecar;
-        history.tell(
+        history.record(
                 What.ASKED,
                 CLIENTS_NAME,
                 name,
@@ -54,13 +54,13 @@
 
             @Override
             public void ended(End end, String cause, double retryAfterMs) {
-                history.tell(What.ENDED, CLIENTS_NAME, name, id, end + (cause.isEmpty() ? "" : " " + cause));
+                history.record(What.ENDED, CLIENTS_NAME, name, id, end + (cause.isEmpty() ? "" : " " + cause));
                 ending.ended(end, cause, retryAfterMs);
             }
         });
         return () -> {
             boolean sent = call.giveUp();
-            history.tell(What.ENDED, CLIENTS_NAME, name, id, (sent ? End.TIMED_OUT : End.NOT_SENT).toString());
+            history.record(What.ENDED, CLIENTS_NAME, name, id, (sent ? End.TIMED_OUT : End.NOT_SENT).toString());
             return sent;
         };
     }
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimDiscovery.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimDiscovery.java
@@ -52,7 +52,7 @@
 
     void put(Endpoint server) {
         entries.put(server.id(), new Entry(server, ++version));
-        history.tell(What.CHANGED, "discovery", server.id(), "", stateName(server.status()));
+        history.record(What.CHANGED, "discovery", server.id(), "", stateName(server.status()));
         notifyWatches();
     }
 
@@ -97,13 +97,13 @@
         if (connection.ended) {
             return;
         }
-        history.tell(What.LIST_CALL, connection.sidecar, "discovery", "", refused ? "refused" : "answered");
+        history.record(What.LIST_CALL, connection.sidecar, "discovery", "", refused ? "refused" : "answered");
         if (refused) {
             caller.onRejected();
             return;
         }
         if (index >= version || (index >= 0 && manner == Manner.SILENT)) {
-            history.tell(What.LONG_POLL, connection.sidecar, "discovery", "", String.valueOf(waitMs));
+            history.record(What.LONG_POLL, connection.sidecar, "discovery", "", String.valueOf(waitMs));
         }
         Watch watch = new Watch(connection, index, caller);
         if (index < version || manner != Manner.GOOD) {
@@ -131,7 +131,7 @@
             default -> {
                 EndpointList list = list(watch.index());
                 for (EndpointList.Entry entry : list.entries()) {
-                    history.tell(
+                    history.record(
                             What.TOLD,
                             watch.connection().sidecar,
                             entry.endpoint().id(),
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimEndpoint.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimEndpoint.java
@@ -91,7 +91,7 @@
         trouble = Trouble.NONE;
         startedMs = time.now();
         warmAtMs = time.elapsed() + settings.coldMs();
-        history.tell(What.ENDPOINT_UP, id, "", "", String.valueOf(settings.coldMs()));
+        history.record(What.ENDPOINT_UP, id, "", "", String.valueOf(settings.coldMs()));
     }
 
     /** Accepts a complete request; resets the connection if the process has died. */
@@ -104,11 +104,11 @@
             return;
         }
         if (draining || busySlots >= settings.slots() && queue.size() >= settings.queue()) {
-            history.tell(What.TURNED_AWAY, id, "", request, "");
+            history.record(What.TURNED_AWAY, id, "", request, "");
             caller.onEnded(Reply.NOT_RUN);
             return;
         }
-        history.tell(What.RAN, id, "", request, time.elapsed() < warmAtMs ? "cold" : "");
+        history.record(What.RAN, id, "", request, time.elapsed() < warmAtMs ? "cold" : "");
         openRequests.add(caller);
         if (busySlots < settings.slots()) {
             execute(request, caller);
@@ -142,7 +142,7 @@
             case RESETS, HALF, GARBLES -> caller.onEnded(Reply.RESET);
             case ERRORS -> caller.onEnded(Reply.ERROR);
             default -> {
-                history.tell(What.ANSWERED, id, "", request, "");
+                history.record(What.ANSWERED, id, "", request, "");
                 caller.onEnded(Reply.OK);
             }
         }
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimSidecar.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimSidecar.java
@@ -184,7 +184,7 @@
 
     private void serve() {
         serving = true;
-        history.tell(What.PROCESS, name, "", "", "serves");
+        history.record(What.PROCESS, name, "", "", "serves");
     }
 
     void kill() {
@@ -193,7 +193,7 @@
         paused = false;
         deferred.clear();
         routes.values().forEach(route -> route.idle = 0);
-        history.tell(What.PROCESS, name, "", "", "killed");
+        history.record(What.PROCESS, name, "", "", "killed");
         endConnections();
     }
 
@@ -222,7 +222,7 @@
             return;
         }
         terminatedAtMs = time.elapsed();
-        history.tell(What.PROCESS, name, "", "", "told to end");
+        history.record(What.PROCESS, name, "", "", "told to end");
         requestTracker.capDeadlines(time.now() + LAST_ANSWER_AFTER_TERM_MS);
         int expectedStart = startCount;
         time.after(LAST_ANSWER_AFTER_TERM_MS + 1, () -> {
@@ -232,7 +232,7 @@
                 routes.values().forEach(route -> route.idle = 0);
                 endConnections();
                 // As with real processes, clients see their connections end before the end of the process is seen.
-                time.after(1, () -> history.tell(What.PROCESS, name, "", "", "ended 0"));
+                time.after(1, () -> history.record(What.PROCESS, name, "", "", "ended 0"));
             }
         });
     }
@@ -240,14 +240,14 @@
     void pause() {
         if (alive && !paused) {
             paused = true;
-            history.tell(What.PROCESS, name, "", "", "paused");
+            history.record(What.PROCESS, name, "", "", "paused");
         }
     }
 
     void resume() {
         if (alive && paused) {
             paused = false;
-            history.tell(What.PROCESS, name, "", "", "resumed");
+            history.record(What.PROCESS, name, "", "", "resumed");
             // Waiting events arrived before any new one, so they run first.
             int expectedStart = startCount;
             while (!deferred.isEmpty() && expectedStart == startCount && !paused) {
@@ -401,7 +401,7 @@
 
     private void write(Route route, String id, SimAttempt sent, Transport.AttemptListener ending, int expectedStart) {
         sent.written = true;
-        history.tell(What.SENT, name, route.endpoint.id(), id, "");
+        history.record(What.SENT, name, route.endpoint.id(), id, "");
         boolean[] answered = new boolean[1];
         route.onwards.send(() -> route.endpoint.receive(
                 id,
@@ -491,7 +491,7 @@
     void moveDiscovery() {
         if (alive) {
             int expectedStart = startCount;
-            history.tell(What.PROCESS, name, "", "", "reloads");
+            history.record(What.PROCESS, name, "", "", "reloads");
             runInProcess(expectedStart, watch::onMoved);
         }
     }
