--- a/fleet/src/main/java/martenlatch/fleet/rig/FrontDriver.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FrontDriver.java
@@ -9,7 +9,7 @@
 import martenlatch.fleet.history.History;
 import martenlatch.load.Driver;
 import martenlatch.load.End;
-import martenlatch.load.Wish;
+import martenlatch.load.Arrival;
 import martenlatch.load.http.HttpDriver;
 
 /** Clients behind the front: each request goes to the sidecar that the front names, and into the history. */
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public Call send(Wish wish, String id, boolean retry, long leftNanos, Ending ending) {
+    public Call send(Arrival wish, String id, boolean retry, long leftNanos, Ending ending) {
         long said = leftNanos - GRACE_MS * 1_000_000L;
         int sidecar = front.pick(history.now(), i -> drivers.get(i).hasIdle());
         String name = "n" + sidecar;
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
@@ -22,7 +22,7 @@
 import martenlatch.load.Kind;
 import martenlatch.load.Schedule;
 import martenlatch.load.Shape;
-import martenlatch.load.Wish;
+import martenlatch.load.Arrival;
 import martenlatch.policy.api.AttemptLimits;
 import martenlatch.policy.api.BalancerSettings;
 import martenlatch.policy.api.DeduplicationScope;
@@ -211,7 +211,7 @@
 
     private void arrive(Arrivals arrivals) {
         try {
-            Wish next = arrivals.next();
+            Arrival next = arrivals.next();
             if (next != null) {
                 time.after(next.intendedNanos() / 1e6 - time.elapsed(), () -> {
                     new Wanted(next).attempt();
@@ -225,10 +225,10 @@
 
     /** What a client wants, until it has it or gives up; its tries are requests of their own. */
     private final class Wanted {
-        private final Wish wish;
+        private final Arrival wish;
         private int tries;
 
-        Wanted(Wish wish) {
+        Wanted(Arrival wish) {
             this.wish = wish;
         }
 
--- a/tools/src/main/java/martenlatch/load/Arrivals.java
+++ b/tools/src/main/java/martenlatch/load/Arrivals.java
@@ -9,7 +9,7 @@
 public interface Arrivals extends Closeable {
 
     /** The next wish, or null after the last. */
-    Wish next() throws IOException;
+    Arrival next() throws IOException;
 
     /** How long it goes on, in seconds. */
     double seconds();
@@ -28,7 +28,7 @@
             private long count;
 
             @Override
-            public Wish next() {
+            public Arrival next() {
                 long at = schedule.next();
                 if (at < 0) {
                     return null;
@@ -39,7 +39,7 @@
                     drawn -= kinds.get(which++).share();
                 }
                 Kind kind = kinds.get(which);
-                return new Wish(count++, at, kind, null, kind.bodyBytes(), kind.deadlineMs());
+                return new Arrival(count++, at, kind, null, kind.bodyBytes(), kind.deadlineMs());
             }
 
             @Override
--- a/tools/src/main/java/martenlatch/load/Driver.java
+++ b/tools/src/main/java/martenlatch/load/Driver.java
@@ -33,7 +33,7 @@
      * @param leftNanos until its client waits no longer
      * @return its call; {@link Call#giveUp} tells whether any of it was sent
      */
-    Call send(Wish wish, String id, boolean retry, long leftNanos, Ending ending);
+    Call send(Arrival wish, String id, boolean retry, long leftNanos, Ending ending);
 
     /** Ends all connections. */
     void close();
--- a/tools/src/main/java/martenlatch/load/LoadRun.java
+++ b/tools/src/main/java/martenlatch/load/LoadRun.java
@@ -28,7 +28,7 @@
     private final Arrivals arrivals;
     private final Consumer<Second> live;
     private final List<Worker> workers = new ArrayList<>();
-    private final List<Queue<Wish>> feeds = new ArrayList<>();
+    private final List<Queue<Arrival>> feeds = new ArrayList<>();
     private final Map<Integer, Second> parts = new TreeMap<>();
     private final Queue<Second> told = new ConcurrentLinkedQueue<>();
     private final List<Second> seconds = new ArrayList<>();
@@ -51,7 +51,7 @@
         String run = Long.toHexString(ThreadLocalRandom.current().nextLong());
         for (int i = 0; i < plan.workers(); i++) {
             int most = plan.connections() / plan.workers() + (i < plan.connections() % plan.workers() ? 1 : 0);
-            Queue<Wish> feed = new ArrayBlockingQueue<>(AHEAD);
+            Queue<Arrival> feed = new ArrayBlockingQueue<>(AHEAD);
             feeds.add(feed);
             workers.add(new Worker(
                     feed,
@@ -69,8 +69,8 @@
         return start;
     }
 
-    private static final Wish LAST =
-            new Wish(-1, Long.MAX_VALUE, new Kind("none", 1, Kind.Effect.REPEATABLE, 0, 1, 0), null, 0, 1);
+    private static final Arrival LAST =
+            new Arrival(-1, Long.MAX_VALUE, new Kind("none", 1, Kind.Effect.REPEATABLE, 0, 1, 0), null, 0, 1);
 
     /** Sends nothing new from now on; {@link #run} returns when what is open has ended. */
     public void stop() {
@@ -112,7 +112,7 @@
     private void feed() {
         try {
             for (int turn = 0; !stop; turn++) {
-                Wish next = arrivals.next();
+                Arrival next = arrivals.next();
                 if (next == null) {
                     break;
                 }
@@ -125,7 +125,7 @@
         }
     }
 
-    private void put(Queue<Wish> feed, Wish wish) {
+    private void put(Queue<Arrival> feed, Arrival wish) {
         while (!feed.offer(wish) && !stop) {
             try {
                 TimeUnit.MICROSECONDS.sleep(FULL_PAUSE_MICROS);
--- a/tools/src/main/java/martenlatch/load/Trace.java
+++ b/tools/src/main/java/martenlatch/load/Trace.java
@@ -107,11 +107,11 @@
             private long count;
 
             @Override
-            public Wish next() throws IOException {
+            public Arrival next() throws IOException {
                 TraceFormat.Line line = in.next();
                 return line == null
                         ? null
-                        : new Wish(
+                        : new Arrival(
                                 count++,
                                 (long) ((line.seconds() - firstSecond) / speed * 1e9),
                                 line.kind(),
--- a/tools/src/main/java/martenlatch/load/Worker.java
+++ b/tools/src/main/java/martenlatch/load/Worker.java
@@ -62,7 +62,7 @@
 
     /** A wish that has not ended. */
     private final class Open {
-        private final Wish wish;
+        private final Arrival wish;
         private int tries;
         private Driver.Call call;
         private boolean over;
@@ -72,7 +72,7 @@
         private boolean written;
         private Wake timeout;
 
-        Open(Wish wish) {
+        Open(Arrival wish) {
             this.wish = wish;
         }
 
@@ -146,8 +146,8 @@
         }
     }
 
-    private final Queue<Wish> feed;
-    private final Wish last;
+    private final Queue<Arrival> feed;
+    private final Arrival last;
     private final Function<IoEventLoop, Driver> drivers;
     private final Consumer<Second> seconds;
     private final String prefix;
@@ -179,8 +179,8 @@
      * @param prefix of all ids, unique to this run
      */
     Worker(
-            Queue<Wish> feed,
-            Wish last,
+            Queue<Arrival> feed,
+            Arrival last,
             Function<IoEventLoop, Driver> drivers,
             long start,
             long warmNanos,
@@ -199,7 +199,7 @@
         return System.nanoTime() - start;
     }
 
-    private Part part(Wish wish) {
+    private Part part(Arrival wish) {
         return part(wish.intendedNanos());
     }
 
@@ -237,7 +237,7 @@
     }
 
     private void work(ManualIoEventLoop loop) {
-        Wish next = feed.poll();
+        Arrival next = feed.poll();
         long looked = clock();
         while (next != last && !stop || !open.isEmpty()) {
             long now = clock();
@@ -296,7 +296,7 @@
         });
     }
 
-    private void begin(Wish wish) {
+    private void begin(Arrival wish) {
         long late = clock() - wish.intendedNanos();
         second.wish(late);
         part(wish).judgement.sent(second.number(), late);
--- a/tools/src/main/java/martenlatch/load/http/HttpDriver.java
+++ b/tools/src/main/java/martenlatch/load/http/HttpDriver.java
@@ -28,7 +28,7 @@
 import martenlatch.load.Driver;
 import martenlatch.load.End;
 import martenlatch.load.Kind;
-import martenlatch.load.Wish;
+import martenlatch.load.Arrival;
 
 /**
  * HTTP/1.1 (RFC 9112) as the platform's clients speak it: one request at a time on a connection, kept for the
@@ -72,7 +72,7 @@
     }
 
     private final class HttpCall implements Call {
-        private final Wish wish;
+        private final Arrival wish;
         private final String id;
         private final boolean retry;
         private final Ending ending;
@@ -80,7 +80,7 @@
         private Connection connection;
         private boolean over;
 
-        HttpCall(Wish wish, String id, boolean retry, long leftNanos, Ending ending) {
+        HttpCall(Arrival wish, String id, boolean retry, long leftNanos, Ending ending) {
             this.wish = wish;
             this.id = id;
             this.retry = retry;
@@ -125,7 +125,7 @@
         }
 
         private ByteBuf request(HttpCall of) {
-            Wish wish = of.wish;
+            Arrival wish = of.wish;
             boolean get = wish.kind().effect() == Kind.Effect.REPEATABLE;
             long left = Math.max(1, (of.until - System.nanoTime()) / 1_000_000);
             StringBuilder head = new StringBuilder(256)
@@ -267,7 +267,7 @@
     }
 
     @Override
-    public Call send(Wish wish, String id, boolean retry, long leftNanos, Ending ending) {
+    public Call send(Arrival wish, String id, boolean retry, long leftNanos, Ending ending) {
         HttpCall call = new HttpCall(wish, id, retry, leftNanos, ending);
         for (Connection free = idle.poll(); free != null; free = idle.poll()) {
             if (free.channel.isActive() && System.nanoTime() - free.idleSince < IDLE_NANOS) {
--- a/tools/src/test/java/martenlatch/load/LoadRunTest.java
+++ b/tools/src/test/java/martenlatch/load/LoadRunTest.java
@@ -162,7 +162,7 @@
             private int sends;
 
             @Override
-            public Call send(Wish wish, String id, boolean retry, long leftNanos, Ending ending) {
+            public Call send(Arrival wish, String id, boolean retry, long leftNanos, Ending ending) {
                 if (++sends == atSend) {
                     try {
                         Thread.sleep(400);
@@ -360,11 +360,11 @@
             private int count;
 
             @Override
-            public Wish next() throws IOException {
+            public Arrival next() throws IOException {
                 if (count == 10) {
                     throw new IOException("unexpected end of the file");
                 }
-                return new Wish(count, count++ * 1_000_000L, kind(Kind.Effect.REPEATABLE, 1000, 0), null, 0, 1000);
+                return new Arrival(count, count++ * 1_000_000L, kind(Kind.Effect.REPEATABLE, 1000, 0), null, 0, 1000);
             }
 
             @Override
--- a/tools/src/test/java/martenlatch/load/ScheduleTest.java
+++ b/tools/src/test/java/martenlatch/load/ScheduleTest.java
@@ -137,7 +137,7 @@
         Arrivals arrivals = Arrivals.drawn(new Schedule(List.of(Shape.parse("constant 10000 1")), false, 1), kinds, 3);
         int[] counts = new int[2];
         long number = 0;
-        for (Wish next = arrivals.next(); next != null; next = arrivals.next()) {
+        for (Arrival next = arrivals.next(); next != null; next = arrivals.next()) {
             assertEquals(number++, next.number());
             counts[kinds.indexOf(next.kind())]++;
         }
--- a/tools/src/test/java/martenlatch/load/TraceTest.java
+++ b/tools/src/test/java/martenlatch/load/TraceTest.java
@@ -34,7 +34,7 @@
     private static List<String> played(Trace trace, double speed) throws IOException {
         List<String> wishes = new ArrayList<>();
         try (Arrivals arrivals = trace.play(speed)) {
-            for (Wish next = arrivals.next(); next != null; next = arrivals.next()) {
+            for (Arrival next = arrivals.next(); next != null; next = arrivals.next()) {
                 wishes.add(next.number() + "@" + next.intendedNanos() / 1_000_000 + " "
                         + next.kind().name()
                         + " "
