--- a/fleet/src/main/java/martenlatch/fleet/cli/Main.java
+++ b/fleet/src/main/java/martenlatch/fleet/cli/Main.java
@@ -29,7 +29,7 @@
 import martenlatch.fleet.scenario.Fault;
 import martenlatch.fleet.scenario.Scenario;
 import martenlatch.fleet.sim.SimRun;
-import martenlatch.load.End;
+import martenlatch.load.RequestOutcome;
 import martenlatch.toml.TomlFile;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -255,7 +255,7 @@
                                 "%4d s  sent %5d  served %5d  p50 %7.1f  p99 %8.1f ms%n",
                                 second.number() + 1,
                                 second.wishes(),
-                                second.count(End.SERVED),
+                                second.count(RequestOutcome.SERVED),
                                 second.ms(50),
                                 second.ms(99));
                     }
--- a/fleet/src/main/java/martenlatch/fleet/rig/FrontDriver.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FrontDriver.java
@@ -8,7 +8,7 @@
 import martenlatch.fleet.history.Event.What;
 import martenlatch.fleet.history.History;
 import martenlatch.load.Driver;
-import martenlatch.load.End;
+import martenlatch.load.RequestOutcome;
 import martenlatch.load.Arrival;
 import martenlatch.load.http.HttpDriver;
 
@@ -50,14 +50,14 @@
             }
 
             @Override
-            public void ended(End end, String cause, double retryAfterMs) {
+            public void ended(RequestOutcome end, String cause, double retryAfterMs) {
                 history.tell(What.ENDED, CLIENTS, name, id, end + (cause.isEmpty() ? "" : " " + cause));
                 ending.ended(end, cause, retryAfterMs);
             }
         });
         return () -> {
             boolean sent = call.giveUp();
-            history.tell(What.ENDED, CLIENTS, name, id, (sent ? End.TIMED_OUT : End.NOT_SENT).toString());
+            history.tell(What.ENDED, CLIENTS, name, id, (sent ? RequestOutcome.TIMED_OUT : RequestOutcome.NOT_SENT).toString());
             return sent;
         };
     }
--- a/tools/src/main/java/martenlatch/demo/Demo.java
+++ b/tools/src/main/java/martenlatch/demo/Demo.java
@@ -15,7 +15,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import martenlatch.load.Arrivals;
-import martenlatch.load.End;
+import martenlatch.load.RequestOutcome;
 import martenlatch.load.Kind;
 import martenlatch.load.LoadPlan;
 import martenlatch.load.LoadReport;
@@ -146,10 +146,10 @@
                 done,
                 bar,
                 second.wishes(),
-                second.count(End.SERVED),
-                second.count(End.REFUSED),
-                second.count(End.FAILED),
-                second.count(End.TIMED_OUT) + second.count(End.NOT_SENT),
+                second.count(RequestOutcome.SERVED),
+                second.count(RequestOutcome.REFUSED),
+                second.count(RequestOutcome.FAILED),
+                second.count(RequestOutcome.TIMED_OUT) + second.count(RequestOutcome.NOT_SENT),
                 second.ms(50),
                 second.ms(99)));
         while (!happenings.isEmpty() && happenings.peek().atSeconds() <= done && done < seconds) {
--- a/tools/src/main/java/martenlatch/load/Driver.java
+++ b/tools/src/main/java/martenlatch/load/Driver.java
@@ -15,7 +15,7 @@
          * @param cause a few words that tell ends of the same kind apart, from a closed list
          * @param retryAfterMs when the service asked to be tried again; NaN where it did not
          */
-        void ended(End end, String cause, double retryAfterMs);
+        void ended(RequestOutcome end, String cause, double retryAfterMs);
     }
 
     /** A request that is under way. */
--- a/tools/src/main/java/martenlatch/load/Figures.java
+++ b/tools/src/main/java/martenlatch/load/Figures.java
@@ -13,7 +13,7 @@
     private long wishes;
     private long requests;
     private long open;
-    private final Map<End, Long> ends = new EnumMap<>(End.class);
+    private final Map<RequestOutcome, Long> ends = new EnumMap<>(RequestOutcome.class);
     private final Map<String, Long> causes = new TreeMap<>();
     private final Histogram served = new Histogram(LONGEST_US, 3);
     private final Histogram all = new Histogram(LONGEST_US, 3);
@@ -27,14 +27,14 @@
     }
 
     /** A wish has ended; those with no answer count as well, with the time after which they were given up. */
-    void ended(End end, String cause, long nanos) {
+    void ended(RequestOutcome end, String cause, long nanos) {
         ends.merge(end, 1L, Long::sum);
-        if (end != End.SERVED) {
+        if (end != RequestOutcome.SERVED) {
             causes.merge(cause, 1L, Long::sum);
         }
         long micros = Math.min(LONGEST_US, Math.max(0, nanos / 1000));
         all.recordValue(micros);
-        if (end == End.SERVED) {
+        if (end == RequestOutcome.SERVED) {
             served.recordValue(micros);
         }
     }
@@ -69,7 +69,7 @@
     }
 
     /** How many wishes ended so. */
-    public long count(End end) {
+    public long count(RequestOutcome end) {
         return ends.getOrDefault(end, 0L);
     }
 
--- a/tools/src/main/java/martenlatch/load/End.java
+++ b/tools/src/main/java/martenlatch/load/RequestOutcome.java
@@ -1,7 +1,7 @@
 package martenlatch.load;
 
 /** How a wish ends, and a request: each in exactly one of these ways. */
-public enum End {
+public enum RequestOutcome {
     /** An answer 2xx, whole. */
     SERVED,
     /** An answer 429 or 503, whole: it has not run. */
--- a/tools/src/main/java/martenlatch/load/Second.java
+++ b/tools/src/main/java/martenlatch/load/Second.java
@@ -8,7 +8,7 @@
     private static final long LONGEST_US = 3_600_000_000L;
 
     private final int number;
-    private final long[] ends = new long[End.values().length];
+    private final long[] ends = new long[RequestOutcome.values().length];
     private final Histogram times = new Histogram(LONGEST_US, 2);
     private long wishes;
     private long lateSends;
@@ -23,7 +23,7 @@
         lateSends += lateNanos > Judgement.LATE_NANOS ? 1 : 0;
     }
 
-    void ended(End end, long nanos) {
+    void ended(RequestOutcome end, long nanos) {
         ends[end.ordinal()]++;
         times.recordValue(Math.min(LONGEST_US, Math.max(0, nanos / 1000)));
     }
@@ -58,7 +58,7 @@
         return lateSends;
     }
 
-    public long count(End end) {
+    public long count(RequestOutcome end) {
         return ends[end.ordinal()];
     }
 
--- a/tools/src/main/java/martenlatch/load/Worker.java
+++ b/tools/src/main/java/martenlatch/load/Worker.java
@@ -88,7 +88,7 @@
             timeout = wakeAt(until, () -> {
                 if (!over && mine == serial) {
                     boolean sent = call.giveUp();
-                    ended(sent ? End.TIMED_OUT : End.NOT_SENT, sent ? "no answer" : "no connection", Double.NaN);
+                    ended(sent ? RequestOutcome.TIMED_OUT : RequestOutcome.NOT_SENT, sent ? "no answer" : "no connection", Double.NaN);
                 }
             });
             call = driver.send(wish, prefix + wish.number() + "-" + tries, !first, until - now, new Driver.Ending() {
@@ -101,7 +101,7 @@
                 }
 
                 @Override
-                public void ended(End end, String cause, double retryAfterMs) {
+                public void ended(RequestOutcome end, String cause, double retryAfterMs) {
                     if (!over && mine == serial) {
                         part(wish).judgement.answered(second.number(), pause);
                         Open.this.ended(end, cause, retryAfterMs);
@@ -110,14 +110,14 @@
             });
         }
 
-        private void ended(End end, String cause, double retryAfterMs) {
+        private void ended(RequestOutcome end, String cause, double retryAfterMs) {
             serial++;
             if (timeout != null) {
                 timeout.letGo();
             }
             boolean harmless =
-                    end == End.REFUSED || end == End.NOT_SENT || wish.kind().effect() != Kind.Effect.UNSAFE;
-            if (end != End.SERVED && harmless && tries <= wish.kind().retries() && !stopped) {
+                    end == RequestOutcome.REFUSED || end == RequestOutcome.NOT_SENT || wish.kind().effect() != Kind.Effect.UNSAFE;
+            if (end != RequestOutcome.SERVED && harmless && tries <= wish.kind().retries() && !stopped) {
                 double wait = Double.isNaN(retryAfterMs) ? BACK_OFF_MS * (1 << Math.min(10, tries - 1)) : retryAfterMs;
                 int mine = serial;
                 wakeAt(clock() + (long) (wait * 1e6), () -> {
--- a/tools/src/main/java/martenlatch/load/http/HttpDriver.java
+++ b/tools/src/main/java/martenlatch/load/http/HttpDriver.java
@@ -26,7 +26,7 @@
 import java.util.List;
 import java.util.Set;
 import martenlatch.load.Driver;
-import martenlatch.load.End;
+import martenlatch.load.RequestOutcome;
 import martenlatch.load.Kind;
 import martenlatch.load.Arrival;
 
@@ -88,7 +88,7 @@
             until = System.nanoTime() + leftNanos;
         }
 
-        void end(End end, String cause, double retryAfterMs) {
+        void end(RequestOutcome end, String cause, double retryAfterMs) {
             if (!over) {
                 over = true;
                 ending.ended(end, cause, retryAfterMs);
@@ -198,11 +198,11 @@
                 HttpCall done = call;
                 call = null;
                 if (status < 300) {
-                    done.end(End.SERVED, "", Double.NaN);
+                    done.end(RequestOutcome.SERVED, "", Double.NaN);
                 } else if (status == 429 || status == 503) {
-                    done.end(End.REFUSED, "refused " + status, retryAfterMs);
+                    done.end(RequestOutcome.REFUSED, "refused " + status, retryAfterMs);
                 } else {
-                    done.end(End.FAILED, "status " + status, retryAfterMs);
+                    done.end(RequestOutcome.FAILED, "status " + status, retryAfterMs);
                 }
             }
         }
@@ -225,7 +225,7 @@
             call = null;
             close();
             if (broken != null) {
-                broken.end(End.FAILED, cause, Double.NaN);
+                broken.end(RequestOutcome.FAILED, cause, Double.NaN);
             }
         }
 
@@ -326,7 +326,7 @@
         all.remove(failed);
         HttpCall first = nextWaiting();
         if (first != null) {
-            first.end(End.FAILED, "no connect", Double.NaN);
+            first.end(RequestOutcome.FAILED, "no connect", Double.NaN);
         }
         connectIfWanted();
     }
--- a/tools/src/main/java/martenlatch/tools/HtmlReport.java
+++ b/tools/src/main/java/martenlatch/tools/HtmlReport.java
@@ -8,7 +8,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
-import martenlatch.load.End;
+import martenlatch.load.RequestOutcome;
 import martenlatch.load.LoadReport;
 import martenlatch.load.Second;
 
@@ -49,10 +49,10 @@
                 events,
                 List.of(
                         new Line("sent", "#888", Second::wishes),
-                        new Line("served", "#2a7", s -> s.count(End.SERVED)),
-                        new Line("refused", "#e90", s -> s.count(End.REFUSED)),
-                        new Line("failed", "#c22", s -> s.count(End.FAILED)),
-                        new Line("timed out, not sent", "#72c", s -> s.count(End.TIMED_OUT) + s.count(End.NOT_SENT)))));
+                        new Line("served", "#2a7", s -> s.count(RequestOutcome.SERVED)),
+                        new Line("refused", "#e90", s -> s.count(RequestOutcome.REFUSED)),
+                        new Line("failed", "#c22", s -> s.count(RequestOutcome.FAILED)),
+                        new Line("timed out, not sent", "#72c", s -> s.count(RequestOutcome.TIMED_OUT) + s.count(RequestOutcome.NOT_SENT)))));
         out.append(plot(
                 "Time from the intended send to the end, ms",
                 report.seconds(),
--- a/tools/src/main/java/martenlatch/tools/Main.java
+++ b/tools/src/main/java/martenlatch/tools/Main.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import martenlatch.demo.Demo;
 import martenlatch.load.Arrivals;
-import martenlatch.load.End;
+import martenlatch.load.RequestOutcome;
 import martenlatch.load.LoadReport;
 import martenlatch.load.LoadRun;
 import martenlatch.load.LoadSettings;
@@ -165,11 +165,11 @@
                             + "p50 %7.2f p99 %8.2f ms  late sends %d%n",
                     second.number() + 1,
                     second.wishes(),
-                    second.count(End.SERVED),
-                    second.count(End.REFUSED),
-                    second.count(End.FAILED),
-                    second.count(End.TIMED_OUT),
-                    second.count(End.NOT_SENT),
+                    second.count(RequestOutcome.SERVED),
+                    second.count(RequestOutcome.REFUSED),
+                    second.count(RequestOutcome.FAILED),
+                    second.count(RequestOutcome.TIMED_OUT),
+                    second.count(RequestOutcome.NOT_SENT),
                     second.ms(50),
                     second.ms(99),
                     second.lateSends());
--- a/tools/src/test/java/martenlatch/load/LoadRunTest.java
+++ b/tools/src/test/java/martenlatch/load/LoadRunTest.java
@@ -69,7 +69,7 @@
                         endpoint.address(), kind(Kind.Effect.KEYED, 2_000, 0), "constant 500 1", 200, second -> {})
                 .run();
         assertEquals(500, report.all().wishes());
-        assertEquals(500, report.all().count(End.SERVED));
+        assertEquals(500, report.all().count(RequestOutcome.SERVED));
         assertEquals(500, world.ledger().ids());
         assertEquals(0, world.ledger().runTwice());
         assertEquals(List.of(), report.differences());
@@ -123,7 +123,7 @@
     @Test
     void aStarvedGeneratorSaysSo() throws Exception {
         LoadReport report = starvedRun(kind(Kind.Effect.REPEATABLE, 5_000, 0), 1000, 600);
-        assertEquals(1000, report.all().count(End.SERVED));
+        assertEquals(1000, report.all().count(RequestOutcome.SERVED));
         assertTrue(report.judgement().voidFrom() >= 0 && report.judgement().voidFrom() <= 1, report.verdict());
         assertTrue(report.judgement().lateShare() > 0.1, report.verdict());
         assertTrue(report.judgement().longestPause() >= 390_000_000L, report.verdict());
@@ -138,8 +138,8 @@
     void aGeneratorThatWasStarvedCatchesUp() throws Exception {
         LoadReport report = starvedRun(kind(Kind.Effect.UNSAFE, 300, 0), 20, 300);
         assertEquals(1000, report.all().wishes());
-        assertEquals(0, report.all().count(End.NOT_SENT), printed(report));
-        assertTrue(report.all().count(End.SERVED) >= 990, printed(report));
+        assertEquals(0, report.all().count(RequestOutcome.NOT_SENT), printed(report));
+        assertTrue(report.all().count(RequestOutcome.SERVED) >= 990, printed(report));
         assertTrue(report.judgement().voidFrom() >= 0, "whatever is served late is no figure of the service");
     }
 
@@ -191,10 +191,10 @@
         "ERRORS, FAILED, status 500",
         "TWICE, SERVED, "
     })
-    void eachRequestEndsInOneCount(Trouble trouble, End end, String cause) throws Exception {
+    void eachRequestEndsInOneCount(Trouble trouble, RequestOutcome end, String cause) throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 0")));
         endpoint.trouble(trouble);
-        int deadline = end == End.TIMED_OUT ? 300 : 5_000;
+        int deadline = end == RequestOutcome.TIMED_OUT ? 300 : 5_000;
         LoadReport report = run(
                         endpoint.address(),
                         kind(Kind.Effect.UNSAFE, deadline, 0),
@@ -205,7 +205,7 @@
         Figures all = report.all();
         assertEquals(100, all.wishes());
         // A very busy machine may not get some out within a short deadline; none is in two counts or none.
-        assertEquals(100, all.count(end) + (end == End.TIMED_OUT ? all.count(End.NOT_SENT) : 0), printed(report));
+        assertEquals(100, all.count(end) + (end == RequestOutcome.TIMED_OUT ? all.count(RequestOutcome.NOT_SENT) : 0), printed(report));
         assertEquals(100, all.ended());
         assertEquals(0, all.open());
         assertEquals(List.of(), report.differences());
@@ -229,7 +229,7 @@
                 .run();
         Figures all = report.all();
         assertEquals(150, all.wishes());
-        assertEquals(150, all.count(End.TIMED_OUT) + all.count(End.NOT_SENT), printed(report));
+        assertEquals(150, all.count(RequestOutcome.TIMED_OUT) + all.count(RequestOutcome.NOT_SENT), printed(report));
         assertEquals(150, all.ended());
         assertEquals(List.of(), report.differences());
         assertTrue(world.ledger().receivedCount() > 0, "they were on their way");
@@ -246,7 +246,7 @@
                         50,
                         second -> {})
                 .run();
-        assertEquals(100, report.all().count(End.FAILED), printed(report));
+        assertEquals(100, report.all().count(RequestOutcome.FAILED), printed(report));
         assertEquals(100L, report.all().causes().get("no connect"));
     }
 
@@ -266,8 +266,8 @@
                 .run();
         Figures all = report.all();
         assertEquals(100, all.ended());
-        assertTrue(all.count(End.NOT_SENT) >= 50, printed(report));
-        assertTrue(all.count(End.SERVED) >= 1 && all.count(End.SERVED) <= 6, printed(report));
+        assertTrue(all.count(RequestOutcome.NOT_SENT) >= 50, printed(report));
+        assertTrue(all.count(RequestOutcome.SERVED) >= 1 && all.count(RequestOutcome.SERVED) <= 6, printed(report));
         assertTrue(report.waits() > 0, printed(report));
         assertTrue(all.all().getValueAtPercentile(90) >= 2_900_000, "their time counts too");
         assertTrue(printed(report).contains("at most 1 connections"), printed(report));
@@ -342,7 +342,7 @@
                         (loop, most) -> new HttpDriver(loop, targets, most),
                         seconds::add)
                 .run();
-        assertEquals(report.all().wishes(), report.all().count(End.SERVED), printed(report));
+        assertEquals(report.all().wishes(), report.all().count(RequestOutcome.SERVED), printed(report));
         assertEquals(report.all().wishes(), world.ledger().ids());
         assertEquals(
                 report.all().wishes(),
--- a/tools/src/test/java/martenlatch/tools/RehearsalTest.java
+++ b/tools/src/test/java/martenlatch/tools/RehearsalTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import martenlatch.load.End;
+import martenlatch.load.RequestOutcome;
 import martenlatch.load.Kind;
 import martenlatch.load.LoadReport;
 import org.junit.jupiter.api.Test;
@@ -20,7 +20,7 @@
                 new Kind("update", 1, Kind.Effect.KEYED, 300, 30_000, 1),
                 new Kind("book", 1, Kind.Effect.UNSAFE, 300, 30_000, 0)));
         assertEquals(3, report.kinds().size());
-        assertEquals(report.all().wishes(), report.all().count(End.SERVED));
+        assertEquals(report.all().wishes(), report.all().count(RequestOutcome.SERVED));
         assertEquals(List.of(), report.differences());
     }
 }
