--- a/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
@@ -37,7 +37,7 @@
 import martenlatch.fleet.scenario.Scenario;
 import martenlatch.fleet.scenario.Selector.Group;
 import martenlatch.load.Arrivals;
-import martenlatch.load.Kind;
+import martenlatch.load.LoadClass;
 import martenlatch.load.LoadPlan;
 import martenlatch.load.LoadReport;
 import martenlatch.load.LoadRun;
@@ -334,9 +334,9 @@
     public LoadReport play(Consumer<Second> live) throws IOException, InterruptedException {
         Load wanted = scenario.load();
         // Clients wait for a little longer than they say: who answers at the last moment has answered.
-        List<Kind> kinds = wanted.classes().stream()
+        List<LoadClass> kinds = wanted.classes().stream()
                 .map(Load.ClassOf::kind)
-                .map(kind -> new Kind(
+                .map(kind -> new LoadClass(
                         kind.name(),
                         kind.share(),
                         kind.effect(),
--- a/fleet/src/main/java/martenlatch/fleet/rig/RelayCost.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/RelayCost.java
@@ -12,7 +12,7 @@
 import martenlatch.fleet.link.Loopback;
 import martenlatch.fleet.link.StreamLink;
 import martenlatch.load.Arrivals;
-import martenlatch.load.Kind;
+import martenlatch.load.LoadClass;
 import martenlatch.load.LoadPlan;
 import martenlatch.load.LoadReport;
 import martenlatch.load.LoadRun;
@@ -68,7 +68,7 @@
     private static LoadReport load(InetSocketAddress target, double rate, double seconds)
             throws IOException, InterruptedException {
         List<InetSocketAddress> targets = List.of(target);
-        List<Kind> kinds = List.of(new Kind("look-up", 1, Kind.Effect.REPEATABLE, 0, 1000, 0));
+        List<LoadClass> kinds = List.of(new LoadClass("look-up", 1, LoadClass.Effect.REPEATABLE, 0, 1000, 0));
         return new LoadRun(
                         new LoadPlan(targets, 1, CONNECTIONS, WARM_SECONDS),
                         Arrivals.drawn(
--- a/fleet/src/main/java/martenlatch/fleet/rig/SidecarConfig.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/SidecarConfig.java
@@ -10,7 +10,7 @@
 import martenlatch.fleet.launch.SidecarProcess;
 import martenlatch.fleet.scenario.Load;
 import martenlatch.fleet.scenario.Scenario;
-import martenlatch.load.Kind;
+import martenlatch.load.LoadClass;
 
 /** The configuration that a platform would give a sidecar, as JSON. */
 final class SidecarConfig {
@@ -92,7 +92,7 @@
         }
     }
 
-    private static String effect(Kind.Effect effect) {
+    private static String effect(LoadClass.Effect effect) {
         return switch (effect) {
             case REPEATABLE -> "repeatable";
             case KEYED -> "by_key";
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Load.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Load.java
@@ -1,7 +1,7 @@
 package martenlatch.fleet.scenario;
 
 import java.util.List;
-import martenlatch.load.Kind;
+import martenlatch.load.LoadClass;
 
 /**
  * What clients want.
@@ -13,7 +13,7 @@
 public record Load(double rate, double skew, double noticeMs, List<ClassOf> classes) {
 
     /** A class of requests, for clients and for sidecars. */
-    public record ClassOf(Kind kind, double aimMs, double worth) {
+    public record ClassOf(LoadClass kind, double aimMs, double worth) {
         public ClassOf {
             if (!(aimMs > 0 && aimMs <= kind.deadlineMs())) {
                 throw new IllegalArgumentException("class.aim-ms must be above 0 and within deadline-ms ("
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Scenario.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Scenario.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import martenlatch.fleet.link.Conduct;
-import martenlatch.load.Kind;
+import martenlatch.load.LoadClass;
 import martenlatch.toml.TomlFile;
 import martenlatch.world.ServiceTime;
 import martenlatch.world.WorldSettings;
@@ -129,10 +129,10 @@
             TomlFile.knownOnly("class.", one, CLASS);
             int deadline = TomlFile.whole("class.deadline-ms", one.path("deadline-ms"), 1000);
             try {
-                Kind kind = new Kind(
+                LoadClass kind = new LoadClass(
                         one.path("name").asText(""),
                         TomlFile.number("class.share", one.path("share"), 1),
-                        Kind.Effect.parse(one.path("effect").asText("")),
+                        LoadClass.Effect.parse(one.path("effect").asText("")),
                         TomlFile.whole("class.body-bytes", one.path("body-bytes"), 0),
                         deadline,
                         TomlFile.whole("class.retries", one.path("retries"), 0));
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
@@ -19,7 +19,7 @@
 import martenlatch.fleet.scenario.Selector.Group;
 import martenlatch.fleet.scenario.Sizes;
 import martenlatch.load.Arrivals;
-import martenlatch.load.Kind;
+import martenlatch.load.LoadClass;
 import martenlatch.load.Schedule;
 import martenlatch.load.Shape;
 import martenlatch.load.Arrival;
@@ -153,7 +153,7 @@
                         scenario.discovery().askWithinMs()));
     }
 
-    private static Idempotency idempotency(Kind.Effect effect) {
+    private static Idempotency idempotency(LoadClass.Effect effect) {
         return switch (effect) {
             case REPEATABLE -> Idempotency.IDEMPOTENT;
             case KEYED -> Idempotency.IDEMPOTENCY_KEY;
@@ -179,7 +179,7 @@
                 time.after(fault.endMs(), () -> end(fault));
             }
         }
-        List<Kind> kinds =
+        List<LoadClass> kinds =
                 scenario.load().classes().stream().map(Load.ClassOf::kind).toList();
         Arrivals arrivals = Arrivals.drawn(
                 new Schedule(
@@ -292,7 +292,7 @@
                 history.tell(What.ENDED, "clients", sidecar, id, how);
                 boolean harmless = how.startsWith("REFUSED")
                         || how.equals("FAILED no connect")
-                        || wish.kind().effect() != Kind.Effect.UNSAFE;
+                        || wish.kind().effect() != LoadClass.Effect.UNSAFE;
                 if (!how.startsWith("SERVED")
                         && harmless
                         && tries <= wish.kind().retries()) {
--- a/tools/src/main/java/martenlatch/demo/Demo.java
+++ b/tools/src/main/java/martenlatch/demo/Demo.java
@@ -16,7 +16,7 @@
 import java.util.function.Consumer;
 import martenlatch.load.Arrivals;
 import martenlatch.load.RequestOutcome;
-import martenlatch.load.Kind;
+import martenlatch.load.LoadClass;
 import martenlatch.load.LoadPlan;
 import martenlatch.load.LoadReport;
 import martenlatch.load.LoadRun;
@@ -122,10 +122,10 @@
 
     private LoadReport load(InetSocketAddress sidecar, Consumer<Runnable> begun)
             throws IOException, InterruptedException {
-        List<Kind> kinds = List.of(
-                new Kind("look-up", 6, Kind.Effect.REPEATABLE, 0, 1000, 1),
-                new Kind("update", 2, Kind.Effect.KEYED, 200, 1500, 1),
-                new Kind("book", 2, Kind.Effect.UNSAFE, 400, 1500, 1));
+        List<LoadClass> kinds = List.of(
+                new LoadClass("look-up", 6, LoadClass.Effect.REPEATABLE, 0, 1000, 1),
+                new LoadClass("update", 2, LoadClass.Effect.KEYED, 200, 1500, 1),
+                new LoadClass("book", 2, LoadClass.Effect.UNSAFE, 400, 1500, 1));
         List<InetSocketAddress> targets = List.of(sidecar);
         run = new LoadRun(
                 new LoadPlan(targets, 1, CONNECTIONS, WARM_SECONDS),
--- a/tools/src/main/java/martenlatch/load/Arrival.java
+++ b/tools/src/main/java/martenlatch/load/Arrival.java
@@ -10,4 +10,4 @@
  * @param bodyBytes the length of its body
  * @param deadlineMs how long its client waits for the answer of each request
  */
-public record Arrival(long number, long intendedNanos, Kind kind, String key, int bodyBytes, int deadlineMs) {}
+public record Arrival(long number, long intendedNanos, LoadClass kind, String key, int bodyBytes, int deadlineMs) {}
--- a/tools/src/main/java/martenlatch/load/Arrivals.java
+++ b/tools/src/main/java/martenlatch/load/Arrivals.java
@@ -21,9 +21,9 @@
     }
 
     /** Arrivals by a schedule, each of a class drawn by the classes' shares; all from one seed. */
-    static Arrivals drawn(Schedule schedule, List<Kind> kinds, long seed) {
+    static Arrivals drawn(Schedule schedule, List<LoadClass> kinds, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        double shares = kinds.stream().mapToDouble(Kind::share).sum();
+        double shares = kinds.stream().mapToDouble(LoadClass::share).sum();
         return new Arrivals() {
             private long count;
 
@@ -38,7 +38,7 @@
                 while (which < kinds.size() - 1 && drawn >= kinds.get(which).share()) {
                     drawn -= kinds.get(which++).share();
                 }
-                Kind kind = kinds.get(which);
+                LoadClass kind = kinds.get(which);
                 return new Arrival(count++, at, kind, null, kind.bodyBytes(), kind.deadlineMs());
             }
 
--- a/tools/src/main/java/martenlatch/load/Kind.java
+++ b/tools/src/main/java/martenlatch/load/LoadClass.java
@@ -10,7 +10,7 @@
  * @param deadlineMs how long its client waits
  * @param retries how often its client tries again, each time as a new request
  */
-public record Kind(String name, double share, Effect effect, int bodyBytes, int deadlineMs, int retries) {
+public record LoadClass(String name, double share, Effect effect, int bodyBytes, int deadlineMs, int retries) {
 
     /** What running a request twice does. */
     public enum Effect {
@@ -38,7 +38,7 @@
     private static final int MOST_DEADLINE_MS = 600_000;
     private static final int MOST_RETRIES = 100;
 
-    public Kind {
+    public LoadClass {
         if (name.isEmpty() || !name.chars().allMatch(c -> c > ' ' && c < 127)) {
             throw new IllegalArgumentException("name must be printable ASCII but is \"" + name + "\"");
         }
--- a/tools/src/main/java/martenlatch/load/LoadRun.java
+++ b/tools/src/main/java/martenlatch/load/LoadRun.java
@@ -70,7 +70,7 @@
     }
 
     private static final Arrival LAST =
-            new Arrival(-1, Long.MAX_VALUE, new Kind("none", 1, Kind.Effect.REPEATABLE, 0, 1, 0), null, 0, 1);
+            new Arrival(-1, Long.MAX_VALUE, new LoadClass("none", 1, LoadClass.Effect.REPEATABLE, 0, 1, 0), null, 0, 1);
 
     /** Sends nothing new from now on; {@link #run} returns when what is open has ended. */
     public void stop() {
--- a/tools/src/main/java/martenlatch/load/LoadSettings.java
+++ b/tools/src/main/java/martenlatch/load/LoadSettings.java
@@ -23,7 +23,7 @@
  */
 public record LoadSettings(
         LoadPlan plan,
-        List<Kind> kinds,
+        List<LoadClass> kinds,
         List<Shape> shapes,
         boolean poisson,
         long seed,
@@ -55,10 +55,10 @@
         TomlFile.knownOnly("", file, NAMES);
         List<InetSocketAddress> targets = new ArrayList<>();
         file.path("targets").forEach(one -> targets.add(SocketAddresses.parse("targets", one.textValue())));
-        List<Kind> kinds = new ArrayList<>();
+        List<LoadClass> kinds = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (JsonNode one : file.path("class")) {
-            Kind kind = kind(one);
+            LoadClass kind = kind(one);
             if (!names.add(kind.name())) {
                 throw new IllegalArgumentException(
                         "class.name must be one of a kind but two are \"" + kind.name() + "\"");
@@ -93,13 +93,13 @@
                 TomlFile.number("trace-bad-share", file.path("trace-bad-share"), 0));
     }
 
-    private static Kind kind(JsonNode one) {
+    private static LoadClass kind(JsonNode one) {
         TomlFile.knownOnly("class.", one, KIND_NAMES);
         try {
-            return new Kind(
+            return new LoadClass(
                     one.path("name").asText(""),
                     TomlFile.number("share", one.path("share"), 1),
-                    Kind.Effect.parse(one.path("effect").asText("")),
+                    LoadClass.Effect.parse(one.path("effect").asText("")),
                     TomlFile.whole("body-bytes", one.path("body-bytes"), 0),
                     TomlFile.whole("deadline-ms", one.path("deadline-ms"), 1000),
                     TomlFile.whole("retries", one.path("retries"), 0));
--- a/tools/src/main/java/martenlatch/load/Trace.java
+++ b/tools/src/main/java/martenlatch/load/Trace.java
@@ -26,14 +26,14 @@
     private static final int GZIP_MAGIC = 0x1f8b;
 
     private final Path file;
-    private final List<Kind> kinds;
+    private final List<LoadClass> kinds;
     private final List<String> complaints = new ArrayList<>();
     private long lines;
     private long bad;
     private double firstSecond = Double.NaN;
     private double lastSecond;
 
-    private Trace(Path file, List<Kind> kinds) {
+    private Trace(Path file, List<LoadClass> kinds) {
         this.file = file;
         this.kinds = kinds;
     }
@@ -44,7 +44,7 @@
      * @param mostBadShare the share of its lines that may be of no use, 0 to 1; with more of them it is not
      *     to be played, and the exception says which ones they are
      */
-    public static Trace check(Path file, List<Kind> kinds, double mostBadShare) throws IOException {
+    public static Trace check(Path file, List<LoadClass> kinds, double mostBadShare) throws IOException {
         Trace trace = new Trace(file, kinds);
         try (Reader in = trace.new Reader(trace::complain)) {
             for (TraceFormat.Line line = in.next(); line != null; line = in.next()) {
--- a/tools/src/main/java/martenlatch/load/TraceFormat.java
+++ b/tools/src/main/java/martenlatch/load/TraceFormat.java
@@ -24,8 +24,8 @@
     private static final ObjectReader CSV = new CsvMapper().readerFor(String[].class);
     private static final double MOST_SECONDS = 1e10;
 
-    private final Map<String, Kind> kinds;
-    private final Kind usual;
+    private final Map<String, LoadClass> kinds;
+    private final LoadClass usual;
     /** The columns of a CSV file; null for JSON Lines. */
     private final List<String> columns;
 
@@ -35,8 +35,8 @@
      * @param header its first line; one that begins with a brace is a line of JSON
      * @param kinds the classes that lines may name; the first is that of lines that name none
      */
-    TraceFormat(String header, List<Kind> kinds) throws IOException {
-        this.kinds = kinds.stream().collect(Collectors.toMap(Kind::name, Function.identity()));
+    TraceFormat(String header, List<LoadClass> kinds) throws IOException {
+        this.kinds = kinds.stream().collect(Collectors.toMap(LoadClass::name, Function.identity()));
         usual = kinds.get(0);
         if (header.stripLeading().startsWith("{")) {
             columns = null;
@@ -57,7 +57,7 @@
     }
 
     /** The time of a line in seconds, and all else that it tells. */
-    record Line(double seconds, Kind kind, String key, int bodyBytes, int deadlineMs) {}
+    record Line(double seconds, LoadClass kind, String key, int bodyBytes, int deadlineMs) {}
 
     Line parse(String text) throws IOException {
         String[] fields = new String[5];
@@ -73,7 +73,7 @@
                 set(fields, columns.get(i), values[i].strip());
             }
         }
-        Kind kind = fields[1] == null || fields[1].isEmpty() ? usual : kinds.get(fields[1]);
+        LoadClass kind = fields[1] == null || fields[1].isEmpty() ? usual : kinds.get(fields[1]);
         if (kind == null) {
             throw new IllegalArgumentException(
                     "class must be one of the settings' but is \"" + shortened(fields[1]) + "\"");
@@ -86,7 +86,7 @@
                 number("time", fields[0], 0, MOST_SECONDS, Double.NaN),
                 kind,
                 key,
-                (int) number("size", fields[3], 0, Kind.MOST_BODY, kind.bodyBytes()),
+                (int) number("size", fields[3], 0, LoadClass.MOST_BODY, kind.bodyBytes()),
                 (int) number("deadline", fields[4], 1, 600_000, kind.deadlineMs()));
     }
 
--- a/tools/src/main/java/martenlatch/load/Worker.java
+++ b/tools/src/main/java/martenlatch/load/Worker.java
@@ -116,7 +116,7 @@
                 timeout.letGo();
             }
             boolean harmless =
-                    end == RequestOutcome.REFUSED || end == RequestOutcome.NOT_SENT || wish.kind().effect() != Kind.Effect.UNSAFE;
+                    end == RequestOutcome.REFUSED || end == RequestOutcome.NOT_SENT || wish.kind().effect() != LoadClass.Effect.UNSAFE;
             if (end != RequestOutcome.SERVED && harmless && tries <= wish.kind().retries() && !stopped) {
                 double wait = Double.isNaN(retryAfterMs) ? BACK_OFF_MS * (1 << Math.min(10, tries - 1)) : retryAfterMs;
                 int mine = serial;
@@ -137,11 +137,11 @@
 
     /** A part of the run. */
     private static final class Part {
-        private final Map<Kind, Figures> figures = new HashMap<>();
+        private final Map<LoadClass, Figures> figures = new HashMap<>();
         private final Judgement judgement = new Judgement();
         private long waits;
 
-        Figures figures(Kind kind) {
+        Figures figures(LoadClass kind) {
             return figures.computeIfAbsent(kind, k -> new Figures());
         }
     }
@@ -318,7 +318,7 @@
 
     // ---- to be read when its thread has ended ----
 
-    Map<Kind, Figures> figures() {
+    Map<LoadClass, Figures> figures() {
         return parts[0].figures;
     }
 
--- a/tools/src/main/java/martenlatch/load/http/HttpDriver.java
+++ b/tools/src/main/java/martenlatch/load/http/HttpDriver.java
@@ -27,7 +27,7 @@
 import java.util.Set;
 import martenlatch.load.Driver;
 import martenlatch.load.RequestOutcome;
-import martenlatch.load.Kind;
+import martenlatch.load.LoadClass;
 import martenlatch.load.Arrival;
 
 /**
@@ -126,7 +126,7 @@
 
         private ByteBuf request(HttpCall of) {
             Arrival wish = of.wish;
-            boolean get = wish.kind().effect() == Kind.Effect.REPEATABLE;
+            boolean get = wish.kind().effect() == LoadClass.Effect.REPEATABLE;
             long left = Math.max(1, (of.until - System.nanoTime()) / 1_000_000);
             StringBuilder head = new StringBuilder(256)
                     .append(get ? "GET" : "POST")
@@ -144,7 +144,7 @@
             if (wish.key() != null) {
                 head.append("\r\nCookie: key=").append(wish.key());
             }
-            if (wish.kind().effect() == Kind.Effect.KEYED) {
+            if (wish.kind().effect() == LoadClass.Effect.KEYED) {
                 // The same for all requests of a wish: the number behind the last dash counts those.
                 head.append("\r\nIdempotency-Key: ").append(of.id, 0, of.id.lastIndexOf('-'));
             }
--- a/tools/src/main/java/martenlatch/tools/Rehearsal.java
+++ b/tools/src/main/java/martenlatch/tools/Rehearsal.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import martenlatch.load.Arrivals;
-import martenlatch.load.Kind;
+import martenlatch.load.LoadClass;
 import martenlatch.load.LoadPlan;
 import martenlatch.load.LoadReport;
 import martenlatch.load.LoadRun;
@@ -29,7 +29,7 @@
     private Rehearsal() {}
 
     /** Plays it, with the classes of the load to come; its report is for whoever wants to look. */
-    static LoadReport play(List<Kind> kinds) throws IOException, InterruptedException {
+    static LoadReport play(List<LoadClass> kinds) throws IOException, InterruptedException {
         try (World world = new World(WorldSettings.plain(1, ServiceTime.parse("constant 0")), 0)) {
             List<InetSocketAddress> targets = List.of(world.endpoints().get(0).address());
             return new LoadRun(
--- a/tools/src/test/java/martenlatch/load/LoadRunTest.java
+++ b/tools/src/test/java/martenlatch/load/LoadRunTest.java
@@ -43,11 +43,11 @@
         return world.endpoints().get(0);
     }
 
-    private static Kind kind(Kind.Effect effect, int deadlineMs, int retries) {
-        return new Kind("k", 1, effect, effect == Kind.Effect.REPEATABLE ? 0 : 20, deadlineMs, retries);
+    private static LoadClass kind(LoadClass.Effect effect, int deadlineMs, int retries) {
+        return new LoadClass("k", 1, effect, effect == LoadClass.Effect.REPEATABLE ? 0 : 20, deadlineMs, retries);
     }
 
-    private static LoadRun run(InetSocketAddress to, Kind kind, String shape, int connections, Consumer<Second> live) {
+    private static LoadRun run(InetSocketAddress to, LoadClass kind, String shape, int connections, Consumer<Second> live) {
         List<InetSocketAddress> targets = List.of(to);
         return new LoadRun(
                 new LoadPlan(targets, 1, connections, 0),
@@ -66,7 +66,7 @@
     void whatIsServedIsCountedOnBothSides() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 1")));
         LoadReport report = run(
-                        endpoint.address(), kind(Kind.Effect.KEYED, 2_000, 0), "constant 500 1", 200, second -> {})
+                        endpoint.address(), kind(LoadClass.Effect.KEYED, 2_000, 0), "constant 500 1", 200, second -> {})
                 .run();
         assertEquals(500, report.all().wishes());
         assertEquals(500, report.all().count(RequestOutcome.SERVED));
@@ -86,7 +86,7 @@
     void aStallShowsInTheTailAsArithmeticSaysAndAClosedLoopHidesIt() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 1")));
         LoadReport report = run(
-                        endpoint.address(), kind(Kind.Effect.REPEATABLE, 5_000, 0), "constant 200 3", 1000, second -> {
+                        endpoint.address(), kind(LoadClass.Effect.REPEATABLE, 5_000, 0), "constant 200 3", 1000, second -> {
                             if (second.number() == 0) {
                                 endpoint.stall(1000);
                             }
@@ -122,7 +122,7 @@
     /** Its loop is blocked on purpose, the service answers at once: the fault is the generator's. */
     @Test
     void aStarvedGeneratorSaysSo() throws Exception {
-        LoadReport report = starvedRun(kind(Kind.Effect.REPEATABLE, 5_000, 0), 1000, 600);
+        LoadReport report = starvedRun(kind(LoadClass.Effect.REPEATABLE, 5_000, 0), 1000, 600);
         assertEquals(1000, report.all().count(RequestOutcome.SERVED));
         assertTrue(report.judgement().voidFrom() >= 0 && report.judgement().voidFrom() <= 1, report.verdict());
         assertTrue(report.judgement().lateShare() > 0.1, report.verdict());
@@ -136,7 +136,7 @@
      */
     @Test
     void aGeneratorThatWasStarvedCatchesUp() throws Exception {
-        LoadReport report = starvedRun(kind(Kind.Effect.UNSAFE, 300, 0), 20, 300);
+        LoadReport report = starvedRun(kind(LoadClass.Effect.UNSAFE, 300, 0), 20, 300);
         assertEquals(1000, report.all().wishes());
         assertEquals(0, report.all().count(RequestOutcome.NOT_SENT), printed(report));
         assertTrue(report.all().count(RequestOutcome.SERVED) >= 990, printed(report));
@@ -144,7 +144,7 @@
     }
 
     /** 1,000 wishes in two seconds to a service that answers at once, and a block at one of the sends. */
-    private LoadReport starvedRun(Kind kind, int connections, int atSend) throws Exception {
+    private LoadReport starvedRun(LoadClass kind, int connections, int atSend) throws Exception {
         List<InetSocketAddress> targets = List.of(endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 0")))
                 .address());
         return new LoadRun(
@@ -197,7 +197,7 @@
         int deadline = end == RequestOutcome.TIMED_OUT ? 300 : 5_000;
         LoadReport report = run(
                         endpoint.address(),
-                        kind(Kind.Effect.UNSAFE, deadline, 0),
+                        kind(LoadClass.Effect.UNSAFE, deadline, 0),
                         "constant 200 0.5",
                         400,
                         second -> {})
@@ -225,7 +225,7 @@
     void anAnswerThatComesTooLateIsNoSecondEnd() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 300")));
         LoadReport report = run(
-                        endpoint.address(), kind(Kind.Effect.UNSAFE, 100, 0), "constant 100 1.5", 400, second -> {})
+                        endpoint.address(), kind(LoadClass.Effect.UNSAFE, 100, 0), "constant 100 1.5", 400, second -> {})
                 .run();
         Figures all = report.all();
         assertEquals(150, all.wishes());
@@ -241,7 +241,7 @@
         world.die(0);
         LoadReport report = run(
                         endpoint.address(),
-                        kind(Kind.Effect.REPEATABLE, 5_000, 0),
+                        kind(LoadClass.Effect.REPEATABLE, 5_000, 0),
                         "constant 200 0.5",
                         50,
                         second -> {})
@@ -259,7 +259,7 @@
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 500")));
         LoadReport report = run(
                         endpoint.address(),
-                        kind(Kind.Effect.REPEATABLE, 3000, 0),
+                        kind(LoadClass.Effect.REPEATABLE, 3000, 0),
                         "constant 10000 0.01",
                         1,
                         second -> {})
@@ -282,18 +282,18 @@
                 new WorldSettings(1, List.of("a"), ServiceTime.parse("constant 300"), 1, 0, 0, 1, 500, 1, 1000, 1);
         Endpoint endpoint = endpoint(full);
         LoadReport refused = run(
-                        endpoint.address(), kind(Kind.Effect.UNSAFE, 5_000, 2), "constant 20 0.2", 50, second -> {})
+                        endpoint.address(), kind(LoadClass.Effect.UNSAFE, 5_000, 2), "constant 20 0.2", 50, second -> {})
                 .run();
         assertTrue(refused.all().requests() > refused.all().wishes(), printed(refused));
         assertEquals(4, refused.all().ended());
         assertEquals(0, world.ledger().runTwice());
         endpoint.trouble(Trouble.ERRORS);
         LoadReport unsafe = run(
-                        endpoint.address(), kind(Kind.Effect.UNSAFE, 5_000, 2), "constant 2 0.6", 50, second -> {})
+                        endpoint.address(), kind(LoadClass.Effect.UNSAFE, 5_000, 2), "constant 2 0.6", 50, second -> {})
                 .run();
         assertEquals(unsafe.all().wishes(), unsafe.all().requests(), printed(unsafe));
         LoadReport keyed = run(
-                        endpoint.address(), kind(Kind.Effect.KEYED, 5_000, 2), "constant 2 0.6", 50, second -> {})
+                        endpoint.address(), kind(LoadClass.Effect.KEYED, 5_000, 2), "constant 2 0.6", 50, second -> {})
                 .run();
         assertEquals(3 * keyed.all().wishes(), keyed.all().requests(), printed(keyed));
     }
@@ -304,7 +304,7 @@
         LoadRun[] run = new LoadRun[1];
         run[0] = run(
                 endpoint.address(),
-                kind(Kind.Effect.REPEATABLE, 5_000, 0),
+                kind(LoadClass.Effect.REPEATABLE, 5_000, 0),
                 "constant 100 3600",
                 50,
                 second -> run[0].stop());
@@ -319,7 +319,7 @@
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 0")));
         LoadReport report = run(
                         endpoint.address(),
-                        kind(Kind.Effect.REPEATABLE, 5_000, 0),
+                        kind(LoadClass.Effect.REPEATABLE, 5_000, 0),
                         "constant 3000000 0.01",
                         16,
                         second -> {})
@@ -337,7 +337,7 @@
                         new LoadPlan(targets, 3, 64, 0),
                         Arrivals.drawn(
                                 new Schedule(List.of(Shape.parse("constant 1000 2")), true, 5),
-                                List.of(kind(Kind.Effect.REPEATABLE, 5_000, 0)),
+                                List.of(kind(LoadClass.Effect.REPEATABLE, 5_000, 0)),
                                 1),
                         (loop, most) -> new HttpDriver(loop, targets, most),
                         seconds::add)
@@ -364,7 +364,7 @@
                 if (count == 10) {
                     throw new IOException("unexpected end of the file");
                 }
-                return new Arrival(count, count++ * 1_000_000L, kind(Kind.Effect.REPEATABLE, 1000, 0), null, 0, 1000);
+                return new Arrival(count, count++ * 1_000_000L, kind(LoadClass.Effect.REPEATABLE, 1000, 0), null, 0, 1000);
             }
 
             @Override
--- a/tools/src/test/java/martenlatch/load/TraceTest.java
+++ b/tools/src/test/java/martenlatch/load/TraceTest.java
@@ -20,9 +20,9 @@
  */
 class TraceTest {
 
-    private static final List<Kind> KINDS = List.of(
-            new Kind("read", 1, Kind.Effect.REPEATABLE, 0, 500, 0),
-            new Kind("order", 1, Kind.Effect.UNSAFE, 100, 900, 0));
+    private static final List<LoadClass> KINDS = List.of(
+            new LoadClass("read", 1, LoadClass.Effect.REPEATABLE, 0, 500, 0),
+            new LoadClass("order", 1, LoadClass.Effect.UNSAFE, 100, 900, 0));
 
     @TempDir
     Path folder;
--- a/tools/src/test/java/martenlatch/tools/RehearsalTest.java
+++ b/tools/src/test/java/martenlatch/tools/RehearsalTest.java
@@ -4,7 +4,7 @@
 
 import java.util.List;
 import martenlatch.load.RequestOutcome;
-import martenlatch.load.Kind;
+import martenlatch.load.LoadClass;
 import martenlatch.load.LoadReport;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -16,9 +16,9 @@
     @Test
     void allClassesAreSentAndServed() throws Exception {
         LoadReport report = Rehearsal.play(List.of(
-                new Kind("look-up", 1, Kind.Effect.REPEATABLE, 0, 30_000, 0),
-                new Kind("update", 1, Kind.Effect.KEYED, 300, 30_000, 1),
-                new Kind("book", 1, Kind.Effect.UNSAFE, 300, 30_000, 0)));
+                new LoadClass("look-up", 1, LoadClass.Effect.REPEATABLE, 0, 30_000, 0),
+                new LoadClass("update", 1, LoadClass.Effect.KEYED, 300, 30_000, 1),
+                new LoadClass("book", 1, LoadClass.Effect.UNSAFE, 300, 30_000, 0)));
         assertEquals(3, report.kinds().size());
         assertEquals(report.all().wishes(), report.all().count(RequestOutcome.SERVED));
         assertEquals(List.of(), report.differences());
