--- a/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
@@ -47,7 +47,7 @@
 import martenlatch.world.Discovery;
 import martenlatch.world.Endpoint;
 import martenlatch.world.Ledger;
-import martenlatch.world.Trouble;
+import martenlatch.world.EndpointFault;
 import martenlatch.world.World;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -654,14 +654,14 @@
             default ->
                 one.trouble(
                         !begins
-                                ? Trouble.NONE
+                                ? EndpointFault.NONE
                                 : switch (fault.what()) {
-                                    case HANG -> Trouble.HANGS;
-                                    case ERROR -> Trouble.ERRORS;
-                                    case SLOW -> Trouble.SLOW;
-                                    case RESET -> Trouble.RESETS;
-                                    case HALF -> Trouble.HALF;
-                                    default -> Trouble.DEAF;
+                                    case HANG -> EndpointFault.HANGS;
+                                    case ERROR -> EndpointFault.ERRORS;
+                                    case SLOW -> EndpointFault.SLOW;
+                                    case RESET -> EndpointFault.RESETS;
+                                    case HALF -> EndpointFault.HALF;
+                                    default -> EndpointFault.DEAF;
                                 });
         }
     }
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimEndpoint.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimEndpoint.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import martenlatch.fleet.history.Event.What;
 import martenlatch.fleet.history.History;
-import martenlatch.world.Trouble;
+import martenlatch.world.EndpointFault;
 import martenlatch.world.WorldSettings;
 
 /**
@@ -36,7 +36,7 @@
     private final SplittableRandom random;
     private final Deque<Runnable> queue = new ArrayDeque<>();
     private final Deque<Caller> open = new ArrayDeque<>();
-    private Trouble trouble = Trouble.NONE;
+    private EndpointFault trouble = EndpointFault.NONE;
     private boolean alive = true;
     private boolean draining;
     private double warmAt;
@@ -64,7 +64,7 @@
         return startedMs;
     }
 
-    void trouble(Trouble next) {
+    void trouble(EndpointFault next) {
         trouble = next;
     }
 
@@ -88,7 +88,7 @@
         }
         alive = true;
         draining = false;
-        trouble = Trouble.NONE;
+        trouble = EndpointFault.NONE;
         startedMs = time.now();
         warmAt = time.elapsed() + settings.coldMs();
         history.tell(What.ENDPOINT_UP, id, "", "", String.valueOf(settings.coldMs()));
@@ -100,7 +100,7 @@
             caller.ended(Reply.RESET);
             return;
         }
-        if (trouble == Trouble.DEAF) {
+        if (trouble == EndpointFault.DEAF) {
             return;
         }
         if (draining || working >= settings.slots() && queue.size() >= settings.queue()) {
@@ -120,7 +120,7 @@
     private void work(String request, Caller caller) {
         working++;
         double ms = settings.service().draw(random)
-                * (trouble == Trouble.SLOW ? SLOWNESS : 1)
+                * (trouble == EndpointFault.SLOW ? SLOWNESS : 1)
                 * (time.elapsed() < warmAt ? settings.coldFactor() : 1);
         int begun = life;
         time.after(ms, () -> {
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
@@ -35,7 +35,7 @@
 import martenlatch.request.EndpointResponse;
 import martenlatch.request.ResponseListener;
 import martenlatch.world.Discovery.Manner;
-import martenlatch.world.Trouble;
+import martenlatch.world.EndpointFault;
 
 /**
  * One run of a scenario in simulated time: the same faults at the same times, and a history of the same
@@ -445,14 +445,14 @@
         if (fault.what() != Fault.What.DIE && fault.what() != Fault.What.DRAIN) {
             one.trouble(
                     !begins
-                            ? Trouble.NONE
+                            ? EndpointFault.NONE
                             : switch (fault.what()) {
-                                case HANG -> Trouble.HANGS;
-                                case ERROR -> Trouble.ERRORS;
-                                case SLOW -> Trouble.SLOW;
-                                case RESET -> Trouble.RESETS;
-                                case HALF -> Trouble.HALF;
-                                default -> Trouble.DEAF;
+                                case HANG -> EndpointFault.HANGS;
+                                case ERROR -> EndpointFault.ERRORS;
+                                case SLOW -> EndpointFault.SLOW;
+                                case RESET -> EndpointFault.RESETS;
+                                case HALF -> EndpointFault.HALF;
+                                default -> EndpointFault.DEAF;
                             });
         } else if (!begins) {
             one.restart();
--- a/tools/src/main/java/martenlatch/world/Endpoint.java
+++ b/tools/src/main/java/martenlatch/world/Endpoint.java
@@ -54,7 +54,7 @@
     private Channel listener;
     private volatile InetSocketAddress address;
     private volatile long startedMs;
-    private Trouble trouble = Trouble.NONE;
+    private EndpointFault trouble = EndpointFault.NONE;
     private long stalledUntil = System.nanoTime();
     private long drainedAt = Long.MAX_VALUE;
     private long warmAt = System.nanoTime();
@@ -85,7 +85,7 @@
                     protected void initChannel(SocketChannel accepted) {
                         connections.add(accepted);
                         accepts.incrementAndGet();
-                        if (trouble == Trouble.DEAF) {
+                        if (trouble == EndpointFault.DEAF) {
                             accepted.config().setAutoRead(false);
                         }
                         accepted.pipeline()
@@ -122,7 +122,7 @@
     }
 
     /** What it does from now on. */
-    public void trouble(Trouble next) {
+    public void trouble(EndpointFault next) {
         EventLoops.runAndWait(loop, () -> trouble = next);
     }
 
@@ -158,7 +158,7 @@
         listener.closeFuture().syncUninterruptibly();
         startedMs = System.currentTimeMillis();
         EventLoops.runAndWait(loop, () -> {
-            trouble = Trouble.NONE;
+            trouble = EndpointFault.NONE;
             stalledUntil = System.nanoTime();
             drainedAt = Long.MAX_VALUE;
             warmAt = System.nanoTime() + (long) (settings.coldMs() * NANOS_IN_MS);
@@ -213,7 +213,7 @@
             working++;
             long now = System.nanoTime();
             double ms = settings.service().draw(random)
-                    * (trouble == Trouble.SLOW ? SLOWNESS : 1)
+                    * (trouble == EndpointFault.SLOW ? SLOWNESS : 1)
                     * (now < warmAt ? settings.coldFactor() : 1);
             long until = Math.max(now + (long) (ms * NANOS_IN_MS), stalledUntil);
             int begun = life;
--- a/tools/src/main/java/martenlatch/world/Trouble.java
+++ b/tools/src/main/java/martenlatch/world/EndpointFault.java
@@ -1,7 +1,7 @@
 package martenlatch.world;
 
 /** What an endpoint does with requests, other than serve them. */
-public enum Trouble {
+public enum EndpointFault {
     /** Nothing: it serves. */
     NONE,
     /** Takes requests, runs them, and never answers. */
--- a/tools/src/main/java/martenlatch/world/Happening.java
+++ b/tools/src/main/java/martenlatch/world/Happening.java
@@ -17,7 +17,7 @@
     public enum What {
         /** The endpoint answers nothing for so many milliseconds. */
         STALL(true, true),
-        /** It hangs, as {@link Trouble#HANGS}; others likewise. */
+        /** It hangs, as {@link EndpointFault#HANGS}; others likewise. */
         HANG(true, false),
         RESET(true, false),
         HALF(true, false),
@@ -119,15 +119,15 @@
         Endpoint one = world.endpoints().get(number);
         switch (what) {
             case STALL -> one.stall(ms);
-            case HANG -> one.trouble(Trouble.HANGS);
-            case RESET -> one.trouble(Trouble.RESETS);
-            case HALF -> one.trouble(Trouble.HALF);
-            case TWICE -> one.trouble(Trouble.TWICE);
-            case GARBLE -> one.trouble(Trouble.GARBLES);
-            case ERROR -> one.trouble(Trouble.ERRORS);
-            case SLOW -> one.trouble(Trouble.SLOW);
-            case DEAF -> one.trouble(Trouble.DEAF);
-            case RECOVER -> one.trouble(Trouble.NONE);
+            case HANG -> one.trouble(EndpointFault.HANGS);
+            case RESET -> one.trouble(EndpointFault.RESETS);
+            case HALF -> one.trouble(EndpointFault.HALF);
+            case TWICE -> one.trouble(EndpointFault.TWICE);
+            case GARBLE -> one.trouble(EndpointFault.GARBLES);
+            case ERROR -> one.trouble(EndpointFault.ERRORS);
+            case SLOW -> one.trouble(EndpointFault.SLOW);
+            case DEAF -> one.trouble(EndpointFault.DEAF);
+            case RECOVER -> one.trouble(EndpointFault.NONE);
             case DRAIN -> world.drain(number);
             case DIE -> world.die(number);
             case REMOVE -> world.remove(number);
--- a/tools/src/test/java/martenlatch/load/LoadRunTest.java
+++ b/tools/src/test/java/martenlatch/load/LoadRunTest.java
@@ -15,7 +15,7 @@
 import martenlatch.load.http.HttpDriver;
 import martenlatch.world.Endpoint;
 import martenlatch.world.ServiceTime;
-import martenlatch.world.Trouble;
+import martenlatch.world.EndpointFault;
 import martenlatch.world.World;
 import martenlatch.world.WorldSettings;
 import org.HdrHistogram.Histogram;
@@ -191,7 +191,7 @@
         "ERRORS, FAILED, status 500",
         "TWICE, SERVED, "
     })
-    void eachRequestEndsInOneCount(Trouble trouble, RequestOutcome end, String cause) throws Exception {
+    void eachRequestEndsInOneCount(EndpointFault trouble, RequestOutcome end, String cause) throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 0")));
         endpoint.trouble(trouble);
         int deadline = end == RequestOutcome.TIMED_OUT ? 300 : 5_000;
@@ -212,10 +212,10 @@
         if (cause != null && !cause.isEmpty()) {
             assertTrue(all.causes().keySet().stream().anyMatch(said -> said.matches(cause)), printed(report));
         }
-        if (trouble == Trouble.TWICE) {
+        if (trouble == EndpointFault.TWICE) {
             assertEquals(100, endpoint.accepts(), "what nobody asked for ends its connection");
         }
-        if (trouble != Trouble.DEAF) {
+        if (trouble != EndpointFault.DEAF) {
             assertTrue(world.ledger().runTwice() == 0, "nothing is sent twice");
         }
     }
@@ -287,7 +287,7 @@
         assertTrue(refused.all().requests() > refused.all().wishes(), printed(refused));
         assertEquals(4, refused.all().ended());
         assertEquals(0, world.ledger().runTwice());
-        endpoint.trouble(Trouble.ERRORS);
+        endpoint.trouble(EndpointFault.ERRORS);
         LoadReport unsafe = run(
                         endpoint.address(), kind(LoadClass.Effect.UNSAFE, 5_000, 2), "constant 2 0.6", 50, second -> {})
                 .run();
--- a/tools/src/test/java/martenlatch/world/WorldTest.java
+++ b/tools/src/test/java/martenlatch/world/WorldTest.java
@@ -184,7 +184,7 @@
         assertReturnsOnlyInForce(() -> world.discovery().manner(Discovery.Manner.WRONG));
         assertReturnsOnlyInForce(() -> world.discovery().late(1));
         assertReturnsOnlyInForce(() -> world.discovery().queue(new CallQueue(0, 0)));
-        assertReturnsOnlyInForce(() -> endpoint.trouble(Trouble.ERRORS));
+        assertReturnsOnlyInForce(() -> endpoint.trouble(EndpointFault.ERRORS));
         assertReturnsOnlyInForce(() -> endpoint.stall(1));
         assertReturnsOnlyInForce(endpoint::drain);
     }
