--- a/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
@@ -442,9 +442,9 @@
                 world.discovery()
                         .manner(
                                 switch (fault.what()) {
-                                    case SILENT -> Discovery.Manner.SILENT;
-                                    case DOWN -> Discovery.Manner.DOWN;
-                                    default -> Discovery.Manner.WRONG;
+                                    case SILENT -> Discovery.Mode.SILENT;
+                                    case DOWN -> Discovery.Mode.DOWN;
+                                    default -> Discovery.Mode.WRONG;
                                 });
             default -> links(fault, fault.what() == Fault.What.BREAK);
         }
@@ -460,7 +460,7 @@
                 }
             }
             case ENDPOINTS -> fault.who().forEach(name -> endpoint(fault, number(name), false));
-            case DISCOVERY -> world.discovery().manner(Discovery.Manner.GOOD);
+            case DISCOVERY -> world.discovery().manner(Discovery.Mode.GOOD);
             default -> links(fault, false);
         }
         history.tell(
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimDiscovery.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimDiscovery.java
@@ -10,7 +10,7 @@
 import martenlatch.policy.api.EndpointStatus;
 import martenlatch.request.EndpointList;
 import martenlatch.world.CallQueue;
-import martenlatch.world.Discovery.Manner;
+import martenlatch.world.Discovery.Mode;
 
 /** Discovery in simulated time: the whole list, and watches that wait for what is newer. */
 final class SimDiscovery {
@@ -41,7 +41,7 @@
     private final CallQueue queue;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final List<Watch> watches = new ArrayList<>();
-    private Manner manner = Manner.GOOD;
+    private Mode manner = Mode.GOOD;
     private long version;
 
     SimDiscovery(History history, VirtualTime time, CallQueue queue) {
@@ -56,7 +56,7 @@
         tell();
     }
 
-    void manner(Manner next) {
+    void manner(Mode next) {
         manner = next;
         tell();
     }
@@ -68,7 +68,7 @@
 
     private void tell() {
         for (Watch watch : List.copyOf(watches)) {
-            if (version > watch.index() || manner != Manner.GOOD) {
+            if (version > watch.index() || manner != Mode.GOOD) {
                 watches.remove(watch);
                 answer(watch);
             }
@@ -95,11 +95,11 @@
             caller.refused();
             return;
         }
-        if (index >= version || (index >= 0 && manner == Manner.SILENT)) {
+        if (index >= version || (index >= 0 && manner == Mode.SILENT)) {
             history.tell(What.LONG_POLL, connection.viewer, "discovery", "", String.valueOf(waitMs));
         }
         Watch watch = new Watch(connection, index, caller);
-        if (index < version || manner != Manner.GOOD) {
+        if (index < version || manner != Mode.GOOD) {
             answer(watch);
         } else {
             watches.add(watch);
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
@@ -34,7 +34,7 @@
 import martenlatch.policy.api.RequestClass;
 import martenlatch.request.EndpointResponse;
 import martenlatch.request.ResponseListener;
-import martenlatch.world.Discovery.Manner;
+import martenlatch.world.Discovery.Mode;
 import martenlatch.world.EndpointFault;
 
 /**
@@ -345,9 +345,9 @@
             case DISCOVERY ->
                 discovery.manner(
                         switch (fault.what()) {
-                            case SILENT -> Manner.SILENT;
-                            case DOWN -> Manner.DOWN;
-                            default -> Manner.WRONG;
+                            case SILENT -> Mode.SILENT;
+                            case DOWN -> Mode.DOWN;
+                            default -> Mode.WRONG;
                         });
             default -> links(fault);
         }
@@ -359,7 +359,7 @@
         switch (fault.what().aim()) {
             case SIDECARS -> fault.who().forEach(name -> end(fault, number(name)));
             case ENDPOINTS -> fault.who().forEach(name -> endpoint(fault, number(name), false));
-            case DISCOVERY -> discovery.manner(Manner.GOOD);
+            case DISCOVERY -> discovery.manner(Mode.GOOD);
             default -> links(fault);
         }
         history.tell(
--- a/tools/src/main/java/martenlatch/world/Discovery.java
+++ b/tools/src/main/java/martenlatch/world/Discovery.java
@@ -33,7 +33,7 @@
 public final class Discovery {
 
     /** How it answers. */
-    public enum Manner {
+    public enum Mode {
         /** At once. */
         GOOD,
         /** Not at all. */
@@ -97,7 +97,7 @@
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final List<Watch> watches = new ArrayList<>();
     private final List<Channel> listeners = new ArrayList<>();
-    private Manner manner = Manner.GOOD;
+    private Mode manner = Mode.GOOD;
     private double lateMs;
     private long version;
     private CallQueue queue = new CallQueue(0, 0);
@@ -147,7 +147,7 @@
     }
 
     /** How it answers from now on; watches that wait end with silence, or are answered in that manner. */
-    public void manner(Manner next) {
+    public void manner(Mode next) {
         EventLoops.runAndWait(loop, () -> {
             manner = next;
             tell();
@@ -197,7 +197,7 @@
 
     private void tell() {
         for (Watch watch : List.copyOf(watches)) {
-            if (version > watch.index() || manner != Manner.GOOD) {
+            if (version > watch.index() || manner != Mode.GOOD) {
                 watches.remove(watch);
                 answer(watch.ctx(), watch.view(), watch.index());
             }
@@ -289,7 +289,7 @@
                 write(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "");
                 return;
             }
-            if (index < 0 || index < version || wait <= 0 || manner != Manner.GOOD) {
+            if (index < 0 || index < version || wait <= 0 || manner != Mode.GOOD) {
                 answer(ctx, view, index > version ? -1 : index);
                 return;
             }
--- a/tools/src/main/java/martenlatch/world/Happening.java
+++ b/tools/src/main/java/martenlatch/world/Happening.java
@@ -96,13 +96,13 @@
     public void to(World world) {
         if (!what.toEndpoints) {
             switch (what) {
-                case DISCOVERY_SILENT -> world.discovery().manner(Discovery.Manner.SILENT);
-                case DISCOVERY_DOWN -> world.discovery().manner(Discovery.Manner.DOWN);
-                case DISCOVERY_WRONG -> world.discovery().manner(Discovery.Manner.WRONG);
+                case DISCOVERY_SILENT -> world.discovery().manner(Discovery.Mode.SILENT);
+                case DISCOVERY_DOWN -> world.discovery().manner(Discovery.Mode.DOWN);
+                case DISCOVERY_WRONG -> world.discovery().manner(Discovery.Mode.WRONG);
                 case DISCOVERY_LATE -> world.discovery().late(ms);
                 default -> {
                     world.discovery().late(0);
-                    world.discovery().manner(Discovery.Manner.GOOD);
+                    world.discovery().manner(Discovery.Mode.GOOD);
                 }
             }
             return;
--- a/tools/src/test/java/martenlatch/world/WorldTest.java
+++ b/tools/src/test/java/martenlatch/world/WorldTest.java
@@ -163,11 +163,11 @@
     @Test
     void discoveryIsDownWrongLateAndWellAgain() throws Exception {
         world = new World(SMALL, 0);
-        world.discovery().manner(Discovery.Manner.DOWN);
+        world.discovery().manner(Discovery.Mode.DOWN);
         assertEquals(503, list("").statusCode());
-        world.discovery().manner(Discovery.Manner.WRONG);
+        world.discovery().manner(Discovery.Mode.WRONG);
         assertFalse(list("").body().contains("servers"));
-        world.discovery().manner(Discovery.Manner.GOOD);
+        world.discovery().manner(Discovery.Mode.GOOD);
         world.discovery().late(150);
         long began = System.nanoTime();
         assertTrue(list("").body().contains("\"full\":true"));
@@ -181,7 +181,7 @@
     void changesOfDiscoveryAndEndpointsAreInForceWhenTheirCallsReturn() throws Exception {
         world = new World(SMALL, 0);
         Endpoint endpoint = world.endpoints().get(0);
-        assertReturnsOnlyInForce(() -> world.discovery().manner(Discovery.Manner.WRONG));
+        assertReturnsOnlyInForce(() -> world.discovery().manner(Discovery.Mode.WRONG));
         assertReturnsOnlyInForce(() -> world.discovery().late(1));
         assertReturnsOnlyInForce(() -> world.discovery().queue(new CallQueue(0, 0)));
         assertReturnsOnlyInForce(() -> endpoint.trouble(EndpointFault.ERRORS));
