--- a/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
@@ -165,7 +165,7 @@
     };
 
     /** What discovery does goes into the history. */
-    private final Discovery.Teller lists = new Discovery.Teller() {
+    private final Discovery.Observer lists = new Discovery.Observer() {
         @Override
         public void told(String viewer, Endpoint endpoint, String state) {
             history.tell(What.TOLD, viewer, endpoint.id(), "", state);
--- a/tools/src/main/java/martenlatch/world/Discovery.java
+++ b/tools/src/main/java/martenlatch/world/Discovery.java
@@ -48,10 +48,10 @@
     private static final int MOST_REQUEST = 4096;
 
     /** Who asks, and where they find each endpoint: links between may give each its own addresses. */
-    private record View(String name, Function<Endpoint, InetSocketAddress> addresses, Teller teller) {}
+    private record View(String name, Function<Endpoint, InetSocketAddress> addresses, Observer teller) {}
 
     /** Hears what discovery writes to whom, on its event loop. */
-    public interface Teller {
+    public interface Observer {
         /** An entry, in a state of the protocol's, is written to a viewer. */
         void told(String viewer, Endpoint endpoint, String state);
 
@@ -75,7 +75,7 @@
 
     private record Watch(ChannelHandlerContext ctx, View view, long index) {}
 
-    private static final Teller NOBODY = new Teller() {
+    private static final Observer NOBODY = new Observer() {
         @Override
         public void told(String viewer, Endpoint endpoint, String state) {
             return;
@@ -101,7 +101,7 @@
     private double lateMs;
     private long version;
     private CallQueue queue = new CallQueue(0, 0);
-    private Teller changes = NOBODY;
+    private Observer changes = NOBODY;
 
     Discovery(EventLoop loop) {
         this.loop = loop;
@@ -117,7 +117,7 @@
      * @return where
      */
     public InetSocketAddress listen(
-            InetSocketAddress at, String viewer, Function<Endpoint, InetSocketAddress> addresses, Teller teller) {
+            InetSocketAddress at, String viewer, Function<Endpoint, InetSocketAddress> addresses, Observer teller) {
         return listen(at, new View(viewer, addresses, teller));
     }
 
@@ -160,7 +160,7 @@
     }
 
     /** Who hears of changes to the list, whoever is told of them. */
-    public void listen(Teller hearer) {
+    public void listen(Observer hearer) {
         EventLoops.runAndWait(loop, () -> changes = hearer);
     }
 
