--- a/fleet/src/main/java/martenlatch/fleet/rig/FrontDriver.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FrontDriver.java
@@ -7,9 +7,9 @@
 import martenlatch.fleet.front.Front;
 import martenlatch.fleet.history.Event.What;
 import martenlatch.fleet.history.History;
+import martenlatch.load.Arrival;
 import martenlatch.load.Driver;
 import martenlatch.load.RequestOutcome;
-import martenlatch.load.Arrival;
 import martenlatch.load.http.HttpDriver;
 
 /** Clients behind the front: each request goes to the sidecar that the front names, and into the history. */
@@ -57,7 +57,12 @@
         });
         return () -> {
             boolean sent = call.giveUp();
-            history.tell(What.ENDED, CLIENTS, name, id, (sent ? RequestOutcome.TIMED_OUT : RequestOutcome.NOT_SENT).toString());
+            history.tell(
+                    What.ENDED,
+                    CLIENTS,
+                    name,
+                    id,
+                    (sent ? RequestOutcome.TIMED_OUT : RequestOutcome.NOT_SENT).toString());
             return sent;
         };
     }
--- a/tools/src/main/java/martenlatch/load/Worker.java
+++ b/tools/src/main/java/martenlatch/load/Worker.java
@@ -88,7 +88,10 @@
             timeout = wakeAt(until, () -> {
                 if (!over && mine == serial) {
                     boolean sent = call.giveUp();
-                    ended(sent ? RequestOutcome.TIMED_OUT : RequestOutcome.NOT_SENT, sent ? "no answer" : "no connection", Double.NaN);
+                    ended(
+                            sent ? RequestOutcome.TIMED_OUT : RequestOutcome.NOT_SENT,
+                            sent ? "no answer" : "no connection",
+                            Double.NaN);
                 }
             });
             call = driver.send(wish, prefix + wish.number() + "-" + tries, !first, until - now, new Driver.Ending() {
@@ -115,8 +118,9 @@
             if (timeout != null) {
                 timeout.letGo();
             }
-            boolean harmless =
-                    end == RequestOutcome.REFUSED || end == RequestOutcome.NOT_SENT || wish.kind().effect() != LoadClass.Effect.UNSAFE;
+            boolean harmless = end == RequestOutcome.REFUSED
+                    || end == RequestOutcome.NOT_SENT
+                    || wish.kind().effect() != LoadClass.Effect.UNSAFE;
             if (end != RequestOutcome.SERVED && harmless && tries <= wish.kind().retries() && !stopped) {
                 double wait = Double.isNaN(retryAfterMs) ? BACK_OFF_MS * (1 << Math.min(10, tries - 1)) : retryAfterMs;
                 int mine = serial;
--- a/tools/src/main/java/martenlatch/load/http/HttpDriver.java
+++ b/tools/src/main/java/martenlatch/load/http/HttpDriver.java
@@ -25,10 +25,10 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import martenlatch.load.Arrival;
 import martenlatch.load.Driver;
-import martenlatch.load.RequestOutcome;
 import martenlatch.load.LoadClass;
-import martenlatch.load.Arrival;
+import martenlatch.load.RequestOutcome;
 
 /**
  * HTTP/1.1 (RFC 9112) as the platform's clients speak it: one request at a time on a connection, kept for the
--- a/tools/src/main/java/martenlatch/tools/HtmlReport.java
+++ b/tools/src/main/java/martenlatch/tools/HtmlReport.java
@@ -8,8 +8,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
-import martenlatch.load.RequestOutcome;
 import martenlatch.load.LoadReport;
+import martenlatch.load.RequestOutcome;
 import martenlatch.load.Second;
 
 /** A run on one page that needs nothing else: plots over time as SVG, events marked, and the summary. */
@@ -52,7 +52,10 @@
                         new Line("served", "#2a7", s -> s.count(RequestOutcome.SERVED)),
                         new Line("refused", "#e90", s -> s.count(RequestOutcome.REFUSED)),
                         new Line("failed", "#c22", s -> s.count(RequestOutcome.FAILED)),
-                        new Line("timed out, not sent", "#72c", s -> s.count(RequestOutcome.TIMED_OUT) + s.count(RequestOutcome.NOT_SENT)))));
+                        new Line(
+                                "timed out, not sent",
+                                "#72c",
+                                s -> s.count(RequestOutcome.TIMED_OUT) + s.count(RequestOutcome.NOT_SENT)))));
         out.append(plot(
                 "Time from the intended send to the end, ms",
                 report.seconds(),
--- a/tools/src/test/java/martenlatch/load/LoadRunTest.java
+++ b/tools/src/test/java/martenlatch/load/LoadRunTest.java
@@ -14,8 +14,8 @@
 import java.util.function.Consumer;
 import martenlatch.load.http.HttpDriver;
 import martenlatch.world.Endpoint;
-import martenlatch.world.ServiceTime;
 import martenlatch.world.EndpointFault;
+import martenlatch.world.ServiceTime;
 import martenlatch.world.World;
 import martenlatch.world.WorldSettings;
 import org.HdrHistogram.Histogram;
@@ -47,7 +47,8 @@
         return new LoadClass("k", 1, effect, effect == LoadClass.Effect.REPEATABLE ? 0 : 20, deadlineMs, retries);
     }
 
-    private static LoadRun run(InetSocketAddress to, LoadClass kind, String shape, int connections, Consumer<Second> live) {
+    private static LoadRun run(
+            InetSocketAddress to, LoadClass kind, String shape, int connections, Consumer<Second> live) {
         List<InetSocketAddress> targets = List.of(to);
         return new LoadRun(
                 new LoadPlan(targets, 1, connections, 0),
@@ -86,7 +87,11 @@
     void aStallShowsInTheTailAsArithmeticSaysAndAClosedLoopHidesIt() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 1")));
         LoadReport report = run(
-                        endpoint.address(), kind(LoadClass.Effect.REPEATABLE, 5_000, 0), "constant 200 3", 1000, second -> {
+                        endpoint.address(),
+                        kind(LoadClass.Effect.REPEATABLE, 5_000, 0),
+                        "constant 200 3",
+                        1000,
+                        second -> {
                             if (second.number() == 0) {
                                 endpoint.stall(1000);
                             }
@@ -205,7 +210,10 @@
         Figures all = report.all();
         assertEquals(100, all.wishes());
         // A very busy machine may not get some out within a short deadline; none is in two counts or none.
-        assertEquals(100, all.count(end) + (end == RequestOutcome.TIMED_OUT ? all.count(RequestOutcome.NOT_SENT) : 0), printed(report));
+        assertEquals(
+                100,
+                all.count(end) + (end == RequestOutcome.TIMED_OUT ? all.count(RequestOutcome.NOT_SENT) : 0),
+                printed(report));
         assertEquals(100, all.ended());
         assertEquals(0, all.open());
         assertEquals(List.of(), report.differences());
@@ -225,7 +233,11 @@
     void anAnswerThatComesTooLateIsNoSecondEnd() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 300")));
         LoadReport report = run(
-                        endpoint.address(), kind(LoadClass.Effect.UNSAFE, 100, 0), "constant 100 1.5", 400, second -> {})
+                        endpoint.address(),
+                        kind(LoadClass.Effect.UNSAFE, 100, 0),
+                        "constant 100 1.5",
+                        400,
+                        second -> {})
                 .run();
         Figures all = report.all();
         assertEquals(150, all.wishes());
@@ -282,7 +294,11 @@
                 new WorldSettings(1, List.of("a"), ServiceTime.parse("constant 300"), 1, 0, 0, 1, 500, 1, 1000, 1);
         Endpoint endpoint = endpoint(full);
         LoadReport refused = run(
-                        endpoint.address(), kind(LoadClass.Effect.UNSAFE, 5_000, 2), "constant 20 0.2", 50, second -> {})
+                        endpoint.address(),
+                        kind(LoadClass.Effect.UNSAFE, 5_000, 2),
+                        "constant 20 0.2",
+                        50,
+                        second -> {})
                 .run();
         assertTrue(refused.all().requests() > refused.all().wishes(), printed(refused));
         assertEquals(4, refused.all().ended());
@@ -364,7 +380,8 @@
                 if (count == 10) {
                     throw new IOException("unexpected end of the file");
                 }
-                return new Arrival(count, count++ * 1_000_000L, kind(LoadClass.Effect.REPEATABLE, 1000, 0), null, 0, 1000);
+                return new Arrival(
+                        count, count++ * 1_000_000L, kind(LoadClass.Effect.REPEATABLE, 1000, 0), null, 0, 1000);
             }
 
             @Override
--- a/tools/src/test/java/martenlatch/load/ScheduleTest.java
+++ b/tools/src/test/java/martenlatch/load/ScheduleTest.java
@@ -133,7 +133,8 @@
     @Test
     void classesComeInTheirShares() throws Exception {
         List<LoadClass> kinds = List.of(
-                new LoadClass("a", 3, LoadClass.Effect.REPEATABLE, 0, 100, 0), new LoadClass("b", 1, LoadClass.Effect.UNSAFE, 10, 200, 0));
+                new LoadClass("a", 3, LoadClass.Effect.REPEATABLE, 0, 100, 0),
+                new LoadClass("b", 1, LoadClass.Effect.UNSAFE, 10, 200, 0));
         Arrivals arrivals = Arrivals.drawn(new Schedule(List.of(Shape.parse("constant 10000 1")), false, 1), kinds, 3);
         int[] counts = new int[2];
         long number = 0;
--- a/tools/src/test/java/martenlatch/tools/RehearsalTest.java
+++ b/tools/src/test/java/martenlatch/tools/RehearsalTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import martenlatch.load.RequestOutcome;
 import martenlatch.load.LoadClass;
 import martenlatch.load.LoadReport;
+import martenlatch.load.RequestOutcome;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
