--- a/tools/src/main/java/martenlatch/demo/Demo.java
+++ b/tools/src/main/java/martenlatch/demo/Demo.java
@@ -26,7 +26,7 @@
 import martenlatch.load.http.HttpDriver;
 import martenlatch.sidecar.Sidecar;
 import martenlatch.sidecar.StartOptions;
-import martenlatch.world.Happening;
+import martenlatch.world.ScheduledEvent;
 import martenlatch.world.ServiceTime;
 import martenlatch.world.World;
 import martenlatch.world.WorldSettings;
@@ -47,7 +47,7 @@
     private final int rate;
     private final PrintStream out;
     private final Map<Integer, String> events = new TreeMap<>();
-    private final Deque<Happening> happenings = new ArrayDeque<>();
+    private final Deque<ScheduledEvent> happenings = new ArrayDeque<>();
     private World world;
     private LoadRun run;
 
@@ -67,15 +67,15 @@
         this.seconds = seconds;
         this.rate = rate;
         this.out = out;
-        happen(0.25, Happening.What.HANG, 0);
-        happen(0.4, Happening.What.RECOVER, 0);
-        happen(0.5, Happening.What.DRAIN, 1);
-        happen(0.65, Happening.What.DIE, 2);
-        happen(0.8, Happening.What.RESTART, 2);
+        happen(0.25, ScheduledEvent.Action.HANG, 0);
+        happen(0.4, ScheduledEvent.Action.RECOVER, 0);
+        happen(0.5, ScheduledEvent.Action.DRAIN, 1);
+        happen(0.65, ScheduledEvent.Action.DIE, 2);
+        happen(0.8, ScheduledEvent.Action.RESTART, 2);
     }
 
-    private void happen(double share, Happening.What what, int endpoint) {
-        happenings.add(new Happening(Math.floor(share * seconds), what, endpoint, "", Double.NaN));
+    private void happen(double share, ScheduledEvent.Action what, int endpoint) {
+        happenings.add(new ScheduledEvent(Math.floor(share * seconds), what, endpoint, "", Double.NaN));
     }
 
     /** What a demo came to. */
@@ -153,8 +153,8 @@
                 second.ms(50),
                 second.ms(99)));
         while (!happenings.isEmpty() && happenings.peek().atSeconds() <= done && done < seconds) {
-            Happening next = happenings.poll();
-            next.to(world);
+            ScheduledEvent next = happenings.poll();
+            next.applyTo(world);
             events.merge(done, next.toString(), (a, b) -> a + ", " + b);
             line.append("  <- ").append(next);
         }
--- a/tools/src/main/java/martenlatch/tools/Main.java
+++ b/tools/src/main/java/martenlatch/tools/Main.java
@@ -16,7 +16,7 @@
 import martenlatch.load.RequestOutcome;
 import martenlatch.load.Second;
 import martenlatch.load.http.HttpDriver;
-import martenlatch.world.Happening;
+import martenlatch.world.ScheduledEvent;
 import martenlatch.world.World;
 import martenlatch.world.WorldFile;
 import picocli.CommandLine;
@@ -195,12 +195,12 @@
                 out.println("discovery 127.0.0.1:" + world.discovery().address().getPort());
                 stopAtEnd(stop::countDown);
                 long began = System.nanoTime();
-                for (Happening next : file.happenings()) {
+                for (ScheduledEvent next : file.events()) {
                     long wait = (long) (next.atSeconds() * 1e9) - (System.nanoTime() - began);
                     if (stop.await(Math.max(0, wait), TimeUnit.NANOSECONDS)) {
                         break;
                     }
-                    next.to(world);
+                    next.applyTo(world);
                     out.printf(Locale.ROOT, "%.1f s: %s%n", next.atSeconds(), next);
                 }
                 stop.await();
--- a/tools/src/main/java/martenlatch/world/CallQueue.java
+++ b/tools/src/main/java/martenlatch/world/CallQueue.java
@@ -1,29 +1,29 @@
 package martenlatch.world;
 
 /**
- * A service that works through calls in turn, each of which takes the same time; one that waits for too long is
- * rejected. A rejection may be free, and is told as soon as the call has waited for too long; or it takes time of the
- * service, and is told when its turn has come, however late. No I/O; times are milliseconds, come with the calls and
- * never run backwards.
+ * Models a first-in, first-out server that takes the same time for every call and rejects calls that would wait for
+ * longer than a limit. If a rejection takes no server time, it is sent as soon as the call has waited for the limit;
+ * otherwise it occupies the server like a call and is sent in its turn, however late. Performs no I/O; the caller passes
+ * the current time in milliseconds, which must never decrease.
  */
 public final class CallQueue {
 
     private static final double MAX_SETTING_MS = 600_000;
 
-    /** What becomes of a call: when, and whether it is rejected then. */
+    /** The result of a call: when it completes, and whether it is rejected. */
     public record Turn(double atMs, boolean refused) {}
 
     private final double callMs;
     private final double rejectionMs;
     private final double maxWaitMs;
-    private double freeAt = Double.NEGATIVE_INFINITY;
+    private double freeAtMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * Nobody waits yet.
+     * Creates an empty queue.
      *
-     * @param callMs how long a call takes; 0 for one that takes no time
-     * @param rejectionMs how long a rejection takes; 0 for one that is free
-     * @param maxWaitMs how long a call waits for its turn at the most
+     * @param callMs server time of a call; may be 0
+     * @param rejectionMs server time of a rejection; 0 if rejections take no server time
+     * @param maxWaitMs longest time that a call waits for its turn
      */
     public CallQueue(double callMs, double rejectionMs, double maxWaitMs) {
         requireWithin("call-ms", callMs);
@@ -34,7 +34,7 @@
         this.maxWaitMs = maxWaitMs;
     }
 
-    /** A queue in which a rejection is free. */
+    /** Creates an empty queue in which rejections take no server time. */
     public CallQueue(double callMs, double maxWaitMs) {
         this(callMs, 0, maxWaitMs);
     }
@@ -45,14 +45,14 @@
         }
     }
 
-    /** A call comes. */
-    public Turn come(double now) {
-        double begins = Math.max(now, freeAt);
-        boolean rejected = begins - now > maxWaitMs;
+    /** Adds a call that arrives at {@code nowMs} and returns its result. */
+    public Turn come(double nowMs) {
+        double beginsMs = Math.max(nowMs, freeAtMs);
+        boolean rejected = beginsMs - nowMs > maxWaitMs;
         if (rejected && rejectionMs == 0) {
-            return new Turn(now + maxWaitMs, true);
+            return new Turn(nowMs + maxWaitMs, true);
         }
-        freeAt = begins + (rejected ? rejectionMs : callMs);
-        return new Turn(freeAt, rejected);
+        freeAtMs = beginsMs + (rejected ? rejectionMs : callMs);
+        return new Turn(freeAtMs, rejected);
     }
 }
--- a/tools/src/main/java/martenlatch/world/Discovery.java
+++ b/tools/src/main/java/martenlatch/world/Discovery.java
@@ -27,47 +27,47 @@
 import java.util.function.Function;
 
 /**
- * Discovery, as the protocol's page has it: the whole list, and watches that wait for what is newer. It may
- * be late, silent or wrong. All of it runs on one event loop.
+ * Emulates the discovery service: it answers polls with the whole endpoint list and holds watches open until there are
+ * newer entries. Its answers can be delayed, missing or invalid. All state belongs to one event loop.
  */
 public final class Discovery {
 
-    /** How it answers. */
+    /** How discovery answers requests. */
     public enum Mode {
-        /** At once. */
+        /** Answers normally. */
         GOOD,
-        /** Not at all. */
+        /** Does not answer. */
         SILENT,
-        /** With 503. */
+        /** Answers with status 503. */
         DOWN,
-        /** With what is no list. */
+        /** Answers with status 200 and a body that is not a valid endpoint list. */
         WRONG
     }
 
-    private static final int MOST_WAIT_MS = 60_000;
-    private static final int MOST_REQUEST = 4096;
+    private static final int MAX_WAIT_MS = 60_000;
+    private static final int MAX_REQUEST_BYTES = 4096;
 
-    /** Who asks, and where they find each endpoint: links between may give each its own addresses. */
-    private record View(String name, Function<Endpoint, InetSocketAddress> addresses, Observer teller) {}
+    /** A viewer and the endpoint addresses that it sees: each viewer may reach endpoints through its own links. */
+    private record View(String name, Function<Endpoint, InetSocketAddress> addresses, Observer observer) {}
 
-    /** Hears what discovery writes to whom, on its event loop. */
+    /** Notified on discovery's event loop of list changes, and of calls and answered entries by viewer. */
     public interface Observer {
-        /** An entry, in a state of the protocol's, is written to a viewer. */
+        /** Called when an entry is written to a viewer; {@code state} is a state of the discovery protocol. */
         void told(String viewer, Endpoint endpoint, String state);
 
-        /** A viewer's call has come to its turn, or is turned away as it waited too long. */
-        void called(String viewer, boolean refused);
+        /** Called when a viewer's call gets its turn, or is rejected because it waited for too long. */
+        void called(String viewer, boolean rejected);
 
-        /** What the list says of an endpoint has changed. */
+        /** Called when the list entry of an endpoint changes. */
         void changed(Endpoint endpoint, String state);
     }
 
     private record Entry(Endpoint endpoint, String state, long startedMs, long version) {
         String json(View view) {
-            InetSocketAddress at = view.addresses().apply(endpoint);
+            InetSocketAddress address = view.addresses().apply(endpoint);
             return "{\"id\":\"" + endpoint.id() + "\",\"addr\":\""
-                    + at.getAddress().getHostAddress() + ":"
-                    + at.getPort() + "\",\"zone\":\"" + endpoint.zone()
+                    + address.getAddress().getHostAddress() + ":"
+                    + address.getPort() + "\",\"zone\":\"" + endpoint.zone()
                     + "\",\"kind\":\"stand-in\",\"cell\":0,\"state\":\"" + state
                     + "\",\"weight\":1.0,\"started_ms\":" + startedMs + "}";
         }
@@ -75,14 +75,14 @@
 
     private record Watch(ChannelHandlerContext ctx, View view, long index) {}
 
-    private static final Observer NOBODY = new Observer() {
+    private static final Observer NO_OP = new Observer() {
         @Override
         public void told(String viewer, Endpoint endpoint, String state) {
             return;
         }
 
         @Override
-        public void called(String viewer, boolean refused) {
+        public void called(String viewer, boolean rejected) {
             return;
         }
 
@@ -91,34 +91,34 @@
             return;
         }
     };
-    private static final View PLAIN = new View("", Endpoint::address, NOBODY);
+    private static final View DEFAULT_VIEW = new View("", Endpoint::address, NO_OP);
 
     private final EventLoop loop;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final List<Watch> watches = new ArrayList<>();
     private final List<Channel> listeners = new ArrayList<>();
-    private Mode manner = Mode.GOOD;
-    private double lateMs;
+    private Mode mode = Mode.GOOD;
+    private double delayMs;
     private long version;
     private CallQueue queue = new CallQueue(0, 0);
-    private Observer changes = NOBODY;
+    private Observer changeObserver = NO_OP;
 
     Discovery(EventLoop loop) {
         this.loop = loop;
     }
 
     void listen(int port) {
-        listen(new InetSocketAddress("127.0.0.1", port), PLAIN);
+        listen(new InetSocketAddress("127.0.0.1", port), DEFAULT_VIEW);
     }
 
     /**
-     * Listens at one more address, for one viewer that has its own addresses of endpoints.
+     * Listens on one more address, for one viewer that has its own addresses of endpoints.
      *
-     * @return where
+     * @return the address listened on
      */
     public InetSocketAddress listen(
-            InetSocketAddress at, String viewer, Function<Endpoint, InetSocketAddress> addresses, Observer teller) {
-        return listen(at, new View(viewer, addresses, teller));
+            InetSocketAddress at, String viewer, Function<Endpoint, InetSocketAddress> addresses, Observer observer) {
+        return listen(at, new View(viewer, addresses, observer));
     }
 
     private InetSocketAddress listen(InetSocketAddress at, View view) {
@@ -131,8 +131,8 @@
                         accepted.pipeline()
                                 .addLast(
                                         new HttpServerCodec(),
-                                        new HttpObjectAggregator(MOST_REQUEST),
-                                        new Questions(view));
+                                        new HttpObjectAggregator(MAX_REQUEST_BYTES),
+                                        new RequestHandler(view));
                     }
                 })
                 .bind(at)
@@ -142,51 +142,52 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
+    /** Returns the first address that discovery listens on. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listeners.get(0).localAddress();
     }
 
-    /** How it answers from now on; watches that wait end with silence, or are answered in that manner. */
+    /** Sets the mode. Unless it is {@link Mode#GOOD}, open watches end: they are answered in that mode, or never. */
     public void manner(Mode next) {
         EventLoops.runAndWait(loop, () -> {
-            manner = next;
-            tell();
+            mode = next;
+            answerWatches();
         });
     }
 
-    /** Calls wait for their turn from now on. */
+    /** Sets the queue in which calls wait for their turn. */
     public void queue(CallQueue next) {
         EventLoops.runAndWait(loop, () -> queue = next);
     }
 
-    /** Who hears of changes to the list, whoever is told of them. */
-    public void listen(Observer hearer) {
-        EventLoops.runAndWait(loop, () -> changes = hearer);
+    /** Sets the observer that is notified of every list change, independently of viewers. */
+    public void listen(Observer observer) {
+        EventLoops.runAndWait(loop, () -> changeObserver = observer);
     }
 
-    /** Everything that it tells comes so much later from now on. */
+    /** Delays every later answer by this time. */
     public void late(double ms) {
-        EventLoops.runAndWait(loop, () -> lateMs = ms);
+        EventLoops.runAndWait(loop, () -> delayMs = ms);
     }
 
-    /** Lists an endpoint in a state of the protocol: in_service, terminating or terminated. */
+    /** Adds or replaces the entry of an endpoint; the state is in_service, terminating or terminated. */
     void put(Endpoint endpoint, String state) {
         long startedMs = endpoint.startedMs();
         EventLoops.runAndWait(loop, () -> {
             entries.put(endpoint.id(), new Entry(endpoint, state, startedMs, ++version));
-            changes.changed(endpoint, state);
-            tell();
+            changeObserver.changed(endpoint, state);
+            answerWatches();
         });
     }
 
-    /** The whole list as it is now, as its JSON. */
+    /** Returns the current whole list as JSON. */
     public String list() {
         return list(Endpoint::address);
     }
 
-    /** The same, with a viewer's own addresses. */
+    /** Returns the current whole list as JSON, with a viewer's own addresses of endpoints. */
     public String list(Function<Endpoint, InetSocketAddress> addresses) {
-        return loop.submit(() -> json(new View("", addresses, NOBODY), -1))
+        return loop.submit(() -> json(new View("", addresses, NO_OP), -1))
                 .syncUninterruptibly()
                 .getNow();
     }
@@ -195,15 +196,16 @@
         listeners.forEach(Channel::close);
     }
 
-    private void tell() {
+    private void answerWatches() {
         for (Watch watch : List.copyOf(watches)) {
-            if (version > watch.index() || manner != Mode.GOOD) {
+            if (version > watch.index() || mode != Mode.GOOD) {
                 watches.remove(watch);
                 answer(watch.ctx(), watch.view(), watch.index());
             }
         }
     }
 
+    /** Returns the entries that are newer than a version, or the whole list if {@code since} is negative. */
     private String json(View view, long since) {
         boolean full = since < 0;
         StringBuilder out = new StringBuilder("{\"version\":")
@@ -215,7 +217,7 @@
         for (Entry entry : entries.values()) {
             if (entry.version() > since && !(full && entry.state().equals("terminated"))) {
                 out.append(comma).append(entry.json(view));
-                view.teller().told(view.name(), entry.endpoint(), entry.state());
+                view.observer().told(view.name(), entry.endpoint(), entry.state());
                 comma = ",";
             }
         }
@@ -224,33 +226,33 @@
 
     private void answer(ChannelHandlerContext ctx, View view, long since) {
         Runnable write = () -> {
-            switch (manner) {
+            switch (mode) {
                 case SILENT -> {}
                 case DOWN -> write(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "");
                 case WRONG -> write(ctx, HttpResponseStatus.OK, "{\"version\":\"new\"}");
                 default -> write(ctx, HttpResponseStatus.OK, json(view, since));
             }
         };
-        if (lateMs > 0) {
-            loop.schedule(write, (long) (lateMs * 1000), TimeUnit.MICROSECONDS);
+        if (delayMs > 0) {
+            loop.schedule(write, (long) (delayMs * 1000), TimeUnit.MICROSECONDS);
         } else {
             write.run();
         }
     }
 
     private static void write(ChannelHandlerContext ctx, HttpResponseStatus status, String body) {
-        FullHttpResponse made = new DefaultFullHttpResponse(
+        FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
-        made.headers()
+        response.headers()
                 .set("Content-Type", "application/json")
-                .set("Content-Length", made.content().readableBytes());
-        ctx.writeAndFlush(made);
+                .set("Content-Length", response.content().readableBytes());
+        ctx.writeAndFlush(response);
     }
 
-    private final class Questions extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final View view;
 
-        Questions(View view) {
+        RequestHandler(View view) {
             this.view = view;
         }
 
@@ -263,15 +265,15 @@
             }
             try {
                 long index = number(query, "index", -1);
-                long wait = Math.min(MOST_WAIT_MS, number(query, "wait", 0));
-                double now = System.nanoTime() / 1e6;
-                CallQueue.Turn turn = queue.come(now);
-                if (turn.atMs() <= now) {
-                    come(ctx, index, wait, turn.refused());
+                long waitMs = Math.min(MAX_WAIT_MS, number(query, "wait", 0));
+                double nowMs = System.nanoTime() / 1e6;
+                CallQueue.Turn turn = queue.come(nowMs);
+                if (turn.atMs() <= nowMs) {
+                    answerOrWatch(ctx, index, waitMs, turn.refused());
                 } else {
                     loop.schedule(
-                            () -> come(ctx, index, wait, turn.refused()),
-                            (long) ((turn.atMs() - now) * 1000),
+                            () -> answerOrWatch(ctx, index, waitMs, turn.refused()),
+                            (long) ((turn.atMs() - nowMs) * 1000),
                             TimeUnit.MICROSECONDS);
                 }
             } catch (NumberFormatException e) {
@@ -279,17 +281,17 @@
             }
         }
 
-        /** A call has come to its turn. */
-        private void come(ChannelHandlerContext ctx, long index, long wait, boolean refused) {
+        /** Called when a call gets its turn: answers it, or holds it open as a watch. */
+        private void answerOrWatch(ChannelHandlerContext ctx, long index, long waitMs, boolean rejected) {
             if (!ctx.channel().isActive()) {
                 return;
             }
-            view.teller().called(view.name(), refused);
-            if (refused) {
+            view.observer().called(view.name(), rejected);
+            if (rejected) {
                 write(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "");
                 return;
             }
-            if (index < 0 || index < version || wait <= 0 || manner != Mode.GOOD) {
+            if (index < 0 || index < version || waitMs <= 0 || mode != Mode.GOOD) {
                 answer(ctx, view, index > version ? -1 : index);
                 return;
             }
@@ -301,7 +303,7 @@
                             answer(ctx, view, index);
                         }
                     },
-                    wait,
+                    waitMs,
                     TimeUnit.MILLISECONDS);
         }
 
--- a/tools/src/main/java/martenlatch/world/Endpoint.java
+++ b/tools/src/main/java/martenlatch/world/Endpoint.java
@@ -31,16 +31,16 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * One endpoint, as the protocol's page has it. It works on so many requests at once, keeps some more in a
- * queue and turns the rest away; it is slow while it is cold. All of it runs on one event loop; what is asked
- * of it from outside goes there.
+ * Emulates one endpoint of the service. It serves a limited number of requests at once, queues a limited number and
+ * rejects the others; it is slower while it is cold. All state belongs to one event loop; calls from other threads are
+ * run there.
  */
 public final class Endpoint {
 
-    private static final int MOST_BODY = 64 * 1024;
-    private static final int SLOWNESS = 10;
-    private static final double NANOS_IN_MS = 1e6;
-    private static final HttpResponseStatus OVER = HttpResponseStatus.SERVICE_UNAVAILABLE;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final int SLOW_FACTOR = 10;
+    private static final double NANOS_PER_MS = 1e6;
+    private static final HttpResponseStatus OVERLOADED = HttpResponseStatus.SERVICE_UNAVAILABLE;
 
     private final String id;
     private final String zone;
@@ -54,13 +54,13 @@
     private Channel listener;
     private volatile InetSocketAddress address;
     private volatile long startedMs;
-    private EndpointFault trouble = EndpointFault.NONE;
-    private long stalledUntil = System.nanoTime();
-    private long drainedAt = Long.MAX_VALUE;
-    private long warmAt = System.nanoTime();
-    private int working;
-    /** What was begun before a death ends nowhere. */
-    private int life;
+    private EndpointFault fault = EndpointFault.NONE;
+    private long stalledUntilNanos = System.nanoTime();
+    private long drainedAtNanos = Long.MAX_VALUE;
+    private long warmAtNanos = System.nanoTime();
+    private int activeRequests;
+    /** Incremented by {@link #die}, so that requests begun before it are never answered. */
+    private int incarnation;
 
     Endpoint(String id, String zone, EventLoop loop, WorldSettings settings, Ledger ledger, long seed) {
         this.id = id;
@@ -72,7 +72,7 @@
         connections = new DefaultChannelGroup(loop);
     }
 
-    /** Listens, at the same address as before if there was one. */
+    /** Starts to listen on a port of the loopback address; 0 for a port of the system's choice. */
     void listen(int port) {
         listener = new ServerBootstrap()
                 .group(loop)
@@ -85,11 +85,11 @@
                     protected void initChannel(SocketChannel accepted) {
                         connections.add(accepted);
                         accepts.incrementAndGet();
-                        if (trouble == EndpointFault.DEAF) {
+                        if (fault == EndpointFault.DEAF) {
                             accepted.config().setAutoRead(false);
                         }
                         accepted.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY), new Requests());
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new RequestHandler());
                     }
                 })
                 .bind("127.0.0.1", port)
@@ -98,59 +98,61 @@
         address = (InetSocketAddress) listener.localAddress();
     }
 
-    /** Its name in lists. */
+    /** Returns the id of the endpoint in endpoint lists. */
     public String id() {
         return id;
     }
 
+    /** Returns the zone of the endpoint. */
     public String zone() {
         return zone;
     }
 
+    /** Returns the address the endpoint listens on; it stays the same over restarts. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** When it last started, Unix time in milliseconds; 0 for long ago. */
+    /** Returns the Unix time in milliseconds of the last restart; 0 if the endpoint was never restarted. */
     public long startedMs() {
         return startedMs;
     }
 
-    /** How many connections it has accepted so far. */
+    /** Returns the number of connections accepted so far. */
     public int accepts() {
         return accepts.get();
     }
 
-    /** What it does from now on. */
+    /** Sets the fault. */
     public void trouble(EndpointFault next) {
-        EventLoops.runAndWait(loop, () -> trouble = next);
+        EventLoops.runAndWait(loop, () -> fault = next);
     }
 
-    /** Answers nothing for so long, then all at once; it goes on taking requests and working on them. */
+    /** Holds back all answers for this time and then sends them at once; requests are accepted and served meanwhile. */
     public void stall(double ms) {
-        EventLoops.runAndWait(loop, () -> stalledUntil = System.nanoTime() + (long) (ms * NANOS_IN_MS));
+        EventLoops.runAndWait(loop, () -> stalledUntilNanos = System.nanoTime() + (long) (ms * NANOS_PER_MS));
     }
 
-    /** It has been told to drain: after the grace nothing new may come. */
+    /** Begins to drain: new requests are rejected, and those that arrive after the grace period are counted. */
     void drain() {
-        EventLoops.runAndWait(loop, () -> drainedAt = System.nanoTime());
+        EventLoops.runAndWait(loop, () -> drainedAtNanos = System.nanoTime());
     }
 
-    /** Its process dies: connections are reset, what it worked on is lost, new ones are refused. */
+    /** Emulates a crash: connections are reset, requests in progress are lost, and new connections are refused. */
     void die() {
         EventLoops.runAndWait(loop, () -> {
-            life++;
-            working = 0;
+            incarnation++;
+            activeRequests = 0;
             queue.clear();
             listener.close();
-            connections.forEach(one -> {
-                one.config().setOption(ChannelOption.SO_LINGER, 0);
-                one.close();
+            connections.forEach(connection -> {
+                connection.config().setOption(ChannelOption.SO_LINGER, 0);
+                connection.close();
             });
         });
     }
 
-    /** It starts again at its address, cold; if it still lives it dies first. */
+    /** Restarts the endpoint on its address, cold; if it is still running it crashes first. */
     void restart() {
         if (listener.isOpen()) {
             die();
@@ -158,10 +160,10 @@
         listener.closeFuture().syncUninterruptibly();
         startedMs = System.currentTimeMillis();
         EventLoops.runAndWait(loop, () -> {
-            trouble = EndpointFault.NONE;
-            stalledUntil = System.nanoTime();
-            drainedAt = Long.MAX_VALUE;
-            warmAt = System.nanoTime() + (long) (settings.coldMs() * NANOS_IN_MS);
+            fault = EndpointFault.NONE;
+            stalledUntilNanos = System.nanoTime();
+            drainedAtNanos = Long.MAX_VALUE;
+            warmAtNanos = System.nanoTime() + (long) (settings.coldMs() * NANOS_PER_MS);
         });
         listen(address.getPort());
     }
@@ -171,88 +173,88 @@
         connections.close();
     }
 
-    private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             ledger.received();
-            String name = request.headers().get("X-Request-Id");
-            boolean keep = HttpUtil.isKeepAlive(request);
-            if (name == null || request.decoderResult().isFailure()) {
+            String requestId = request.headers().get("X-Request-Id");
+            boolean keepAlive = HttpUtil.isKeepAlive(request);
+            if (requestId == null || request.decoderResult().isFailure()) {
                 write(ctx, answer(HttpResponseStatus.NOT_FOUND, "no request id\n"), false);
                 return;
             }
-            long now = System.nanoTime();
-            boolean drained = drainedAt != Long.MAX_VALUE;
-            if (drained && now - drainedAt > settings.drainGraceMs() * NANOS_IN_MS) {
+            long nowNanos = System.nanoTime();
+            boolean drained = drainedAtNanos != Long.MAX_VALUE;
+            if (drained && nowNanos - drainedAtNanos > settings.drainGraceMs() * NANOS_PER_MS) {
                 ledger.afterDrain();
             }
-            if (drained || working >= settings.slots() && queue.size() >= settings.queue()) {
-                ledger.turnedAway(id, name);
-                FullHttpResponse away = answer(OVER, "not run\n");
-                away.headers().set("X-Not-Run", "1");
-                write(ctx, away, keep);
+            if (drained || activeRequests >= settings.slots() && queue.size() >= settings.queue()) {
+                ledger.turnedAway(id, requestId);
+                FullHttpResponse rejection = answer(OVERLOADED, "not run\n");
+                rejection.headers().set("X-Not-Run", "1");
+                write(ctx, rejection, keepAlive);
                 return;
             }
             ledger.ran(
                     id,
-                    name,
+                    requestId,
                     request.method() == HttpMethod.POST && !request.headers().contains("Idempotency-Key"),
-                    now < warmAt);
-            if (now < warmAt) {
+                    nowNanos < warmAtNanos);
+            if (nowNanos < warmAtNanos) {
                 ledger.cold();
             }
-            if (working < settings.slots()) {
-                work(ctx, name, keep);
+            if (activeRequests < settings.slots()) {
+                work(ctx, requestId, keepAlive);
             } else {
-                queue.add(() -> work(ctx, name, keep));
+                queue.add(() -> work(ctx, requestId, keepAlive));
             }
         }
 
-        private void work(ChannelHandlerContext ctx, String name, boolean keep) {
-            working++;
-            long now = System.nanoTime();
-            double ms = settings.service().draw(random)
-                    * (trouble == EndpointFault.SLOW ? SLOWNESS : 1)
-                    * (now < warmAt ? settings.coldFactor() : 1);
-            long until = Math.max(now + (long) (ms * NANOS_IN_MS), stalledUntil);
-            int begun = life;
+        private void work(ChannelHandlerContext ctx, String requestId, boolean keepAlive) {
+            activeRequests++;
+            long nowNanos = System.nanoTime();
+            double serviceMs = settings.service().draw(random)
+                    * (fault == EndpointFault.SLOW ? SLOW_FACTOR : 1)
+                    * (nowNanos < warmAtNanos ? settings.coldFactor() : 1);
+            long untilNanos = Math.max(nowNanos + (long) (serviceMs * NANOS_PER_MS), stalledUntilNanos);
+            int begunIn = incarnation;
             Runnable done = () -> {
-                if (begun == life) {
-                    finish(ctx, name, keep);
+                if (begunIn == incarnation) {
+                    finish(ctx, requestId, keepAlive);
                 }
             };
-            if (until <= now) {
+            if (untilNanos <= nowNanos) {
                 done.run();
             } else {
-                loop.schedule(done, until - now, TimeUnit.NANOSECONDS);
+                loop.schedule(done, untilNanos - nowNanos, TimeUnit.NANOSECONDS);
             }
         }
 
-        private void finish(ChannelHandlerContext ctx, String name, boolean keep) {
-            long left = stalledUntil - System.nanoTime();
-            if (left > 0) {
-                int begun = life;
+        private void finish(ChannelHandlerContext ctx, String requestId, boolean keepAlive) {
+            long leftNanos = stalledUntilNanos - System.nanoTime();
+            if (leftNanos > 0) {
+                int begunIn = incarnation;
                 loop.schedule(
                         () -> {
-                            if (begun == life) {
-                                finish(ctx, name, keep);
+                            if (begunIn == incarnation) {
+                                finish(ctx, requestId, keepAlive);
                             }
                         },
-                        left,
+                        leftNanos,
                         TimeUnit.NANOSECONDS);
                 return;
             }
-            working--;
-            reply(ctx, name, keep);
+            activeRequests--;
+            reply(ctx, requestId, keepAlive);
             Runnable next = queue.poll();
             if (next != null) {
                 next.run();
             }
         }
 
-        private void reply(ChannelHandlerContext ctx, String name, boolean keep) {
-            switch (trouble) {
+        private void reply(ChannelHandlerContext ctx, String requestId, boolean keepAlive) {
+            switch (fault) {
                 case HANGS -> {}
                 case RESETS -> {
                     ctx.channel().config().setOption(ChannelOption.SO_LINGER, 0);
@@ -261,43 +263,43 @@
                 case HALF -> raw(ctx, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf", true);
                 case GARBLES -> raw(ctx, "220 mail.example ESMTP\r\n\r\n", true);
                 case TWICE -> {
-                    ledger.answered(id, name);
+                    ledger.answered(id, requestId);
                     raw(
                             ctx,
                             "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1"
                                     + "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n2",
                             false);
                 }
-                case ERRORS -> write(ctx, answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, "error\n"), keep);
+                case ERRORS -> write(ctx, answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, "error\n"), keepAlive);
                 default -> {
-                    ledger.answered(id, name);
-                    write(ctx, answer(HttpResponseStatus.OK, name + "\n"), keep);
+                    ledger.answered(id, requestId);
+                    write(ctx, answer(HttpResponseStatus.OK, requestId + "\n"), keepAlive);
                 }
             }
         }
 
-        private void raw(ChannelHandlerContext ctx, String bytes, boolean last) {
+        private void raw(ChannelHandlerContext ctx, String bytes, boolean closeAfter) {
             ByteBuf out = Unpooled.copiedBuffer(bytes, StandardCharsets.US_ASCII);
-            // Past the codec, which would not write such things.
+            // Bypasses the HTTP codec, which can't write invalid messages.
             var written = ctx.channel().pipeline().firstContext().writeAndFlush(out);
-            if (last) {
+            if (closeAfter) {
                 written.addListener(done -> ctx.close());
             }
         }
 
         private FullHttpResponse answer(HttpResponseStatus status, String body) {
-            FullHttpResponse made = new DefaultFullHttpResponse(
+            FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
-            made.headers().set("Content-Length", body.length());
-            return made;
+            response.headers().set("Content-Length", body.length());
+            return response;
         }
 
-        private void write(ChannelHandlerContext ctx, FullHttpResponse answer, boolean keep) {
-            if (!keep) {
+        private void write(ChannelHandlerContext ctx, FullHttpResponse answer, boolean keepAlive) {
+            if (!keepAlive) {
                 answer.headers().set("Connection", "close");
             }
             var written = ctx.writeAndFlush(answer);
-            if (!keep) {
+            if (!keepAlive) {
                 written.addListener(done -> ctx.close());
             }
         }
--- a/tools/src/main/java/martenlatch/world/EndpointFault.java
+++ b/tools/src/main/java/martenlatch/world/EndpointFault.java
@@ -1,23 +1,23 @@
 package martenlatch.world;
 
-/** What an endpoint does with requests, other than serve them. */
+/** A fault that an emulated endpoint shows. */
 public enum EndpointFault {
-    /** Nothing: it serves. */
+    /** No fault: requests are served. */
     NONE,
-    /** Takes requests, runs them, and never answers. */
+    /** Runs requests and never answers them. */
     HANGS,
-    /** Runs them and breaks the connection instead of an answer. */
+    /** Runs requests and resets the connection in place of an answer. */
     RESETS,
-    /** Runs them and breaks the connection in the middle of the answer. */
+    /** Runs requests and closes the connection in the middle of the answer. */
     HALF,
-    /** Answers twice. */
+    /** Sends two answers to each request. */
     TWICE,
-    /** Answers with what is no HTTP. */
+    /** Answers with bytes that are not HTTP. */
     GARBLES,
-    /** Answers 500. */
+    /** Answers with status 500. */
     ERRORS,
-    /** Takes ten times as long. */
+    /** Takes ten times the usual service time. */
     SLOW,
-    /** Accepts connections and never reads from them. */
+    /** Accepts connections but never reads from them. */
     DEAF
 }
--- a/tools/src/main/java/martenlatch/world/Ledger.java
+++ b/tools/src/main/java/martenlatch/world/Ledger.java
@@ -5,24 +5,25 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * What endpoints have seen of each request, by its id: the tally from outside. Any thread may add to it. It
- * holds a bounded number of ids; what comes beyond is counted apart, so that a sum is never silently short.
+ * Counts what endpoints did with requests, also by request id, independently of what clients and sidecars report.
+ * Thread-safe. Keeps a limited number of ids; requests beyond the limit are counted separately, so that no total is
+ * silently too low.
  */
 public final class Ledger {
 
-    /** Hears of each fact about a request as it happens, on the endpoint's event loop. */
+    /** Notified of each event of a request, on the endpoint's event loop. */
     public interface Observer {
-        /** An endpoint begins a request, cold or warm. */
+        /** Called when an endpoint begins to run a request; {@code cold} tells whether the endpoint is cold. */
         void ran(String endpoint, String id, boolean cold);
 
-        /** It turns one away. */
+        /** Called when an endpoint rejects a request without running it. */
         void turnedAway(String endpoint, String id);
 
-        /** It has written a whole answer. */
+        /** Called when an endpoint writes a whole answer. */
         void answered(String endpoint, String id);
     }
 
-    private static final Observer NOBODY = new Observer() {
+    private static final Observer NO_OP = new Observer() {
         @Override
         public void ran(String endpoint, String id, boolean cold) {
             return;
@@ -39,7 +40,7 @@
         }
     };
 
-    private final int most;
+    private final int maxIds;
     private final Observer observer;
     private final Map<String, Integer> runs = new ConcurrentHashMap<>();
     private final LongAdder received = new LongAdder();
@@ -51,14 +52,14 @@
     private final LongAdder unsafeAgain = new LongAdder();
     private final LongAdder unknown = new LongAdder();
 
-    /** An empty ledger for so many ids. */
-    public Ledger(int most) {
-        this(most, NOBODY);
+    /** Creates an empty ledger that keeps at most {@code maxIds} ids. */
+    public Ledger(int maxIds) {
+        this(maxIds, NO_OP);
     }
 
-    /** As above; {@code observer} hears of each fact too. */
-    public Ledger(int most, Observer observer) {
-        this.most = most;
+    /** Creates an empty ledger that also notifies {@code observer} of each event. */
+    public Ledger(int maxIds, Observer observer) {
+        this.maxIds = maxIds;
         this.observer = observer;
     }
 
@@ -69,7 +70,7 @@
     void ran(String endpoint, String id, boolean unsafe, boolean isCold) {
         ran.increment();
         observer.ran(endpoint, id, isCold);
-        if (runs.size() < most || runs.containsKey(id)) {
+        if (runs.size() < maxIds || runs.containsKey(id)) {
             if (runs.merge(id, 1, Integer::sum) > 1 && unsafe) {
                 unsafeAgain.increment();
             }
@@ -96,61 +97,63 @@
         cold.increment();
     }
 
-    /** Requests whose last byte has come. */
+    /** Returns the number of requests that were received whole. */
     public long receivedCount() {
         return received.sum();
     }
 
-    /** Requests that endpoints began to run, repeats among them. */
+    /** Returns the number of requests that endpoints began to run, repeats included. */
     public long ranCount() {
         return ran.sum();
     }
 
-    /** Requests answered with {@code X-Not-Run: 1}. */
+    /** Returns the number of requests that were rejected with {@code X-Not-Run: 1}. */
     public long turnedAwayCount() {
         return turnedAway.sum();
     }
 
-    /** Whole answers written for requests that ran. */
+    /** Returns the number of whole answers that were written for requests that ran. */
     public long answeredCount() {
         return answered.sum();
     }
 
-    /** Requests that came to an endpoint more than the grace after its drain was told. */
+    /** Returns the number of requests that arrived at a draining endpoint after its grace period. */
     public long afterDrainCount() {
         return afterDrain.sum();
     }
 
-    /** Requests that ran on an endpoint while it was cold. */
+    /** Returns the number of requests that ran on an endpoint while it was cold. */
     public long coldCount() {
         return cold.sum();
     }
 
     /**
-     * Requests that ran and whose ids there was no room for; with any, {@link #runTwice} is a lower bound.
+     * Returns the number of requests that ran but whose ids were not kept because the ledger was full. If it is above 0,
+     * {@link #runTwice} is a lower bound.
      */
     public long unknownCount() {
         return unknown.sum();
     }
 
-    /** Ids that ran. */
+    /** Returns the number of distinct ids that ran. */
     public int ids() {
         return runs.size();
     }
 
-    /** Ids that ran more than once. */
+    /** Returns the number of ids that ran more than once. */
     public long runTwice() {
         return runs.values().stream().filter(count -> count > 1).count();
     }
 
     /**
-     * Runs of unsafe requests (POST with no idempotency key) beyond the first of each: there should be none.
+     * Returns the number of runs of unsafe requests (POST without an idempotency key) beyond the first run of each id.
+     * It must be 0.
      */
     public long unsafeAgainCount() {
         return unsafeAgain.sum();
     }
 
-    /** How often one ran. */
+    /** Returns how often the request with this id ran. */
     public int runs(String id) {
         return runs.getOrDefault(id, 0);
     }
--- a/tools/src/main/java/martenlatch/world/Happening.java
+++ b/tools/src/main/java/martenlatch/world/ScheduledEvent.java
@@ -4,20 +4,20 @@
 import java.util.Locale;
 
 /**
- * Something that happens to a world.
+ * An event scheduled in an emulated world.
  *
- * @param atSeconds after its start
- * @param endpoint to which endpoint, or -1
- * @param zone to which zone's endpoints, all of them, or empty
- * @param ms how long or how late, where that is asked for; else NaN
+ * @param atSeconds time since the start of the world
+ * @param endpoint number of the affected endpoint, or -1
+ * @param zone zone whose endpoints are all affected, or empty
+ * @param ms duration or delay, for actions that have one; else NaN
  */
-public record Happening(double atSeconds, What what, int endpoint, String zone, double ms) {
+public record ScheduledEvent(double atSeconds, Action action, int endpoint, String zone, double ms) {
 
-    /** What may happen. */
-    public enum What {
-        /** The endpoint answers nothing for so many milliseconds. */
+    /** What an event does. */
+    public enum Action {
+        /** The endpoint holds back its answers for the event's duration. */
         STALL(true, true),
-        /** It hangs, as {@link EndpointFault#HANGS}; others likewise. */
+        /** The endpoint gets {@link EndpointFault#HANGS}; the following actions set the fault of like name. */
         HANG(true, false),
         RESET(true, false),
         HALF(true, false),
@@ -26,43 +26,43 @@
         ERROR(true, false),
         SLOW(true, false),
         DEAF(true, false),
-        /** Its trouble is over. */
+        /** The endpoint has no fault any more. */
         RECOVER(true, false),
-        /** It is told to drain, and discovery tells so. */
+        /** The endpoint begins to drain, and discovery lists it as terminating. */
         DRAIN(true, false),
-        /** Its process dies; discovery does not know. */
+        /** The endpoint crashes; its entry in discovery does not change. */
         DIE(true, false),
-        /** Discovery tells that it is gone. */
+        /** Discovery lists the endpoint as terminated. */
         REMOVE(true, false),
-        /** After a death: it starts again, cold. */
+        /** The endpoint restarts, cold, and discovery lists it as in service. */
         RESTART(true, false),
         /** Discovery does not answer. */
         DISCOVERY_SILENT(false, false),
-        /** It answers 503. */
+        /** Discovery answers with status 503. */
         DISCOVERY_DOWN(false, false),
-        /** It answers with what is no list. */
+        /** Discovery answers with an invalid list. */
         DISCOVERY_WRONG(false, false),
-        /** It is as late as this. */
+        /** Discovery delays its answers by the event's delay. */
         DISCOVERY_LATE(false, true),
-        /** It is well again. */
+        /** Discovery answers normally and without delay. */
         DISCOVERY_GOOD(false, false);
 
         private final boolean toEndpoints;
         private final boolean timed;
 
-        What(boolean toEndpoints, boolean timed) {
+        Action(boolean toEndpoints, boolean timed) {
             this.toEndpoints = toEndpoints;
             this.timed = timed;
         }
 
-        static What parse(String text) {
-            for (What one : values()) {
-                if (one.text().equals(text)) {
-                    return one;
+        static Action parse(String text) {
+            for (Action action : values()) {
+                if (action.text().equals(text)) {
+                    return action;
                 }
             }
             throw new IllegalArgumentException("event.do must be one of "
-                    + Arrays.stream(values()).map(What::text).toList() + " but is \"" + text + "\"");
+                    + Arrays.stream(values()).map(Action::text).toList() + " but is \"" + text + "\"");
         }
 
         String text() {
@@ -70,13 +70,13 @@
         }
     }
 
-    Happening checkedWith(WorldSettings settings) {
+    ScheduledEvent checkedWith(WorldSettings settings) {
         if (!(atSeconds >= 0 && atSeconds <= 1e6)) {
             throw new IllegalArgumentException("event.at must be 0 to 1000000 seconds but is " + atSeconds);
         }
-        if (what.toEndpoints && (endpoint < 0) == zone.isEmpty()) {
+        if (action.toEndpoints && (endpoint < 0) == zone.isEmpty()) {
             throw new IllegalArgumentException(
-                    "event.endpoint or event.zone must say to whom " + what.text() + " happens, one of them");
+                    "event.endpoint or event.zone must say to whom " + action.text() + " happens, one of them");
         }
         if (endpoint >= settings.endpoints() || endpoint < -1) {
             throw new IllegalArgumentException(
@@ -86,16 +86,16 @@
             throw new IllegalArgumentException(
                     "event.zone must be one of " + settings.zones() + " but is \"" + zone + "\"");
         }
-        if (what.timed && !(ms >= 0 && ms <= 600_000)) {
+        if (action.timed && !(ms >= 0 && ms <= 600_000)) {
             throw new IllegalArgumentException("event.ms must be 0 to 600000 but is " + ms);
         }
         return this;
     }
 
-    /** Lets it happen. */
-    public void to(World world) {
-        if (!what.toEndpoints) {
-            switch (what) {
+    /** Applies the event to a world. */
+    public void applyTo(World world) {
+        if (!action.toEndpoints) {
+            switch (action) {
                 case DISCOVERY_SILENT -> world.discovery().manner(Discovery.Mode.SILENT);
                 case DISCOVERY_DOWN -> world.discovery().manner(Discovery.Mode.DOWN);
                 case DISCOVERY_WRONG -> world.discovery().manner(Discovery.Mode.WRONG);
@@ -110,35 +110,35 @@
         for (int i = 0; i < world.endpoints().size(); i++) {
             if (i == endpoint
                     || !zone.isEmpty() && world.endpoints().get(i).zone().equals(zone)) {
-                to(world, i);
+                applyTo(world, i);
             }
         }
     }
 
-    private void to(World world, int number) {
-        Endpoint one = world.endpoints().get(number);
-        switch (what) {
-            case STALL -> one.stall(ms);
-            case HANG -> one.trouble(EndpointFault.HANGS);
-            case RESET -> one.trouble(EndpointFault.RESETS);
-            case HALF -> one.trouble(EndpointFault.HALF);
-            case TWICE -> one.trouble(EndpointFault.TWICE);
-            case GARBLE -> one.trouble(EndpointFault.GARBLES);
-            case ERROR -> one.trouble(EndpointFault.ERRORS);
-            case SLOW -> one.trouble(EndpointFault.SLOW);
-            case DEAF -> one.trouble(EndpointFault.DEAF);
-            case RECOVER -> one.trouble(EndpointFault.NONE);
+    private void applyTo(World world, int number) {
+        Endpoint target = world.endpoints().get(number);
+        switch (action) {
+            case STALL -> target.stall(ms);
+            case HANG -> target.trouble(EndpointFault.HANGS);
+            case RESET -> target.trouble(EndpointFault.RESETS);
+            case HALF -> target.trouble(EndpointFault.HALF);
+            case TWICE -> target.trouble(EndpointFault.TWICE);
+            case GARBLE -> target.trouble(EndpointFault.GARBLES);
+            case ERROR -> target.trouble(EndpointFault.ERRORS);
+            case SLOW -> target.trouble(EndpointFault.SLOW);
+            case DEAF -> target.trouble(EndpointFault.DEAF);
+            case RECOVER -> target.trouble(EndpointFault.NONE);
             case DRAIN -> world.drain(number);
             case DIE -> world.die(number);
             case REMOVE -> world.remove(number);
             case RESTART -> world.restart(number);
-            default -> throw new IllegalStateException(what.text());
+            default -> throw new IllegalStateException(action.text());
         }
     }
 
     @Override
     public String toString() {
-        return what.text()
+        return action.text()
                 + (endpoint >= 0 ? " s" + endpoint : "")
                 + (zone.isEmpty() ? "" : " zone " + zone)
                 + (Double.isNaN(ms) ? "" : " " + (long) ms + " ms");
--- a/tools/src/main/java/martenlatch/world/ServiceTime.java
+++ b/tools/src/main/java/martenlatch/world/ServiceTime.java
@@ -3,23 +3,27 @@
 import java.util.Locale;
 import java.util.SplittableRandom;
 
-/** How long endpoints work on a request, in milliseconds: a distribution with a mean. */
+/**
+ * The probability distribution of an endpoint's service time.
+ *
+ * @param spread standard deviation of the logarithm for a log-normal distribution; else unused
+ */
 public record ServiceTime(Form form, double meanMs, double spread) {
 
-    /** The distribution's form. */
+    /** The form of the distribution. */
     public enum Form {
-        /** Always the mean. */
+        /** Constant: always the mean. */
         CONSTANT,
         /** Exponential. */
         EXPONENTIAL,
-        /** Log-normal; the spread is the standard deviation of the logarithm. */
+        /** Log-normal. */
         LOGNORMAL
     }
 
-    private static final double MOST_MS = 600_000;
+    private static final double MAX_MEAN_MS = 600_000;
 
     public ServiceTime {
-        if (!(meanMs >= 0 && meanMs <= MOST_MS)) {
+        if (!(meanMs >= 0 && meanMs <= MAX_MEAN_MS)) {
             throw new IllegalArgumentException("service mean must be 0 to 600000 ms but is " + meanMs);
         }
         if (!(spread >= 0 && spread <= 4)) {
@@ -27,7 +31,7 @@
         }
     }
 
-    /** Reads one, like {@code lognormal 20 0.8} or {@code constant 5}. */
+    /** Parses a distribution, such as {@code lognormal 20 0.8} or {@code constant 5}. */
     public static ServiceTime parse(String text) {
         String[] words = text.trim().split("\\s+");
         try {
@@ -37,23 +41,23 @@
                         form, Double.parseDouble(words[1]), form == Form.LOGNORMAL ? Double.parseDouble(words[2]) : 0);
             }
         } catch (NumberFormatException e) {
-            throw bad(text, e);
+            throw invalid(text, e);
         } catch (IllegalArgumentException e) {
             if (e.getMessage().startsWith("service")) {
                 throw e;
             }
-            throw bad(text, e);
+            throw invalid(text, e);
         }
-        throw bad(text, null);
+        throw invalid(text, null);
     }
 
-    private static IllegalArgumentException bad(String text, Exception cause) {
+    private static IllegalArgumentException invalid(String text, Exception cause) {
         return new IllegalArgumentException(
-                "service must be constant MS, exponential MS or lognormal MS " + "SPREAD " + "but is \"" + text + "\"",
+                "service must be constant MS, exponential MS or lognormal MS SPREAD but is \"" + text + "\"",
                 cause);
     }
 
-    /** One of them, in milliseconds. */
+    /** Draws a service time, in milliseconds. */
     public double draw(SplittableRandom random) {
         return switch (form) {
             case CONSTANT -> meanMs;
--- a/tools/src/main/java/martenlatch/world/World.java
+++ b/tools/src/main/java/martenlatch/world/World.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Endpoints and their discovery on loopback, and one ledger of what endpoints see. */
+/** Emulates endpoints and discovery on the loopback interface, with one ledger for all endpoints. */
 public final class World implements Closeable {
 
     private final MultiThreadIoEventLoopGroup group;
@@ -18,15 +18,15 @@
     private final List<Endpoint> endpoints = new ArrayList<>();
 
     /**
-     * Starts it.
+     * Starts the endpoints and discovery.
      *
-     * @param discoveryPort where discovery listens, or 0 for a port of the system's choice
+     * @param discoveryPort port on which discovery listens, or 0 for a port of the system's choice
      */
     public World(WorldSettings settings, int discoveryPort) {
         this(settings, discoveryPort, new Ledger(settings.ids()));
     }
 
-    /** As above, with a ledger that the caller has made. */
+    /** Starts the endpoints and discovery with the caller's ledger. */
     public World(WorldSettings settings, int discoveryPort, Ledger ledger) {
         group = new MultiThreadIoEventLoopGroup(
                 settings.threads() + 1, new DefaultThreadFactory("world", true), NioIoHandler.newFactory());
@@ -38,16 +38,16 @@
             loops.add((EventLoop) group.next());
         }
         for (int i = 0; i < settings.endpoints(); i++) {
-            Endpoint made = new Endpoint(
+            Endpoint endpoint = new Endpoint(
                     "s" + i,
                     settings.zones().get(i % settings.zones().size()),
                     loops.get(i % loops.size()),
                     settings,
                     ledger,
                     settings.seed() + i);
-            made.listen(0);
-            endpoints.add(made);
-            discovery.put(made, "in_service");
+            endpoint.listen(0);
+            endpoints.add(endpoint);
+            discovery.put(endpoint, "in_service");
         }
     }
 
@@ -63,29 +63,29 @@
         return ledger;
     }
 
-    /** An endpoint is told to take nothing new, and discovery tells so. */
+    /** Drains an endpoint, and lists it as terminating. */
     public void drain(int number) {
         discovery.put(endpoints.get(number), "terminating");
         endpoints.get(number).drain();
     }
 
-    /** An endpoint's process dies; discovery does not know. */
+    /** Emulates a crash of an endpoint; its list entry does not change. */
     public void die(int number) {
         endpoints.get(number).die();
     }
 
-    /** Discovery tells that an endpoint is gone. */
+    /** Lists an endpoint as terminated; the endpoint itself does not change. */
     public void remove(int number) {
         discovery.put(endpoints.get(number), "terminated");
     }
 
-    /** An endpoint that has died starts at its address, cold, and discovery tells so. */
+    /** Restarts an endpoint on its address, cold, and lists it as in service. */
     public void restart(int number) {
         endpoints.get(number).restart();
         discovery.put(endpoints.get(number), "in_service");
     }
 
-    /** Runs a task on each event loop, for tests that hold the loops up. */
+    /** Runs a task on each event loop, for tests that block the event loops. */
     void runOnAllLoops(Runnable task) {
         group.forEach(loop -> loop.execute(task));
     }
--- a/tools/src/main/java/martenlatch/world/WorldFile.java
+++ b/tools/src/main/java/martenlatch/world/WorldFile.java
@@ -10,14 +10,14 @@
 import martenlatch.toml.TomlFile;
 
 /**
- * A world and what happens to it, as a TOML file describes them.
+ * The settings of an emulated world and its scheduled events, read from a TOML file.
  *
- * @param discoveryPort where discovery listens; 0 for one of the system's choice
- * @param happenings in order of their times
+ * @param discoveryPort port on which discovery listens; 0 for a port of the system's choice
+ * @param events in order of their times
  */
-public record WorldFile(WorldSettings settings, int discoveryPort, List<Happening> happenings) {
+public record WorldFile(WorldSettings settings, int discoveryPort, List<ScheduledEvent> events) {
 
-    private static final Set<String> NAMES = Set.of(
+    private static final Set<String> FIELDS = Set.of(
             "endpoints",
             "zones",
             "service",
@@ -31,17 +31,17 @@
             "seed",
             "discovery-port",
             "event");
-    private static final Set<String> EVENT_NAMES = Set.of("at", "do", "endpoint", "zone", "ms");
+    private static final Set<String> EVENT_FIELDS = Set.of("at", "do", "endpoint", "zone", "ms");
 
-    /** Reads a file; what can't be used is an exception whose message names field and value. */
+    /** Reads a file; throws an exception that names the field and the value if a setting is invalid. */
     public static WorldFile read(Path file) throws IOException {
         return of(TomlFile.read(file));
     }
 
     private static WorldFile of(JsonNode file) {
-        TomlFile.knownOnly("", file, NAMES);
+        TomlFile.knownOnly("", file, FIELDS);
         List<String> zones = new ArrayList<>();
-        file.path("zones").forEach(one -> zones.add(one.asText()));
+        file.path("zones").forEach(zone -> zones.add(zone.asText()));
         WorldSettings settings = new WorldSettings(
                 TomlFile.whole("endpoints", file.path("endpoints"), 4),
                 zones.isEmpty() ? List.of("a") : zones,
@@ -58,18 +58,18 @@
         if (port < 0 || port > 65_535) {
             throw new IllegalArgumentException("discovery-port must be 0 to 65535 but is " + port);
         }
-        List<Happening> happenings = new ArrayList<>();
-        for (JsonNode one : file.path("event")) {
-            TomlFile.knownOnly("event.", one, EVENT_NAMES);
-            happenings.add(new Happening(
-                            TomlFile.number("event.at", one.path("at"), Double.NaN),
-                            Happening.What.parse(one.path("do").asText("")),
-                            TomlFile.whole("event.endpoint", one.path("endpoint"), -1),
-                            one.path("zone").asText(""),
-                            TomlFile.number("event.ms", one.path("ms"), Double.NaN))
+        List<ScheduledEvent> events = new ArrayList<>();
+        for (JsonNode event : file.path("event")) {
+            TomlFile.knownOnly("event.", event, EVENT_FIELDS);
+            events.add(new ScheduledEvent(
+                            TomlFile.number("event.at", event.path("at"), Double.NaN),
+                            ScheduledEvent.Action.parse(event.path("do").asText("")),
+                            TomlFile.whole("event.endpoint", event.path("endpoint"), -1),
+                            event.path("zone").asText(""),
+                            TomlFile.number("event.ms", event.path("ms"), Double.NaN))
                     .checkedWith(settings));
         }
-        happenings.sort(Comparator.comparingDouble(Happening::atSeconds));
-        return new WorldFile(settings, port, List.copyOf(happenings));
+        events.sort(Comparator.comparingDouble(ScheduledEvent::atSeconds));
+        return new WorldFile(settings, port, List.copyOf(events));
     }
 }
--- a/tools/src/main/java/martenlatch/world/WorldSettings.java
+++ b/tools/src/main/java/martenlatch/world/WorldSettings.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * A world.
+ * The settings of an emulated world.
  *
- * @param endpoints how many there are
- * @param zones their names; endpoints are dealt out among them in turn
- * @param service how long a request takes
- * @param slots requests that an endpoint works on at once
- * @param queue requests that wait there; more are turned away
- * @param coldMs for how long a started endpoint is cold
- * @param coldFactor how much longer it takes meanwhile
- * @param drainGraceMs how long after a drain was told something new may still come
- * @param threads event loops for all endpoints together
- * @param ids how many requests are remembered by id
+ * @param endpoints number of endpoints
+ * @param zones zone names; endpoints are assigned to them in turn
+ * @param service service time of a request
+ * @param slots requests that an endpoint serves at once
+ * @param queue requests that wait at an endpoint; further ones are rejected
+ * @param coldMs how long an endpoint is cold after a restart
+ * @param coldFactor factor on the service time of a cold endpoint
+ * @param drainGraceMs how long after the start of a drain new requests may still arrive
+ * @param threads number of event loops, shared by all endpoints
+ * @param ids number of request ids that the ledger keeps
  */
 public record WorldSettings(
         int endpoints,
@@ -31,27 +31,27 @@
 
     public WorldSettings {
         zones = List.copyOf(zones);
-        within("endpoints", endpoints, 1, 10_000);
+        requireWithin("endpoints", endpoints, 1, 10_000);
         if (zones.isEmpty()) {
             throw new IllegalArgumentException("zones must name one but is empty");
         }
-        within("slots", slots, 1, 1_000_000);
-        within("queue", queue, 0, 1_000_000);
-        within("cold-ms", coldMs, 0, 600_000);
-        within("cold-factor", coldFactor, 1, 1000);
-        within("drain-grace-ms", drainGraceMs, 0, 60_000);
-        within("threads", threads, 1, 64);
-        within("ids", ids, 1, 100_000_000);
+        requireWithin("slots", slots, 1, 1_000_000);
+        requireWithin("queue", queue, 0, 1_000_000);
+        requireWithin("cold-ms", coldMs, 0, 600_000);
+        requireWithin("cold-factor", coldFactor, 1, 1000);
+        requireWithin("drain-grace-ms", drainGraceMs, 0, 60_000);
+        requireWithin("threads", threads, 1, 64);
+        requireWithin("ids", ids, 1, 100_000_000);
     }
 
-    private static void within(String field, double value, double least, double most) {
-        if (!(value >= least && value <= most)) {
+    private static void requireWithin(String field, double value, double min, double max) {
+        if (!(value >= min && value <= max)) {
             throw new IllegalArgumentException(
-                    field + " must be " + (long) least + " to " + (long) most + " but is " + value);
+                    field + " must be " + (long) min + " to " + (long) max + " but is " + value);
         }
     }
 
-    /** Endpoints that answer at once and are never full, in one zone. */
+    /** Returns settings for endpoints of one zone that are never full. */
     public static WorldSettings plain(int endpoints, ServiceTime service) {
         return new WorldSettings(endpoints, List.of("a"), service, 1_000_000, 0, 1000, 3, 500, 1, 2_000_000, 1);
     }
--- a/tools/src/main/java/martenlatch/world/package-info.java
+++ b/tools/src/main/java/martenlatch/world/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The world that stands in for a service's surroundings, on loopback: endpoints and discovery, written from
- * the protocol's page, with scripted trouble, and a ledger of what really happened to each request. It knows
- * nothing of what stands before it.
+ * Emulates the surroundings of a sidecar on the loopback interface: endpoints and discovery, written from the protocol's
+ * specification, with scheduled faults, and a ledger of what endpoints did with each request. It does not depend on the
+ * system under test.
  */
 package martenlatch.world;
--- a/tools/src/test/java/martenlatch/world/WorldTest.java
+++ b/tools/src/test/java/martenlatch/world/WorldTest.java
@@ -234,9 +234,9 @@
             """));
         assertEquals(
                 List.of("stall s2 300 ms", "die zone a"),
-                file.happenings().stream().map(Happening::toString).toList());
+                file.events().stream().map(ScheduledEvent::toString).toList());
         world = new World(file.settings(), 0);
-        file.happenings().get(1).to(world);
+        file.events().get(1).applyTo(world);
         assertThrows(ConnectException.class, () -> ask(0, "r1"));
         assertThrows(ConnectException.class, () -> ask(2, "r1"));
         assertEquals(200, ask(1, "r1").statusCode());
