--- a/tools/src/main/java/martenlatch/demo/Demo.java
+++ b/tools/src/main/java/martenlatch/demo/Demo.java
@@ -193,7 +193,7 @@
                         ? "Held: each request one end, nothing unsafe run twice, nothing sent 500 ms after a drain was "
                                 + "told."
                         : "BROKEN: see the figures above.");
-        if (report.judgement().voidFrom() >= 0) {
+        if (report.lateness().voidFrom() >= 0) {
             summary.println("The times are rough: this machine was busy, and the load generator late.");
         }
         summary.println("The sidecar's log had "
--- a/tools/src/main/java/martenlatch/load/Arrival.java
+++ b/tools/src/main/java/martenlatch/load/Arrival.java
@@ -1,13 +1,13 @@
 package martenlatch.load;
 
 /**
- * What a client wants once, however many requests it takes to get it.
+ * One arrival of the load: a client's demand for one answer, with the first request and all its retries.
  *
- * @param number from 0, in order of intended times
- * @param intendedNanos when it is to be sent, since the start of the run
- * @param kind its class
- * @param key what it is about, or null
- * @param bodyBytes the length of its body
- * @param deadlineMs how long its client waits for the answer of each request
+ * @param number sequence number from 0, in order of intended times
+ * @param intendedNanos intended send time, since the start of the run
+ * @param kind request class
+ * @param key affinity key, or null
+ * @param bodyBytes length of the request body
+ * @param deadlineMs how long the client waits for the answer to each request
  */
 public record Arrival(long number, long intendedNanos, LoadClass kind, String key, int bodyBytes, int deadlineMs) {}
--- a/tools/src/main/java/martenlatch/load/Arrivals.java
+++ b/tools/src/main/java/martenlatch/load/Arrivals.java
@@ -5,41 +5,42 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Where wishes come from, in order of their intended times. */
+/** A source of arrivals, in order of their intended times. */
 public interface Arrivals extends Closeable {
 
-    /** The next wish, or null after the last. */
+    /** Returns the next arrival, or null after the last one. */
     Arrival next() throws IOException;
 
-    /** How long it goes on, in seconds. */
+    /** Returns the planned duration, in seconds. */
     double seconds();
 
     @Override
     default void close() throws IOException {
-        // Most hold nothing.
+        // Most sources hold no resources.
         return;
     }
 
-    /** Arrivals by a schedule, each of a class drawn by the classes' shares; all from one seed. */
-    static Arrivals drawn(Schedule schedule, List<LoadClass> kinds, long seed) {
+    /** Returns the arrivals of a schedule; the class of each is drawn at random, in proportion to the classes' shares. */
+    static Arrivals drawn(Schedule schedule, List<LoadClass> classes, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        double shares = kinds.stream().mapToDouble(LoadClass::share).sum();
+        double totalShare = classes.stream().mapToDouble(LoadClass::share).sum();
         return new Arrivals() {
             private long count;
 
             @Override
             public Arrival next() {
-                long at = schedule.next();
-                if (at < 0) {
+                long intendedNanos = schedule.next();
+                if (intendedNanos < 0) {
                     return null;
                 }
-                double drawn = random.nextDouble() * shares;
-                int which = 0;
-                while (which < kinds.size() - 1 && drawn >= kinds.get(which).share()) {
-                    drawn -= kinds.get(which++).share();
+                double drawn = random.nextDouble() * totalShare;
+                int index = 0;
+                while (index < classes.size() - 1 && drawn >= classes.get(index).share()) {
+                    drawn -= classes.get(index++).share();
                 }
-                LoadClass kind = kinds.get(which);
-                return new Arrival(count++, at, kind, null, kind.bodyBytes(), kind.deadlineMs());
+                LoadClass loadClass = classes.get(index);
+                return new Arrival(
+                        count++, intendedNanos, loadClass, null, loadClass.bodyBytes(), loadClass.deadlineMs());
             }
 
             @Override
--- a/tools/src/main/java/martenlatch/load/Driver.java
+++ b/tools/src/main/java/martenlatch/load/Driver.java
@@ -1,40 +1,40 @@
 package martenlatch.load;
 
-/** A protocol, on one event loop: the seam between the generator and what it loads. */
+/** Sends requests in one protocol, on one event loop. Separates the load generator from the system under test. */
 public interface Driver {
 
-    /** What becomes of a request. */
+    /** Notified of the progress and the outcome of a request. */
     interface Ending {
 
-        /** It is on its way: it had to wait for a connection until now, or had one at once. */
+        /** Called when the request is written, at once or after it waited for a connection. */
         void written();
 
         /**
-         * Its one end.
+         * Called exactly once per request, unless the request is given up.
          *
-         * @param cause a few words that tell ends of the same kind apart, from a closed list
-         * @param retryAfterMs when the service asked to be tried again; NaN where it did not
+         * @param cause short text from a closed list that distinguishes causes of the same outcome; empty if served
+         * @param retryAfterMs delay after which the service asked for a retry; NaN if it did not ask
          */
-        void ended(RequestOutcome end, String cause, double retryAfterMs);
+        void ended(RequestOutcome outcome, String cause, double retryAfterMs);
     }
 
-    /** A request that is under way. */
+    /** A request that has not ended. */
     interface Call {
 
-        /** Its time is over: whatever comes of it now is not waited for. Its ending is not told. */
+        /** Gives the request up at its deadline; {@link Ending#ended} is not called after this. Returns whether it was sent. */
         boolean giveUp();
     }
 
     /**
-     * Sends a request, at once or, while no connection is free, later.
+     * Sends a request at once, or when a connection becomes free.
      *
-     * @param id the request's own; no other has it
-     * @param retry whether an earlier request for the same wish has failed
-     * @param leftNanos until its client waits no longer
-     * @return its call; {@link Call#giveUp} tells whether any of it was sent
+     * @param id unique id of the request
+     * @param retry whether an earlier request of the same arrival has failed
+     * @param leftNanos time left until the client's deadline
+     * @return the request in progress
      */
-    Call send(Arrival wish, String id, boolean retry, long leftNanos, Ending ending);
+    Call send(Arrival arrival, String id, boolean retry, long leftNanos, Ending ending);
 
-    /** Ends all connections. */
+    /** Closes all connections. */
     void close();
 }
--- a/tools/src/main/java/martenlatch/load/LoadClass.java
+++ b/tools/src/main/java/martenlatch/load/LoadClass.java
@@ -3,25 +3,25 @@
 import java.util.Locale;
 
 /**
- * A class of requests, as the load sends it.
+ * A request class of the generated load.
  *
- * @param share its part of all arrivals, in proportion to the other shares
- * @param bodyBytes of the request; a repeatable one has none
- * @param deadlineMs how long its client waits
- * @param retries how often its client tries again, each time as a new request
+ * @param share relative share of all arrivals
+ * @param bodyBytes length of the request body; not used for repeatable requests, which have no body
+ * @param deadlineMs how long the client waits for an answer
+ * @param retries maximum number of retries by the client, each a new request
  */
 public record LoadClass(String name, double share, Effect effect, int bodyBytes, int deadlineMs, int retries) {
 
-    /** What running a request twice does. */
+    /** The effect of running a request more than once. */
     public enum Effect {
-        /** Nothing: sent with GET. */
+        /** No effect; sent with GET. */
         REPEATABLE,
-        /** Nothing, as long as it has the same key: sent with POST and {@code Idempotency-Key}. */
+        /** No effect if the idempotency key is the same; sent with POST and {@code Idempotency-Key}. */
         KEYED,
-        /** Harm: sent with POST. */
+        /** Not safe to repeat; sent with POST. */
         UNSAFE;
 
-        /** Reads its name in small letters; anything else is an exception that names field and value. */
+        /** Parses a lower-case name; throws an exception that names the field and the value if there is no such effect. */
         public static Effect parse(String text) {
             try {
                 return valueOf(text.toUpperCase(Locale.ROOT));
@@ -32,11 +32,11 @@
         }
     }
 
-    /** Longer bodies are not taken by the protocol. */
-    static final int MOST_BODY = 64 * 1024;
+    /** The limit of the protocol. */
+    static final int MAX_BODY_BYTES = 64 * 1024;
 
-    private static final int MOST_DEADLINE_MS = 600_000;
-    private static final int MOST_RETRIES = 100;
+    private static final int MAX_DEADLINE_MS = 600_000;
+    private static final int MAX_RETRIES = 100;
 
     public LoadClass {
         if (name.isEmpty() || !name.chars().allMatch(c -> c > ' ' && c < 127)) {
@@ -45,14 +45,14 @@
         if (!(share > 0 && share <= 1e9)) {
             throw new IllegalArgumentException("share must be above 0 but is " + share);
         }
-        within("body-bytes", bodyBytes, 0, MOST_BODY);
-        within("deadline-ms", deadlineMs, 1, MOST_DEADLINE_MS);
-        within("retries", retries, 0, MOST_RETRIES);
+        requireWithin("body-bytes", bodyBytes, 0, MAX_BODY_BYTES);
+        requireWithin("deadline-ms", deadlineMs, 1, MAX_DEADLINE_MS);
+        requireWithin("retries", retries, 0, MAX_RETRIES);
     }
 
-    private static void within(String field, int value, int least, int most) {
-        if (value < least || value > most) {
-            throw new IllegalArgumentException(field + " must be " + least + " to " + most + " but is " + value);
+    private static void requireWithin(String field, int value, int min, int max) {
+        if (value < min || value > max) {
+            throw new IllegalArgumentException(field + " must be " + min + " to " + max + " but is " + value);
         }
     }
 }
--- a/tools/src/main/java/martenlatch/load/LoadPlan.java
+++ b/tools/src/main/java/martenlatch/load/LoadPlan.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * What a run does.
+ * The targets and resources of a load run.
  *
- * @param targets where requests go, in turn
- * @param workers threads that send, each with an event loop of its own
- * @param connections that there may be at once, over all workers
- * @param warmSeconds sent first, and in no figure
+ * @param targets addresses to which connections are opened, in turn
+ * @param workers number of sending threads, each with its own event loop
+ * @param connections maximum number of open connections of all workers together
+ * @param warmSeconds length of the warm-up at the start, which is not counted in the results
  */
 public record LoadPlan(List<InetSocketAddress> targets, int workers, int connections, double warmSeconds) {
 
     public LoadPlan {
         targets = List.copyOf(targets);
         if (targets.isEmpty()) {
-            throw new IllegalArgumentException("targets must name an address but is empty");
+            throw new IllegalArgumentException("targets must name at least one address but is empty");
         }
         if (workers < 1 || workers > 64) {
             throw new IllegalArgumentException("workers must be 1 to 64 but is " + workers);
--- a/tools/src/main/java/martenlatch/load/LoadReport.java
+++ b/tools/src/main/java/martenlatch/load/LoadReport.java
@@ -7,31 +7,33 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What a run has shown.
+ * The results of a load run.
  *
- * @param plannedSeconds how long it was to last
- * @param kinds figures of each class, by name
- * @param seconds each second of it, warm-up included
- * @param differences where sent was not the sum of ends and open, at any second; empty if it always was
- * @param waits requests that waited for a connection for more than a millisecond
+ * @param plannedSeconds planned duration of the run
+ * @param classes statistics of each class, by name
+ * @param lateness how late the generator itself was
+ * @param seconds statistics of each second, warm-up included
+ * @param differences seconds at which the number of arrivals was not the sum of ended and open ones; empty if
+ *     there were none
+ * @param waits number of requests that waited for a connection for more than 1 ms
  */
 public record LoadReport(
         LoadPlan plan,
         double plannedSeconds,
-        Map<String, Figures> kinds,
-        Judgement judgement,
+        Map<String, LoadStats> classes,
+        GeneratorLateness lateness,
         List<Second> seconds,
         List<String> differences,
         long waits) {
 
-    /** The figures of all classes together. */
-    public Figures all() {
-        Figures sum = new Figures();
-        kinds.values().forEach(sum::add);
+    /** Returns the statistics of all classes together. */
+    public LoadStats all() {
+        LoadStats sum = new LoadStats();
+        classes.values().forEach(sum::add);
         return sum;
     }
 
-    /** Prints it for people. */
+    /** Prints the report as text. */
     public void print(PrintStream out) {
         out.printf(
                 Locale.ROOT,
@@ -48,9 +50,9 @@
                 "p99 ms",
                 "p99.9 ms",
                 "max ms");
-        kinds.forEach((name, figures) -> line(out, name, figures));
-        Figures sum = all();
-        if (kinds.size() > 1) {
+        classes.forEach((name, stats) -> line(out, name, stats));
+        LoadStats sum = all();
+        if (classes.size() > 1) {
             line(out, "all", sum);
         }
         if (!sum.causes().isEmpty()) {
@@ -61,49 +63,49 @@
                     + plan.connections() + " connections)");
         }
         out.println(verdict());
-        for (String wrong : differences) {
-            out.println("DOES NOT ADD UP: " + wrong);
+        for (String difference : differences) {
+            out.println("DOES NOT ADD UP: " + difference);
         }
     }
 
-    private static void line(PrintStream out, String name, Figures of) {
-        Histogram times = of.all();
+    private static void line(PrintStream out, String name, LoadStats stats) {
+        Histogram times = stats.all();
         out.printf(
                 Locale.ROOT,
                 "%-16s %9d %9d %9d %8d %8d %8d %8d  %9.2f %9.2f %9.2f %9.2f%n",
                 name,
-                of.wishes(),
-                of.requests(),
-                of.count(RequestOutcome.SERVED),
-                of.count(RequestOutcome.REFUSED),
-                of.count(RequestOutcome.FAILED),
-                of.count(RequestOutcome.TIMED_OUT),
-                of.count(RequestOutcome.NOT_SENT),
+                stats.wishes(),
+                stats.requests(),
+                stats.count(RequestOutcome.SERVED),
+                stats.count(RequestOutcome.REFUSED),
+                stats.count(RequestOutcome.FAILED),
+                stats.count(RequestOutcome.TIMED_OUT),
+                stats.count(RequestOutcome.NOT_SENT),
                 ms(times, 50),
                 ms(times, 99),
                 ms(times, 99.9),
                 ms(times, 100));
     }
 
-    /** A percentile, 0 to 100, in milliseconds. */
+    /** Returns a percentile, 0 to 100, of times in microseconds, in milliseconds. */
     static double ms(Histogram times, double percentile) {
         return times.getTotalCount() == 0 ? 0 : times.getValueAtPercentile(percentile) / 1000.0;
     }
 
-    /** What the generator thinks of itself, in one line. */
+    /** Returns in one line how late the generator was and which results are void because of it. */
     public String verdict() {
         String late = String.format(
                 Locale.ROOT,
                 "%.3f %% of sends over 1 ms late (p99 %.3f ms, max %.1f ms), %.3f %% of answers read late, "
                         + "longest pause %.1f ms",
-                100 * judgement.lateShare(),
-                judgement.lateness().getValueAtPercentile(99) / 1e6,
-                judgement.lateness().getMaxValue() / 1e6,
-                100 * judgement.lateAnswerShare(),
-                judgement.longestPause() / 1e6);
-        return judgement.voidFrom() < 0
+                100 * lateness.lateShare(),
+                lateness.lateness().getValueAtPercentile(99) / 1e6,
+                lateness.lateness().getMaxValue() / 1e6,
+                100 * lateness.lateAnswerShare(),
+                lateness.longestPauseNanos() / 1e6);
+        return lateness.voidFrom() < 0
                 ? "generator: in time; " + late
-                : "GENERATOR TOO SLOW: figures from second " + judgement.voidFrom()
+                : "GENERATOR TOO SLOW: figures from second " + lateness.voidFrom()
                         + " on are void, as they are its own lateness and not the service's; " + late;
     }
 }
--- a/tools/src/main/java/martenlatch/load/LoadSettings.java
+++ b/tools/src/main/java/martenlatch/load/LoadSettings.java
@@ -13,25 +13,25 @@
 import martenlatch.toml.TomlFile;
 
 /**
- * A load as a TOML file describes it: either shapes or a trace, and the classes that they send.
+ * The settings of a load run, read from a TOML file: request classes, and either shapes or a trace.
  *
- * @param shapes one after the other; empty where a trace is played
- * @param poisson whether gaps between arrivals are drawn or even
+ * @param shapes rates over time, one after the other; empty if a trace is replayed
+ * @param poisson whether arrivals form a Poisson process; else they are evenly spaced
  * @param trace the recorded traffic, or null
- * @param speed how much faster than recorded a trace is played
- * @param mostBadShare of a trace's lines, 0 to 1
+ * @param speed speed of the replay, relative to the recording
+ * @param maxBadShare largest allowed share of invalid lines in a trace, 0 to 1
  */
 public record LoadSettings(
         LoadPlan plan,
-        List<LoadClass> kinds,
+        List<LoadClass> classes,
         List<Shape> shapes,
         boolean poisson,
         long seed,
         Path trace,
         double speed,
-        double mostBadShare) {
+        double maxBadShare) {
 
-    private static final Set<String> NAMES = Set.of(
+    private static final Set<String> FIELDS = Set.of(
             "targets",
             "workers",
             "connections",
@@ -43,33 +43,33 @@
             "trace",
             "trace-speed",
             "trace-bad-share");
-    private static final Set<String> KIND_NAMES =
+    private static final Set<String> CLASS_FIELDS =
             Set.of("name", "share", "effect", "body-bytes", "deadline-ms", "retries");
 
-    /** Reads a file; what can't be used is an exception whose message names field and value. */
+    /** Reads a file; throws an exception that names the field and the value if a setting is invalid. */
     public static LoadSettings read(Path file) throws IOException {
         return of(TomlFile.read(file), file.toAbsolutePath().getParent());
     }
 
     private static LoadSettings of(JsonNode file, Path folder) {
-        TomlFile.knownOnly("", file, NAMES);
+        TomlFile.knownOnly("", file, FIELDS);
         List<InetSocketAddress> targets = new ArrayList<>();
-        file.path("targets").forEach(one -> targets.add(SocketAddresses.parse("targets", one.textValue())));
-        List<LoadClass> kinds = new ArrayList<>();
+        file.path("targets").forEach(target -> targets.add(SocketAddresses.parse("targets", target.textValue())));
+        List<LoadClass> classes = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (JsonNode one : file.path("class")) {
-            LoadClass kind = kind(one);
-            if (!names.add(kind.name())) {
+        for (JsonNode table : file.path("class")) {
+            LoadClass loadClass = parseClass(table);
+            if (!names.add(loadClass.name())) {
                 throw new IllegalArgumentException(
-                        "class.name must be one of a kind but two are \"" + kind.name() + "\"");
+                        "class.name must be unique but two are \"" + loadClass.name() + "\"");
             }
-            kinds.add(kind);
+            classes.add(loadClass);
         }
-        if (kinds.isEmpty()) {
-            throw new IllegalArgumentException("class must be there at least once ([[class]])");
+        if (classes.isEmpty()) {
+            throw new IllegalArgumentException("class must be present at least once ([[class]])");
         }
         List<Shape> shapes = new ArrayList<>();
-        file.path("shapes").forEach(one -> shapes.add(Shape.parse(one.asText())));
+        file.path("shapes").forEach(shape -> shapes.add(Shape.parse(shape.asText())));
         if (shapes.isEmpty() == file.path("trace").isMissingNode()) {
             throw new IllegalArgumentException("there must be shapes or a trace, one of them, but there "
                     + (shapes.isEmpty() ? "is neither" : "are both"));
@@ -84,7 +84,7 @@
                         TomlFile.whole("workers", file.path("workers"), 1),
                         TomlFile.whole("connections", file.path("connections"), 256),
                         TomlFile.number("warm-seconds", file.path("warm-seconds"), 0)),
-                kinds,
+                classes,
                 shapes,
                 spacing.equals("poisson"),
                 TomlFile.whole("seed", file.path("seed"), 1),
@@ -93,27 +93,27 @@
                 TomlFile.number("trace-bad-share", file.path("trace-bad-share"), 0));
     }
 
-    private static LoadClass kind(JsonNode one) {
-        TomlFile.knownOnly("class.", one, KIND_NAMES);
+    private static LoadClass parseClass(JsonNode table) {
+        TomlFile.knownOnly("class.", table, CLASS_FIELDS);
         try {
             return new LoadClass(
-                    one.path("name").asText(""),
-                    TomlFile.number("share", one.path("share"), 1),
-                    LoadClass.Effect.parse(one.path("effect").asText("")),
-                    TomlFile.whole("body-bytes", one.path("body-bytes"), 0),
-                    TomlFile.whole("deadline-ms", one.path("deadline-ms"), 1000),
-                    TomlFile.whole("retries", one.path("retries"), 0));
+                    table.path("name").asText(""),
+                    TomlFile.number("share", table.path("share"), 1),
+                    LoadClass.Effect.parse(table.path("effect").asText("")),
+                    TomlFile.whole("body-bytes", table.path("body-bytes"), 0),
+                    TomlFile.whole("deadline-ms", table.path("deadline-ms"), 1000),
+                    TomlFile.whole("retries", table.path("retries"), 0));
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("class." + e.getMessage(), e);
         }
     }
 
-    /** Its arrivals; a trace is checked whole before, and {@code complaints} hears what is left out of it. */
+    /** Returns the arrivals. A trace is checked whole first; {@code complaints} receives a message per skipped line. */
     public Arrivals arrivals(Consumer<String> complaints) throws IOException {
         if (trace == null) {
-            return Arrivals.drawn(new Schedule(shapes, poisson, seed), kinds, seed + 1);
+            return Arrivals.drawn(new Schedule(shapes, poisson, seed), classes, seed + 1);
         }
-        Trace checked = Trace.check(trace, kinds, mostBadShare);
+        Trace checked = Trace.check(trace, classes, maxBadShare);
         checked.complaints().forEach(complaints);
         if (checked.bad() > 0) {
             complaints.accept(checked.bad() + " of " + checked.lines() + " lines of the trace are left out");
--- a/tools/src/main/java/martenlatch/load/RequestOutcome.java
+++ b/tools/src/main/java/martenlatch/load/RequestOutcome.java
@@ -1,17 +1,18 @@
 package martenlatch.load;
 
-/** How a wish ends, and a request: each in exactly one of these ways. */
+/** The outcome of a request, and of an arrival with all its retries: each has exactly one. */
 public enum RequestOutcome {
-    /** An answer 2xx, whole. */
+    /** A whole answer with a 2xx status. */
     SERVED,
-    /** An answer 429 or 503, whole: it has not run. */
+    /** A whole answer with status 429 or 503: the request was rejected and not run. */
     REFUSED,
-    /** Any other answer, none that can be read, or a connection that broke before its end. */
+    /** Any other status, an answer that can't be parsed, or a connection that closed before the end of the answer. */
     FAILED,
-    /** No whole answer by the deadline, which counts from the intended time. */
+    /** No whole answer by the deadline, which counts from the send of the request. */
     TIMED_OUT,
     /**
-     * No connection by the deadline, as all that there may be were busy or none came up: it was never sent.
+     * No connection by the deadline, as all allowed connections were busy or none could be opened. The request was never
+     * sent.
      */
     NOT_SENT
 }
--- a/tools/src/main/java/martenlatch/load/Second.java
+++ b/tools/src/main/java/martenlatch/load/Second.java
@@ -2,14 +2,14 @@
 
 import org.HdrHistogram.Histogram;
 
-/** What happened in one second of a run, at one worker or at all. */
+/** Statistics of one second of a run, of one worker or of all. */
 public final class Second {
 
-    private static final long LONGEST_US = 3_600_000_000L;
+    private static final long MAX_LATENCY_US = 3_600_000_000L;
 
     private final int number;
-    private final long[] ends = new long[RequestOutcome.values().length];
-    private final Histogram times = new Histogram(LONGEST_US, 2);
+    private final long[] outcomes = new long[RequestOutcome.values().length];
+    private final Histogram times = new Histogram(MAX_LATENCY_US, 2);
     private long wishes;
     private long lateSends;
     private int parts = 1;
@@ -18,19 +18,20 @@
         this.number = number;
     }
 
-    void wish(long lateNanos) {
+    void recordArrival(long lateNanos) {
         wishes++;
-        lateSends += lateNanos > Judgement.LATE_NANOS ? 1 : 0;
+        lateSends += lateNanos > GeneratorLateness.LATE_NANOS ? 1 : 0;
     }
 
-    void ended(RequestOutcome end, long nanos) {
-        ends[end.ordinal()]++;
-        times.recordValue(Math.min(LONGEST_US, Math.max(0, nanos / 1000)));
+    void recordOutcome(RequestOutcome outcome, long latencyNanos) {
+        outcomes[outcome.ordinal()]++;
+        times.recordValue(Math.min(MAX_LATENCY_US, Math.max(0, latencyNanos / 1000)));
     }
 
+    /** Adds the statistics of another worker for the same second, and returns this. */
     Second add(Second other) {
-        for (int i = 0; i < ends.length; i++) {
-            ends[i] += other.ends[i];
+        for (int i = 0; i < outcomes.length; i++) {
+            outcomes[i] += other.outcomes[i];
         }
         times.add(other.times);
         wishes += other.wishes;
@@ -39,30 +40,32 @@
         return this;
     }
 
-    /** Of how many workers it has the counts. */
+    /** Returns the number of workers whose statistics are included. */
     int parts() {
         return parts;
     }
 
-    /** From 0. */
+    /** Returns the number of the second, from 0. */
     public int number() {
         return number;
     }
 
+    /** Returns the number of arrivals that were begun in this second. */
     public long wishes() {
         return wishes;
     }
 
-    /** Sends that the generator took up more than a millisecond late. */
+    /** Returns the number of sends that the generator began more than 1 ms late. */
     public long lateSends() {
         return lateSends;
     }
 
-    public long count(RequestOutcome end) {
-        return ends[end.ordinal()];
+    /** Returns the number of arrivals that ended in this second with this outcome. */
+    public long count(RequestOutcome outcome) {
+        return outcomes[outcome.ordinal()];
     }
 
-    /** A percentile, 0 to 100, of the times of all that ended in it, in milliseconds. */
+    /** Returns a percentile, 0 to 100, of the latencies of all arrivals that ended in this second, in milliseconds. */
     public double ms(double percentile) {
         return times.getValueAtPercentile(percentile) / 1000.0;
     }
--- a/tools/src/main/java/martenlatch/load/Shape.java
+++ b/tools/src/main/java/martenlatch/load/Shape.java
@@ -5,22 +5,22 @@
 import java.util.Locale;
 
 /**
- * How a rate runs over a stretch of time, as arrivals expected since its start. No I/O, no clock; times are
- * seconds since the shape's start, rates are arrivals a second.
+ * An arrival rate over time, given as the expected number of arrivals since the start of the shape. Performs no I/O and
+ * reads no clock. Times are seconds since the start of the shape, rates are arrivals per second.
  */
 public sealed interface Shape {
 
-    /** How long it lasts, in seconds. */
+    /** Returns the duration, in seconds. */
     double seconds();
 
-    /** Arrivals expected from its start until then; grows with time, and begins at 0. */
+    /** Returns the expected number of arrivals from the start to a time; starts at 0 and never decreases. */
     double expected(double seconds);
 
-    /** One rate all the time. */
+    /** A constant rate. */
     record Constant(double rate, double seconds) implements Shape {
         public Constant {
-            check("rate", rate, 0);
-            check("seconds", seconds, Double.MIN_VALUE);
+            requireAtLeast("rate", rate, 0);
+            requireAtLeast("seconds", seconds, Double.MIN_VALUE);
         }
 
         @Override
@@ -29,12 +29,12 @@
         }
     }
 
-    /** From one rate to another in a straight line. */
+    /** A rate that changes linearly from one value to another. */
     record Ramp(double from, double to, double seconds) implements Shape {
         public Ramp {
-            check("from", from, 0);
-            check("to", to, 0);
-            check("seconds", seconds, Double.MIN_VALUE);
+            requireAtLeast("from", from, 0);
+            requireAtLeast("to", to, 0);
+            requireAtLeast("seconds", seconds, Double.MIN_VALUE);
         }
 
         @Override
@@ -44,25 +44,25 @@
     }
 
     /**
-     * From one rate to another in equally long steps, the first at {@code from} and the last at {@code to}.
+     * A rate that changes in steps of equal length, the first at {@code from} and the last at {@code to}.
      */
     record Steps(double from, double to, int steps, double seconds) implements Shape {
         public Steps {
-            check("from", from, 0);
-            check("to", to, 0);
-            check("steps", steps, 2);
-            check("seconds", seconds, Double.MIN_VALUE);
+            requireAtLeast("from", from, 0);
+            requireAtLeast("to", to, 0);
+            requireAtLeast("steps", steps, 2);
+            requireAtLeast("seconds", seconds, Double.MIN_VALUE);
         }
 
         @Override
         public double expected(double at) {
-            double each = seconds / steps;
-            int whole = (int) Math.min(steps, at / each);
+            double stepSeconds = seconds / steps;
+            int whole = (int) Math.min(steps, at / stepSeconds);
             double sum = 0;
             for (int i = 0; i < whole; i++) {
-                sum += rate(i) * each;
+                sum += rate(i) * stepSeconds;
             }
-            return whole == steps ? sum : sum + rate(whole) * (at - whole * each);
+            return whole == steps ? sum : sum + rate(whole) * (at - whole * stepSeconds);
         }
 
         private double rate(int step) {
@@ -70,14 +70,14 @@
         }
     }
 
-    /** A base rate, and a higher one at the start of every period for some time. */
+    /** A base rate, with a burst rate for the first {@code length} seconds of every period of {@code every} seconds. */
     record Bursts(double rate, double burst, double every, double length, double seconds) implements Shape {
         public Bursts {
-            check("rate", rate, 0);
-            check("burst", burst, 0);
-            check("every", every, Double.MIN_VALUE);
-            check("length", length, 0);
-            check("seconds", seconds, Double.MIN_VALUE);
+            requireAtLeast("rate", rate, 0);
+            requireAtLeast("burst", burst, 0);
+            requireAtLeast("every", every, Double.MIN_VALUE);
+            requireAtLeast("length", length, 0);
+            requireAtLeast("seconds", seconds, Double.MIN_VALUE);
             if (length > every) {
                 throw new IllegalArgumentException("length must be at most every (" + every + ") but is " + length);
             }
@@ -93,13 +93,13 @@
         }
     }
 
-    /** A rate that goes up and down as a sine does, first up. */
+    /** A rate that follows a sine wave around {@code rate} with the amplitude {@code swing}, rising first. */
     record Wave(double rate, double swing, double period, double seconds) implements Shape {
         public Wave {
-            check("rate", rate, 0);
-            check("swing", swing, 0);
-            check("period", period, Double.MIN_VALUE);
-            check("seconds", seconds, Double.MIN_VALUE);
+            requireAtLeast("rate", rate, 0);
+            requireAtLeast("swing", swing, 0);
+            requireAtLeast("period", period, Double.MIN_VALUE);
+            requireAtLeast("seconds", seconds, Double.MIN_VALUE);
             if (swing > rate) {
                 throw new IllegalArgumentException("swing must be at most rate (" + rate + ") but is " + swing);
             }
@@ -107,25 +107,25 @@
 
         @Override
         public double expected(double at) {
-            double turn = 2 * Math.PI / period;
-            return rate * at + swing / turn * (1 - Math.cos(turn * at));
+            double angularRate = 2 * Math.PI / period;
+            return rate * at + swing / angularRate * (1 - Math.cos(angularRate * at));
         }
     }
 
-    private static void check(String name, double value, double least) {
-        if (!(value >= least && value <= 1e9)) {
+    private static void requireAtLeast(String name, double value, double min) {
+        if (!(value >= min && value <= 1e9)) {
             throw new IllegalArgumentException(name + " must be "
-                    + (least == 0 ? "0 or more" : least == Double.MIN_VALUE ? "above 0" : (int) least + " or more")
+                    + (min == 0 ? "0 or more" : min == Double.MIN_VALUE ? "above 0" : (int) min + " or more")
                     + ", at most 1e9, but is "
                     + value);
         }
     }
 
-    /** The forms in which {@link #parse} takes a shape. */
+    /** The forms that {@link #parse} accepts. */
     String FORMS = "constant RATE SECONDS, ramp FROM TO SECONDS, steps FROM TO STEPS SECONDS, "
             + "bursts RATE BURST EVERY LENGTH SECONDS or wave RATE SWING PERIOD SECONDS";
 
-    /** Reads one shape, like {@code ramp 100 500 10}. */
+    /** Parses a shape, such as {@code ramp 100 500 10}. */
     static Shape parse(String text) {
         String[] words = text.trim().toLowerCase(Locale.ROOT).split("\\s+");
         List<Double> values = new ArrayList<>();
--- a/tools/src/main/java/martenlatch/load/Trace.java
+++ b/tools/src/main/java/martenlatch/load/Trace.java
@@ -12,40 +12,40 @@
 import java.util.zip.GZIPInputStream;
 
 /**
- * Recorded traffic from a file, plain or gzip (RFC 1952), which may be longer than memory: one pass checks it
- * before the run begins, and another plays it as it goes.
+ * Recorded traffic from a file, plain or gzip (RFC 1952). The file may be larger than memory: one pass checks it before
+ * the run begins, and a second pass reads it during the run.
  */
 public final class Trace {
 
-    /** Complaints beyond so many are counted only. */
-    private static final int MOST_NAMED = 20;
-    /** No line of use is longer; the rest of a longer one is passed over. */
-    private static final int MOST_LINE = 64 * 1024;
+    /** Number of invalid lines that are reported; further ones are only counted. */
+    private static final int MAX_COMPLAINTS = 20;
+    /** No valid line is longer; the rest of a longer one is skipped. */
+    private static final int MAX_LINE_BYTES = 64 * 1024;
 
-    private static final int BUFFER = 64 * 1024;
+    private static final int BUFFER_BYTES = 64 * 1024;
     private static final int GZIP_MAGIC = 0x1f8b;
 
     private final Path file;
-    private final List<LoadClass> kinds;
+    private final List<LoadClass> classes;
     private final List<String> complaints = new ArrayList<>();
     private long lines;
     private long bad;
     private double firstSecond = Double.NaN;
     private double lastSecond;
 
-    private Trace(Path file, List<LoadClass> kinds) {
+    private Trace(Path file, List<LoadClass> classes) {
         this.file = file;
-        this.kinds = kinds;
+        this.classes = classes;
     }
 
     /**
-     * Reads all of a file once, and keeps none of it.
+     * Checks a whole file without keeping its lines in memory.
      *
-     * @param mostBadShare the share of its lines that may be of no use, 0 to 1; with more of them it is not
-     *     to be played, and the exception says which ones they are
+     * @param maxBadShare largest allowed share of invalid lines, 0 to 1; if there are more, throws an exception that names
+     *     the first of them
      */
-    public static Trace check(Path file, List<LoadClass> kinds, double mostBadShare) throws IOException {
-        Trace trace = new Trace(file, kinds);
+    public static Trace check(Path file, List<LoadClass> classes, double maxBadShare) throws IOException {
+        Trace trace = new Trace(file, classes);
         try (Reader in = trace.new Reader(trace::complain)) {
             for (TraceFormat.Line line = in.next(); line != null; line = in.next()) {
                 if (Double.isNaN(trace.firstSecond)) {
@@ -56,11 +56,11 @@
             trace.lines = in.records;
         }
         if (trace.lines == trace.bad) {
-            throw new IllegalArgumentException(file + " has no line that can be used"
+            throw new IllegalArgumentException(file + " has no valid line"
                     + (trace.complaints.isEmpty() ? ": it is empty" : ": " + String.join("; ", trace.complaints)));
         }
-        if (trace.bad > mostBadShare * trace.lines) {
-            throw new IllegalArgumentException(file + ": " + trace.bad + " of " + trace.lines + " lines can't be used: "
+        if (trace.bad > maxBadShare * trace.lines) {
+            throw new IllegalArgumentException(file + ": " + trace.bad + " of " + trace.lines + " lines are invalid: "
                     + String.join("; ", trace.complaints));
         }
         return trace;
@@ -68,35 +68,35 @@
 
     private void complain(String complaint) {
         bad++;
-        if (complaints.size() < MOST_NAMED) {
+        if (complaints.size() < MAX_COMPLAINTS) {
             complaints.add(complaint);
         }
     }
 
-    /** Lines that hold a record, of use or not. */
+    /** Returns the number of lines that hold a record, valid or not. */
     public long lines() {
         return lines;
     }
 
-    /** Lines of no use. */
+    /** Returns the number of invalid lines. */
     public long bad() {
         return bad;
     }
 
-    /** The first of those, by number and reason. */
+    /** Returns the line numbers and reasons of the first invalid lines. */
     public List<String> complaints() {
         return complaints;
     }
 
-    /** From its first record to its last, at its own pace, in seconds. */
+    /** Returns the time from the first record to the last one as recorded, in seconds. */
     public double seconds() {
         return lastSecond - firstSecond;
     }
 
     /**
-     * Its wishes, from the first one's time on.
+     * Returns the recorded arrivals, timed from the first record.
      *
-     * @param speed how much faster than it was recorded; 1 is its own pace
+     * @param speed speed of the replay, relative to the recording
      */
     public Arrivals play(double speed) throws IOException {
         if (!(speed > 0 && speed <= 1e6)) {
@@ -114,7 +114,7 @@
                         : new Arrival(
                                 count++,
                                 (long) ((line.seconds() - firstSecond) / speed * 1e9),
-                                line.kind(),
+                                line.loadClass(),
                                 line.key(),
                                 line.bodyBytes(),
                                 line.deadlineMs());
@@ -132,93 +132,94 @@
         };
     }
 
+    /** Receives a message for each invalid line. */
     private interface Complaints {
         void bad(String complaint);
     }
 
-    /** Goes through the file; both passes see the same lines in the same way. */
+    /** Reads the file line by line; both passes use it, so that they skip the same lines. */
     private final class Reader implements Closeable {
         private final InputStream in;
-        private final Complaints bad;
-        private final byte[] buffer = new byte[BUFFER];
-        private final byte[] line = new byte[MOST_LINE];
-        private int at;
+        private final Complaints complaintListener;
+        private final byte[] buffer = new byte[BUFFER_BYTES];
+        private final byte[] line = new byte[MAX_LINE_BYTES];
+        private int position;
         private int filled;
         private long number;
         private long records;
         private TraceFormat format;
-        private double latest = Double.NEGATIVE_INFINITY;
+        private double latestSeconds = Double.NEGATIVE_INFINITY;
 
-        Reader(Complaints bad) throws IOException {
-            this.bad = bad;
+        Reader(Complaints complaintListener) throws IOException {
+            this.complaintListener = complaintListener;
             in = open();
         }
 
         private InputStream open() throws IOException {
-            InputStream raw = new BufferedInputStream(Files.newInputStream(file), BUFFER);
+            InputStream raw = new BufferedInputStream(Files.newInputStream(file), BUFFER_BYTES);
             try {
                 raw.mark(2);
                 int magic = raw.read() << 8 | raw.read();
                 raw.reset();
-                return magic == GZIP_MAGIC ? new GZIPInputStream(raw, BUFFER) : raw;
+                return magic == GZIP_MAGIC ? new GZIPInputStream(raw, BUFFER_BYTES) : raw;
             } catch (IOException e) {
                 raw.close();
                 throw e;
             }
         }
 
-        /** The next line that can be used, or null. */
+        /** Returns the next valid line, or null at the end. */
         TraceFormat.Line next() throws IOException {
-            for (String text = text(); text != null; text = text()) {
+            for (String text = readLine(); text != null; text = readLine()) {
                 if (text.isBlank()) {
                     continue;
                 }
                 try {
                     if (format == null) {
-                        format = new TraceFormat(text, kinds);
+                        format = new TraceFormat(text, classes);
                         if (format.hasHeader()) {
                             continue;
                         }
                     }
                     records++;
-                    TraceFormat.Line made = format.parse(text);
-                    if (made.seconds() < latest) {
+                    TraceFormat.Line parsed = format.parse(text);
+                    if (parsed.seconds() < latestSeconds) {
                         throw new IllegalArgumentException(
-                                "time runs backwards, from " + latest + " to " + made.seconds());
+                                "time runs backwards, from " + latestSeconds + " to " + parsed.seconds());
                     }
-                    latest = made.seconds();
-                    return made;
+                    latestSeconds = parsed.seconds();
+                    return parsed;
                 } catch (IOException | IllegalArgumentException e) {
                     if (format == null) {
                         throw new IllegalArgumentException(file + ": " + e.getMessage(), e);
                     }
-                    bad.bad("line " + number + ": "
+                    complaintListener.bad("line " + number + ": "
                             + e.getMessage().lines().findFirst().orElse(""));
                 }
             }
             return null;
         }
 
-        /** The next line, cut off where it is too long for any use; null at the end. */
-        private String text() throws IOException {
+        /** Returns the next line, truncated if it is longer than any valid line; null at the end. */
+        private String readLine() throws IOException {
             int length = 0;
             boolean any = false;
             while (true) {
-                if (at == filled) {
-                    at = 0;
+                if (position == filled) {
+                    position = 0;
                     filled = Math.max(0, in.read(buffer));
                     if (filled == 0) {
                         number += any ? 1 : 0;
                         return any ? string(length) : null;
                     }
                 }
-                byte next = buffer[at++];
+                byte next = buffer[position++];
                 any = true;
                 if (next == '\n') {
                     number++;
                     return string(length);
                 }
-                if (length < MOST_LINE) {
+                if (length < MAX_LINE_BYTES) {
                     line[length++] = next;
                 }
             }
--- a/tools/src/main/java/martenlatch/load/TraceFormat.java
+++ b/tools/src/main/java/martenlatch/load/TraceFormat.java
@@ -13,31 +13,31 @@
 import java.util.stream.Collectors;
 
 /**
- * The lines of a recorded trace, each made into a wish: CSV (RFC 4180, one record a line) with a header, or a
- * JSON object a line. Fields: {@code time} (seconds, decimal, from any origin), {@code class}, {@code key},
- * {@code size} (bytes), {@code deadline} (milliseconds); all but time may be absent, and others are passed
- * over. A line that can't be used is an exception whose message names field and value.
+ * Parses the lines of a recorded trace: CSV (RFC 4180, one record per line) with a header, or one JSON object per line.
+ * Fields: {@code time} (seconds, decimal, from any origin), {@code class}, {@code key}, {@code size} (bytes),
+ * {@code deadline} (milliseconds). All but time are optional, and other fields are ignored. Throws an exception that names
+ * the field and the value if a line is invalid.
  */
 final class TraceFormat {
 
     private static final JsonFactory JSON = new JsonFactory();
     private static final ObjectReader CSV = new CsvMapper().readerFor(String[].class);
-    private static final double MOST_SECONDS = 1e10;
+    private static final double MAX_TIME_SECONDS = 1e10;
 
-    private final Map<String, LoadClass> kinds;
-    private final LoadClass usual;
+    private final Map<String, LoadClass> classes;
+    private final LoadClass defaultClass;
     /** The columns of a CSV file; null for JSON Lines. */
     private final List<String> columns;
 
     /**
-     * The format of a file.
+     * Determines the format of a file.
      *
-     * @param header its first line; one that begins with a brace is a line of JSON
-     * @param kinds the classes that lines may name; the first is that of lines that name none
+     * @param header first line of the file; if it begins with a brace, the file is JSON Lines
+     * @param classes classes that lines may name; the first one applies to lines that name none
      */
-    TraceFormat(String header, List<LoadClass> kinds) throws IOException {
-        this.kinds = kinds.stream().collect(Collectors.toMap(LoadClass::name, Function.identity()));
-        usual = kinds.get(0);
+    TraceFormat(String header, List<LoadClass> classes) throws IOException {
+        this.classes = classes.stream().collect(Collectors.toMap(LoadClass::name, Function.identity()));
+        defaultClass = classes.get(0);
         if (header.stripLeading().startsWith("{")) {
             columns = null;
         } else {
@@ -46,8 +46,7 @@
                     .toList();
             if (!columns.contains("time")) {
                 throw new IllegalArgumentException("the trace's first line must be a CSV header with a "
-                        + "column "
-                        + "time, or a JSON object, but is \"" + shortened(header) + "\"");
+                        + "column time, or a JSON object, but is \"" + abbreviate(header) + "\"");
             }
         }
     }
@@ -56,8 +55,8 @@
         return columns != null;
     }
 
-    /** The time of a line in seconds, and all else that it tells. */
-    record Line(double seconds, LoadClass kind, String key, int bodyBytes, int deadlineMs) {}
+    /** A parsed line. */
+    record Line(double seconds, LoadClass loadClass, String key, int bodyBytes, int deadlineMs) {}
 
     Line parse(String text) throws IOException {
         String[] fields = new String[5];
@@ -73,21 +72,21 @@
                 set(fields, columns.get(i), values[i].strip());
             }
         }
-        LoadClass kind = fields[1] == null || fields[1].isEmpty() ? usual : kinds.get(fields[1]);
-        if (kind == null) {
+        LoadClass loadClass = fields[1] == null || fields[1].isEmpty() ? defaultClass : classes.get(fields[1]);
+        if (loadClass == null) {
             throw new IllegalArgumentException(
-                    "class must be one of the settings' but is \"" + shortened(fields[1]) + "\"");
+                    "class must be one of the settings' but is \"" + abbreviate(fields[1]) + "\"");
         }
         String key = fields[2] == null || fields[2].isEmpty() ? null : fields[2];
         if (key != null && !key.chars().allMatch(c -> c > ' ' && c < 127 && c != ';' && c != ',')) {
-            throw new IllegalArgumentException("key must be plain ASCII but is \"" + shortened(key) + "\"");
+            throw new IllegalArgumentException("key must be plain ASCII but is \"" + abbreviate(key) + "\"");
         }
         return new Line(
-                number("time", fields[0], 0, MOST_SECONDS, Double.NaN),
-                kind,
+                number("time", fields[0], 0, MAX_TIME_SECONDS, Double.NaN),
+                loadClass,
                 key,
-                (int) number("size", fields[3], 0, LoadClass.MOST_BODY, kind.bodyBytes()),
-                (int) number("deadline", fields[4], 1, 600_000, kind.deadlineMs()));
+                (int) number("size", fields[3], 0, LoadClass.MAX_BODY_BYTES, loadClass.bodyBytes()),
+                (int) number("deadline", fields[4], 1, 600_000, loadClass.deadlineMs()));
     }
 
     private static void set(String[] fields, String name, String value) {
@@ -121,7 +120,7 @@
         }
     }
 
-    private static double number(String field, String text, double least, double most, double absent) {
+    private static double number(String field, String text, double min, double max, double absent) {
         if (text == null || text.isEmpty()) {
             if (!Double.isNaN(absent)) {
                 return absent;
@@ -130,21 +129,21 @@
         }
         try {
             double value = Double.parseDouble(text);
-            if (value >= least && value <= most) {
+            if (value >= min && value <= max) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException(bad(field, text, least, most), e);
+            throw new IllegalArgumentException(invalid(field, text, min, max), e);
         }
-        throw new IllegalArgumentException(bad(field, text, least, most));
+        throw new IllegalArgumentException(invalid(field, text, min, max));
     }
 
-    private static String bad(String field, String text, double least, double most) {
-        return field + " must be a number from " + (long) least + " to " + (long) most + " but is \"" + shortened(text)
+    private static String invalid(String field, String text, double min, double max) {
+        return field + " must be a number from " + (long) min + " to " + (long) max + " but is \"" + abbreviate(text)
                 + "\"";
     }
 
-    private static String shortened(String text) {
+    private static String abbreviate(String text) {
         return text.length() <= 60 ? text : text.substring(0, 60) + "...";
     }
 }
--- a/tools/src/main/java/martenlatch/load/Worker.java
+++ b/tools/src/main/java/martenlatch/load/Worker.java
@@ -16,29 +16,29 @@
 import java.util.function.Function;
 
 /**
- * One thread of the generator. It drives its event loop itself, so that between two looks at its sockets it
- * sends what is due: no timer and no other thread stands between the intended time and the send. While the
- * next send is less than a millisecond away it does not sleep, as no system wakes it so exactly.
+ * A thread of the load generator. It runs its event loop itself and sends due requests between two reads of its sockets,
+ * so that no timer and no other thread delays a send. It does not sleep when the next send is less than 1 ms away, because
+ * operating systems do not wake threads that precisely.
  */
 final class Worker implements Runnable {
 
-    /** A selector sleeps in whole milliseconds. */
-    private static final long TICK_NANOS = 1_000_000;
-    /** So often at least it looks whether it is to stop. */
-    private static final long LONGEST_SLEEP_NANOS = 20_000_000;
+    /** Resolution of the selector's time-out. */
+    private static final long SELECTOR_TICK_NANOS = 1_000_000;
+    /** Bounds the delay until the worker notices a stop. */
+    private static final long MAX_SLEEP_NANOS = 20_000_000;
 
     private static final long SECOND_NANOS = 1_000_000_000;
-    /** Where the service does not say when to come back. */
-    private static final double BACK_OFF_MS = 100;
+    /** Delay of the first retry if the service sent no Retry-After. */
+    private static final double DEFAULT_BACKOFF_MS = 100;
 
-    /** Something that is due; what it would do is let go of when it is not wanted any more. */
-    private static final class Wake implements Comparable<Wake> {
-        private final long at;
+    /** A timer; its task can be cancelled. */
+    private static final class Timer implements Comparable<Timer> {
+        private final long dueNanos;
         private final long order;
         private Runnable task;
 
-        Wake(long at, long order, Runnable task) {
-            this.at = at;
+        Timer(long dueNanos, long order, Runnable task) {
+            this.dueNanos = dueNanos;
             this.order = order;
             this.task = task;
         }
@@ -49,44 +49,47 @@
             }
         }
 
-        /** Most calls end long before their time: until then only this is kept of them, and not the call. */
-        void letGo() {
+        /** Cancels the task. The timer stays queued until it is due, but no longer keeps the request in memory. */
+        void cancel() {
             task = null;
         }
 
         @Override
-        public int compareTo(Wake other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+        public int compareTo(Timer other) {
+            return dueNanos != other.dueNanos
+                    ? Long.compare(dueNanos, other.dueNanos)
+                    : Long.compare(order, other.order);
         }
     }
 
-    /** A wish that has not ended. */
-    private final class Open {
-        private final Arrival wish;
-        private int tries;
+    /** An arrival that has not ended. */
+    private final class OpenArrival {
+        private final Arrival arrival;
+        private int requestsSent;
         private Driver.Call call;
         private boolean over;
-        /** A later try makes earlier wake-ups void. */
+        /** Incremented at each request and at its end, so that timers and notifications of earlier ones are ignored. */
         private int serial;
 
         private boolean written;
-        private Wake timeout;
+        private Timer timeout;
 
-        Open(Arrival wish) {
-            this.wish = wish;
+        OpenArrival(Arrival arrival) {
+            this.arrival = arrival;
         }
 
-        void attempt() {
-            boolean first = tries++ == 0;
-            long now = clock();
-            // Not from the intended time: if the generator is late, what it sends would have no time left, be
-            // cut off, and cost a connection each, which keeps it late. That lateness is in the figures.
-            long until = now + wish.deadlineMs() * 1_000_000L;
-            int mine = ++serial;
+        void sendRequest() {
+            boolean first = requestsSent++ == 0;
+            long nowNanos = clock();
+            // The deadline counts from the send, not from the intended time. Otherwise requests of a late generator
+            // would
+            // time out at once and cost a connection each, which would keep it late. The latency includes the lateness.
+            long deadlineNanos = nowNanos + arrival.deadlineMs() * 1_000_000L;
+            int ownSerial = ++serial;
             written = false;
-            part(wish).figures(wish.kind()).request();
-            timeout = wakeAt(until, () -> {
-                if (!over && mine == serial) {
+            part(arrival).stats(arrival.kind()).recordRequest();
+            timeout = schedule(deadlineNanos, () -> {
+                if (!over && ownSerial == serial) {
                     boolean sent = call.giveUp();
                     ended(
                             sent ? RequestOutcome.TIMED_OUT : RequestOutcome.NOT_SENT,
@@ -94,59 +97,69 @@
                             Double.NaN);
                 }
             });
-            call = driver.send(wish, prefix + wish.number() + "-" + tries, !first, until - now, new Driver.Ending() {
-                @Override
-                public void written() {
-                    if (mine == serial && !over && !written) {
-                        written = true;
-                        part(wish).waits += clock() - now > Judgement.LATE_NANOS ? 1 : 0;
-                    }
-                }
-
-                @Override
-                public void ended(RequestOutcome end, String cause, double retryAfterMs) {
-                    if (!over && mine == serial) {
-                        part(wish).judgement.answered(second.number(), pause);
-                        Open.this.ended(end, cause, retryAfterMs);
-                    }
-                }
-            });
+            call = driver.send(
+                    arrival,
+                    prefix + arrival.number() + "-" + requestsSent,
+                    !first,
+                    deadlineNanos - nowNanos,
+                    new Driver.Ending() {
+                        @Override
+                        public void written() {
+                            if (ownSerial == serial && !over && !written) {
+                                written = true;
+                                part(arrival).waits += clock() - nowNanos > GeneratorLateness.LATE_NANOS ? 1 : 0;
+                            }
+                        }
+
+                        @Override
+                        public void ended(RequestOutcome outcome, String cause, double retryAfterMs) {
+                            if (!over && ownSerial == serial) {
+                                part(arrival).lateness.recordAnswer(second.number(), pauseNanos);
+                                OpenArrival.this.ended(outcome, cause, retryAfterMs);
+                            }
+                        }
+                    });
         }
 
-        private void ended(RequestOutcome end, String cause, double retryAfterMs) {
+        private void ended(RequestOutcome outcome, String cause, double retryAfterMs) {
             serial++;
             if (timeout != null) {
-                timeout.letGo();
+                timeout.cancel();
             }
-            boolean harmless = end == RequestOutcome.REFUSED
-                    || end == RequestOutcome.NOT_SENT
-                    || wish.kind().effect() != LoadClass.Effect.UNSAFE;
-            if (end != RequestOutcome.SERVED && harmless && tries <= wish.kind().retries() && !stopped) {
-                double wait = Double.isNaN(retryAfterMs) ? BACK_OFF_MS * (1 << Math.min(10, tries - 1)) : retryAfterMs;
-                int mine = serial;
-                wakeAt(clock() + (long) (wait * 1e6), () -> {
-                    if (!over && mine == serial) {
-                        attempt();
+            boolean retryable = outcome == RequestOutcome.REFUSED
+                    || outcome == RequestOutcome.NOT_SENT
+                    || arrival.kind().effect() != LoadClass.Effect.UNSAFE;
+            if (outcome != RequestOutcome.SERVED
+                    && retryable
+                    && requestsSent <= arrival.kind().retries()
+                    && !stopped) {
+                double waitMs = Double.isNaN(retryAfterMs)
+                        ? DEFAULT_BACKOFF_MS * (1 << Math.min(10, requestsSent - 1))
+                        : retryAfterMs;
+                int ownSerial = serial;
+                schedule(clock() + (long) (waitMs * 1e6), () -> {
+                    if (!over && ownSerial == serial) {
+                        sendRequest();
                     }
                 });
                 return;
             }
             over = true;
             open.remove(this);
-            long took = clock() - wish.intendedNanos();
-            second.ended(end, took);
-            part(wish).figures(wish.kind()).ended(end, cause, took);
+            long latencyNanos = clock() - arrival.intendedNanos();
+            second.recordOutcome(outcome, latencyNanos);
+            part(arrival).stats(arrival.kind()).recordOutcome(outcome, cause, latencyNanos);
         }
     }
 
-    /** A part of the run. */
+    /** The statistics of a part of the run: the warm-up or the rest. */
     private static final class Part {
-        private final Map<LoadClass, Figures> figures = new HashMap<>();
-        private final Judgement judgement = new Judgement();
+        private final Map<LoadClass, LoadStats> stats = new HashMap<>();
+        private final GeneratorLateness lateness = new GeneratorLateness();
         private long waits;
 
-        Figures figures(LoadClass kind) {
-            return figures.computeIfAbsent(kind, k -> new Figures());
+        LoadStats stats(LoadClass loadClass) {
+            return stats.computeIfAbsent(loadClass, key -> new LoadStats());
         }
     }
 
@@ -155,70 +168,74 @@
     private final Function<IoEventLoop, Driver> drivers;
     private final Consumer<Second> seconds;
     private final String prefix;
-    private final long start;
-    private final long warmNanos;
-    private final PriorityQueue<Wake> wakes = new PriorityQueue<>();
-    /** The run's and, behind it, the warm-up's, which nobody reads: both are counted by the same code. */
+    private final long startNanos;
+    private final long warmUpNanos;
+    private final PriorityQueue<Timer> timers = new PriorityQueue<>();
+    /** Statistics of the run and of the warm-up; the latter are not reported but counted by the same code. */
     private final Part[] parts = {new Part(), new Part()};
 
     private final List<String> differences = new ArrayList<>();
     private Driver driver;
     private Second second = new Second(0);
     private long order;
-    private long pause;
-    /** Those that have begun and not ended: what the figures must agree with. */
-    private final Set<Open> open = new HashSet<>();
+    private long pauseNanos;
+    /** Arrivals that have begun and not ended; the statistics are checked against them. */
+    private final Set<OpenArrival> open = new HashSet<>();
 
     private boolean stopped;
     private volatile boolean stop;
     private volatile Throwable failure;
 
     /**
-     * A worker that has not begun.
+     * Creates a worker that has not begun.
      *
-     * @param feed its wishes, in order; {@code last} stands behind the last of them
-     * @param start when the run begins, on {@link System#nanoTime()}'s clock
-     * @param warmNanos wishes intended earlier are sent but are in no figure
-     * @param seconds takes each second when it is over, on the worker's thread
-     * @param prefix of all ids, unique to this run
+     * @param feed its arrivals, in order; {@code last} follows the last one
+     * @param startNanos start of the run, on the clock of {@link System#nanoTime()}
+     * @param warmUpNanos arrivals intended earlier are sent but not reported
+     * @param seconds notified of each second when it is over, on the worker's thread
+     * @param prefix prefix of all request ids, unique to this run
      */
     Worker(
             Queue<Arrival> feed,
             Arrival last,
             Function<IoEventLoop, Driver> drivers,
-            long start,
-            long warmNanos,
+            long startNanos,
+            long warmUpNanos,
             Consumer<Second> seconds,
             String prefix) {
         this.feed = feed;
         this.last = last;
         this.drivers = drivers;
-        this.start = start;
-        this.warmNanos = warmNanos;
+        this.startNanos = startNanos;
+        this.warmUpNanos = warmUpNanos;
         this.seconds = seconds;
         this.prefix = prefix;
     }
 
+    /** Returns the time since the start of the run, in nanoseconds. */
     private long clock() {
-        return System.nanoTime() - start;
+        return System.nanoTime() - startNanos;
     }
 
-    private Part part(Arrival wish) {
-        return part(wish.intendedNanos());
+    private Part part(Arrival arrival) {
+        return part(arrival.intendedNanos());
     }
 
-    /** By arithmetic: a branch that goes the other way for the first time throws compiled code away. */
-    private Part part(long at) {
-        return parts[(int) ((at - warmNanos) >>> 63)];
+    /**
+     * Returns the part of the run that a time belongs to. Arithmetic replaces a branch, because the first time a branch
+     * goes the other way the JVM discards the compiled code.
+     */
+    private Part part(long atNanos) {
+        return parts[(int) ((atNanos - warmUpNanos) >>> 63)];
     }
 
-    private Wake wakeAt(long at, Runnable task) {
-        Wake made = new Wake(at, order++, task);
-        wakes.add(made);
-        return made;
+    private Timer schedule(long dueNanos, Runnable task) {
+        Timer timer = new Timer(dueNanos, order++, task);
+        timers.add(timer);
+        return timer;
     }
 
-    /** From now on nothing new is sent; what is open ends, and then the worker. */
+    /** Stops sending; the worker ends when all open arrivals have ended. */
     void stop() {
         stop = true;
     }
@@ -242,100 +259,101 @@
 
     private void work(ManualIoEventLoop loop) {
         Arrival next = feed.poll();
-        long looked = clock();
+        long lastReadNanos = clock();
         while (next != last && !stop || !open.isEmpty()) {
-            long now = clock();
-            rollTo(now);
+            long nowNanos = clock();
+            rollTo(nowNanos);
             stopped = stop;
-            while (!wakes.isEmpty() && wakes.peek().at <= now) {
-                wakes.poll().run();
+            while (!timers.isEmpty() && timers.peek().dueNanos <= nowNanos) {
+                timers.poll().run();
             }
             if (next == null) {
                 next = feed.poll();
             }
-            while (next != null && next != last && !stopped && next.intendedNanos() <= now) {
+            while (next != null && next != last && !stopped && next.intendedNanos() <= nowNanos) {
                 begin(next);
                 next = feed.poll();
-                // Under a rush of sends sockets are still looked at.
-                if (clock() - now > TICK_NANOS / 2) {
+                // Also reads the sockets during a burst of sends.
+                if (clock() - nowNanos > SELECTOR_TICK_NANOS / 2) {
                     break;
                 }
             }
-            long due = Math.min(
+            long dueNanos = Math.min(
                     next == null ? 0 : next == last || stopped ? Long.MAX_VALUE : next.intendedNanos(),
-                    wakes.isEmpty() ? Long.MAX_VALUE : wakes.peek().at);
-            long sleep = Math.min(due - clock() - TICK_NANOS, LONGEST_SLEEP_NANOS);
-            long before = clock();
-            // The time since the last look is ours unless it was spent asleep in the selector.
-            pause = before - looked;
-            part(before).judgement.paused(pause);
-            if (sleep >= TICK_NANOS) {
-                loop.run(sleep);
-                // Woken by a socket or by time: either way it was not away.
-                looked = Math.max(before, clock() - TICK_NANOS / 10);
+                    timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueNanos);
+            long sleepNanos = Math.min(dueNanos - clock() - SELECTOR_TICK_NANOS, MAX_SLEEP_NANOS);
+            long beforeNanos = clock();
+            // The time since the last read counts as a pause, unless it was spent waiting in the selector.
+            pauseNanos = beforeNanos - lastReadNanos;
+            part(beforeNanos).lateness.recordPause(pauseNanos);
+            if (sleepNanos >= SELECTOR_TICK_NANOS) {
+                loop.run(sleepNanos);
+                // Waiting in the selector for a socket or the time-out is not a pause.
+                lastReadNanos = Math.max(beforeNanos, clock() - SELECTOR_TICK_NANOS / 10);
             } else {
                 loop.runNow();
-                looked = before;
+                lastReadNanos = beforeNanos;
                 Thread.onSpinWait();
             }
         }
         rollTo((second.number() + 1L) * SECOND_NANOS);
-        agree();
+        checkCounts();
     }
 
-    /** What is open is counted anew, by what stands open and not by what was begun and ended. */
-    private void agree() {
+    /** Counts the open arrivals anew and records a difference if arrivals are not the sum of ended and open ones. */
+    private void checkCounts() {
         for (Part part : parts) {
-            part.figures.values().forEach(of -> of.open(0));
+            part.stats.values().forEach(stats -> stats.open(0));
         }
-        for (Open one : open) {
-            Figures of = part(one.wish).figures(one.wish.kind());
-            of.open(of.open() + 1);
+        for (OpenArrival one : open) {
+            LoadStats stats = part(one.arrival).stats(one.arrival.kind());
+            stats.open(stats.open() + 1);
         }
-        parts[0].figures.forEach((kind, of) -> {
-            if (of.wishes() != of.ended() + of.open()) {
-                differences.add(kind.name() + " in second " + second.number() + ": " + of.wishes() + " sent, "
-                        + of.ended() + " ended, " + of.open() + " open");
+        parts[0].stats.forEach((loadClass, stats) -> {
+            if (stats.wishes() != stats.ended() + stats.open()) {
+                differences.add(loadClass.name() + " in second " + second.number() + ": " + stats.wishes() + " sent, "
+                        + stats.ended() + " ended, " + stats.open() + " open");
             }
         });
     }
 
-    private void begin(Arrival wish) {
-        long late = clock() - wish.intendedNanos();
-        second.wish(late);
-        part(wish).judgement.sent(second.number(), late);
-        part(wish).figures(wish.kind()).wish();
-        Open made = new Open(wish);
-        open.add(made);
-        made.attempt();
+    private void begin(Arrival arrival) {
+        long lateNanos = clock() - arrival.intendedNanos();
+        second.recordArrival(lateNanos);
+        part(arrival).lateness.recordSend(second.number(), lateNanos);
+        part(arrival).stats(arrival.kind()).recordArrival();
+        OpenArrival begun = new OpenArrival(arrival);
+        open.add(begun);
+        begun.sendRequest();
     }
 
-    private void rollTo(long now) {
-        while (now >= (second.number() + 1L) * SECOND_NANOS) {
+    /** Reports all seconds that ended before a time. */
+    private void rollTo(long nowNanos) {
+        while (nowNanos >= (second.number() + 1L) * SECOND_NANOS) {
             seconds.accept(second);
             if (differences.isEmpty()) {
-                agree();
+                checkCounts();
             }
             second = new Second(second.number() + 1);
         }
     }
 
-    // ---- to be read when its thread has ended ----
+    // The following methods must be called only after the thread has ended.
 
-    Map<LoadClass, Figures> figures() {
-        return parts[0].figures;
+    Map<LoadClass, LoadStats> stats() {
+        return parts[0].stats;
     }
 
-    Judgement judgement() {
-        return parts[0].judgement;
+    GeneratorLateness lateness() {
+        return parts[0].lateness;
     }
 
-    /** Where sent was not the sum of ends and open, looked at every second; empty if it always was. */
+    /** Returns the seconds at which arrivals were not the sum of ended and open ones; empty if there were none. */
     List<String> differences() {
         return differences;
     }
 
-    /** Requests that waited for a connection for more than a millisecond. */
+    /** Returns the number of requests that waited for a connection for more than 1 ms. */
     long waits() {
         return parts[0].waits;
     }
--- a/tools/src/main/java/martenlatch/load/http/HttpDriver.java
+++ b/tools/src/main/java/martenlatch/load/http/HttpDriver.java
@@ -31,75 +31,75 @@
 import martenlatch.load.RequestOutcome;
 
 /**
- * HTTP/1.1 (RFC 9112) as the platform's clients speak it: one request at a time on a connection, kept for the
- * next one, more of them while all are busy. A connection on which anything comes that was not asked for is
- * closed. Addresses are used in turn.
+ * Sends requests in HTTP/1.1 (RFC 9112) like the platform's clients: a connection carries one request at a time and is
+ * reused; a new one is opened if all are busy. A connection on which unrequested data arrives is closed. New connections
+ * use the addresses in turn.
  */
 public final class HttpDriver implements Driver {
 
-    /** Shorter than servers commonly keep an idle connection, so that none is closed under a request. */
-    private static final long IDLE_NANOS = 3_000_000_000L;
+    /** Shorter than common server idle time-outs, so that no server closes a connection as a request is sent on it. */
+    private static final long MAX_IDLE_NANOS = 3_000_000_000L;
 
-    private static final int CONNECT_MS = 30_000;
+    private static final int CONNECT_TIMEOUT_MS = 30_000;
 
     private final EventLoop loop;
     private final List<InetSocketAddress> targets;
-    private final int most;
+    private final int maxConnections;
     private final Bootstrap bootstrap;
     private final Deque<Connection> idle = new ArrayDeque<>();
     private final Deque<HttpCall> waiting = new ArrayDeque<>();
     private final Set<Connection> all = new HashSet<>();
     private final String host;
-    private int turn;
-    /** Connections being made, for calls that wait. */
+    private int nextTarget;
+    /** Connections being opened for waiting calls. */
     private int connecting;
 
     /**
-     * A driver with no connections yet.
+     * Creates a driver without connections.
      *
-     * @param most connections that it may have
+     * @param maxConnections maximum number of open connections
      */
-    public HttpDriver(EventLoop loop, List<InetSocketAddress> targets, int most) {
+    public HttpDriver(EventLoop loop, List<InetSocketAddress> targets, int maxConnections) {
         this.loop = loop;
         this.targets = List.copyOf(targets);
-        this.most = most;
+        this.maxConnections = maxConnections;
         host = targets.get(0).getHostString() + ":" + targets.get(0).getPort();
         bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS);
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS);
     }
 
     private final class HttpCall implements Call {
-        private final Arrival wish;
+        private final Arrival arrival;
         private final String id;
         private final boolean retry;
         private final Ending ending;
-        private final long until;
+        private final long deadlineNanos;
         private Connection connection;
-        private boolean over;
+        private boolean ended;
 
-        HttpCall(Arrival wish, String id, boolean retry, long leftNanos, Ending ending) {
-            this.wish = wish;
+        HttpCall(Arrival arrival, String id, boolean retry, long leftNanos, Ending ending) {
+            this.arrival = arrival;
             this.id = id;
             this.retry = retry;
             this.ending = ending;
-            until = System.nanoTime() + leftNanos;
+            deadlineNanos = System.nanoTime() + leftNanos;
         }
 
-        void end(RequestOutcome end, String cause, double retryAfterMs) {
-            if (!over) {
-                over = true;
-                ending.ended(end, cause, retryAfterMs);
+        void end(RequestOutcome outcome, String cause, double retryAfterMs) {
+            if (!ended) {
+                ended = true;
+                ending.ended(outcome, cause, retryAfterMs);
             }
         }
 
         @Override
         public boolean giveUp() {
-            over = true;
+            ended = true;
             if (connection == null) {
-                // Calls that wait are looked at only from the front: this one is passed over there.
+                // Stays in the queue of waiting calls and is skipped when it reaches the front.
                 return false;
             }
             connection.close();
@@ -112,9 +112,9 @@
         private HttpCall call;
         private int status;
         private double retryAfterMs;
-        private boolean keep;
+        private boolean keepAlive;
         private boolean answered;
-        private long idleSince;
+        private long idleSinceNanos;
 
         void send(HttpCall next) {
             call = next;
@@ -124,37 +124,37 @@
             next.ending.written();
         }
 
-        private ByteBuf request(HttpCall of) {
-            Arrival wish = of.wish;
-            boolean get = wish.kind().effect() == LoadClass.Effect.REPEATABLE;
-            long left = Math.max(1, (of.until - System.nanoTime()) / 1_000_000);
+        private ByteBuf request(HttpCall next) {
+            Arrival arrival = next.arrival;
+            boolean get = arrival.kind().effect() == LoadClass.Effect.REPEATABLE;
+            long leftMs = Math.max(1, (next.deadlineNanos - System.nanoTime()) / 1_000_000);
             StringBuilder head = new StringBuilder(256)
                     .append(get ? "GET" : "POST")
                     .append(" /api HTTP/1.1\r\nHost: ")
                     .append(host)
                     .append("\r\nX-Request-Id: ")
-                    .append(of.id)
+                    .append(next.id)
                     .append("\r\nX-Class: ")
-                    .append(wish.kind().name())
+                    .append(arrival.kind().name())
                     .append("\r\nX-Deadline-Ms: ")
-                    .append(left);
-            if (of.retry) {
+                    .append(leftMs);
+            if (next.retry) {
                 head.append("\r\nX-Retry: 1");
             }
-            if (wish.key() != null) {
-                head.append("\r\nCookie: key=").append(wish.key());
+            if (arrival.key() != null) {
+                head.append("\r\nCookie: key=").append(arrival.key());
             }
-            if (wish.kind().effect() == LoadClass.Effect.KEYED) {
-                // The same for all requests of a wish: the number behind the last dash counts those.
-                head.append("\r\nIdempotency-Key: ").append(of.id, 0, of.id.lastIndexOf('-'));
+            if (arrival.kind().effect() == LoadClass.Effect.KEYED) {
+                // The same key for all requests of an arrival: the number after the last dash in the id counts them.
+                head.append("\r\nIdempotency-Key: ").append(next.id, 0, next.id.lastIndexOf('-'));
             }
             if (!get) {
-                head.append("\r\nContent-Length: ").append(wish.bodyBytes());
+                head.append("\r\nContent-Length: ").append(arrival.bodyBytes());
             }
             head.append("\r\n\r\n");
-            ByteBuf out = channel.alloc().buffer(head.length() + wish.bodyBytes());
+            ByteBuf out = channel.alloc().buffer(head.length() + arrival.bodyBytes());
             ByteBufUtil.writeAscii(out, head);
-            return get ? out : out.writeZero(wish.bodyBytes());
+            return get ? out : out.writeZero(arrival.bodyBytes());
         }
 
         @Override
@@ -164,12 +164,13 @@
             free();
         }
 
+        /** Sends the next waiting call, or keeps the connection as idle. */
         private void free() {
             HttpCall next = nextWaiting();
             if (next != null) {
                 send(next);
             } else {
-                idleSince = System.nanoTime();
+                idleSinceNanos = System.nanoTime();
                 idle.push(this);
             }
         }
@@ -190,7 +191,7 @@
                 fail("unasked");
             } else if (part instanceof HttpResponse head) {
                 status = head.status().code();
-                keep = HttpUtil.isKeepAlive(head);
+                keepAlive = HttpUtil.isKeepAlive(head);
                 retryAfterMs = retryAfter(head.headers().get(HttpHeaderNames.RETRY_AFTER));
             }
             if (part instanceof LastHttpContent && call != null && !answered && status >= 200) {
@@ -207,12 +208,12 @@
             }
         }
 
-        /** Only when nothing more has come with an answer is its connection used again. */
+        /** Reuses the connection only after the read in which the answer completed, when no unrequested data followed. */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
             if (answered) {
                 answered = false;
-                if (!keep) {
+                if (!keepAlive) {
                     close();
                 } else if (channel.isActive()) {
                     free();
@@ -248,7 +249,7 @@
         }
     }
 
-    /** Seconds, whole or decimal, in milliseconds; NaN where there are none. */
+    /** Returns a Retry-After value, whole or decimal seconds, in milliseconds; NaN if it is absent or invalid. */
     private static double retryAfter(String text) {
         try {
             double seconds = text == null ? Double.NaN : Double.parseDouble(text);
@@ -260,17 +261,17 @@
 
     private HttpCall nextWaiting() {
         HttpCall next = waiting.poll();
-        while (next != null && next.over) {
+        while (next != null && next.ended) {
             next = waiting.poll();
         }
         return next;
     }
 
     @Override
-    public Call send(Arrival wish, String id, boolean retry, long leftNanos, Ending ending) {
-        HttpCall call = new HttpCall(wish, id, retry, leftNanos, ending);
+    public Call send(Arrival arrival, String id, boolean retry, long leftNanos, Ending ending) {
+        HttpCall call = new HttpCall(arrival, id, retry, leftNanos, ending);
         for (Connection free = idle.poll(); free != null; free = idle.poll()) {
-            if (free.channel.isActive() && System.nanoTime() - free.idleSince < IDLE_NANOS) {
+            if (free.channel.isActive() && System.nanoTime() - free.idleSinceNanos < MAX_IDLE_NANOS) {
                 free.send(call);
                 return call;
             }
@@ -281,15 +282,15 @@
         return call;
     }
 
-    /** Whether a connection stands that the next call would go out on. */
+    /** Returns whether the next call would be sent at once on an idle connection. */
     public boolean hasIdle() {
         Connection next = idle.peek();
-        return next != null && next.channel.isActive() && System.nanoTime() - next.idleSince < IDLE_NANOS;
+        return next != null && next.channel.isActive() && System.nanoTime() - next.idleSinceNanos < MAX_IDLE_NANOS;
     }
 
     private void connectIfWanted() {
-        while (!loop.isShuttingDown() && connecting < waiting.size() && all.size() < most) {
-            while (!waiting.isEmpty() && waiting.peek().over) {
+        while (!loop.isShuttingDown() && connecting < waiting.size() && all.size() < maxConnections) {
+            while (!waiting.isEmpty() && waiting.peek().ended) {
                 waiting.poll();
             }
             if (connecting >= waiting.size()) {
@@ -300,28 +301,28 @@
     }
 
     private void connect() {
-        Connection made = new Connection();
-        all.add(made);
+        Connection connection = new Connection();
+        all.add(connection);
         connecting++;
         ChannelFuture connected = bootstrap
                 .clone()
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel fresh) {
-                        made.channel = fresh;
-                        fresh.pipeline().addLast(new HttpResponseDecoder(), made);
+                    protected void initChannel(SocketChannel channel) {
+                        connection.channel = channel;
+                        channel.pipeline().addLast(new HttpResponseDecoder(), connection);
                     }
                 })
-                .connect(targets.get(turn++ % targets.size()));
-        connected.addListener(up -> {
-            if (!up.isSuccess()) {
-                // Where not even a descriptor was to be had, this is told on a thread that is not ours.
-                loop.execute(() -> notConnected(made));
+                .connect(targets.get(nextTarget++ % targets.size()));
+        connected.addListener(connect -> {
+            if (!connect.isSuccess()) {
+                // If no file descriptor was available, this listener is called on another thread.
+                loop.execute(() -> connectFailed(connection));
             }
         });
     }
 
-    private void notConnected(Connection failed) {
+    private void connectFailed(Connection failed) {
         connecting--;
         all.remove(failed);
         HttpCall first = nextWaiting();
@@ -334,10 +335,10 @@
     @Override
     public void close() {
         waiting.clear();
-        for (Connection one : List.copyOf(all)) {
-            all.remove(one);
-            if (one.channel != null) {
-                one.channel.close();
+        for (Connection connection : List.copyOf(all)) {
+            all.remove(connection);
+            if (connection.channel != null) {
+                connection.channel.close();
             }
         }
     }
--- a/tools/src/main/java/martenlatch/load/http/package-info.java
+++ b/tools/src/main/java/martenlatch/load/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP/1.1 for the load generator, as the platform's clients speak it. It may use the generator's words. */
+/** HTTP/1.1 for the load generator, as the platform's clients use it. Depends on the load package only. */
 package martenlatch.load.http;
--- a/tools/src/main/java/martenlatch/load/package-info.java
+++ b/tools/src/main/java/martenlatch/load/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The load generator: arrivals that are drawn before and wait for no answer, figures that count from the
- * intended time, and a judgement of the generator by itself. It knows nothing of what it loads; a protocol is
- * a {@link martenlatch.load.Driver}.
+ * An open-loop load generator: arrivals are scheduled in advance and do not wait for answers, latencies are measured from
+ * the intended time, and the generator measures its own lateness. It does not depend on the system under test; each
+ * protocol is a {@link martenlatch.load.Driver}.
  */
 package martenlatch.load;
--- a/tools/src/main/java/martenlatch/tools/HtmlReport.java
+++ b/tools/src/main/java/martenlatch/tools/HtmlReport.java
@@ -39,7 +39,7 @@
             .void{color:#b00;font-weight:bold}</style><h1>%s</h1>
             """.formatted(escaped(title), escaped(title)));
         out.append("<p")
-                .append(report.judgement().voidFrom() < 0 ? "" : " class=\"void\"")
+                .append(report.lateness().voidFrom() < 0 ? "" : " class=\"void\"")
                 .append(">")
                 .append(escaped(report.verdict()))
                 .append("</p>");
--- a/tools/src/main/java/martenlatch/tools/Main.java
+++ b/tools/src/main/java/martenlatch/tools/Main.java
@@ -110,7 +110,7 @@
     private static int status(LoadReport report) {
         return !report.differences().isEmpty()
                 ? DOES_NOT_ADD_UP
-                : report.judgement().voidFrom() >= 0 ? TOO_SLOW : 0;
+                : report.lateness().voidFrom() >= 0 ? TOO_SLOW : 0;
     }
 
     @Command(
@@ -132,7 +132,7 @@
             LoadSettings read = LoadSettings.read(settings);
             Arrivals arrivals = read.arrivals(complaint -> out.println("trace: " + complaint));
             if (read.plan().warmSeconds() > 0) {
-                Rehearsal.play(read.kinds());
+                Rehearsal.play(read.classes());
             }
             LoadRun run = new LoadRun(
                     read.plan(),
--- a/tools/src/main/java/martenlatch/world/Endpoint.java
+++ b/tools/src/main/java/martenlatch/world/Endpoint.java
@@ -89,7 +89,10 @@
                             accepted.config().setAutoRead(false);
                         }
                         accepted.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new RequestHandler());
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(MAX_BODY_BYTES),
+                                        new RequestHandler());
                     }
                 })
                 .bind("127.0.0.1", port)
--- a/tools/src/main/java/martenlatch/world/ScheduledEvent.java
+++ b/tools/src/main/java/martenlatch/world/ScheduledEvent.java
@@ -75,8 +75,8 @@
             throw new IllegalArgumentException("event.at must be 0 to 1000000 seconds but is " + atSeconds);
         }
         if (action.toEndpoints && (endpoint < 0) == zone.isEmpty()) {
-            throw new IllegalArgumentException(
-                    "event.endpoint or event.zone must say to whom " + action.text() + " happens, one of them");
+            throw new IllegalArgumentException("event.endpoint or event.zone must say which endpoints " + action.text()
+                    + " affects; set exactly one of them");
         }
         if (endpoint >= settings.endpoints() || endpoint < -1) {
             throw new IllegalArgumentException(
--- a/tools/src/main/java/martenlatch/world/ServiceTime.java
+++ b/tools/src/main/java/martenlatch/world/ServiceTime.java
@@ -53,8 +53,7 @@
 
     private static IllegalArgumentException invalid(String text, Exception cause) {
         return new IllegalArgumentException(
-                "service must be constant MS, exponential MS or lognormal MS SPREAD but is \"" + text + "\"",
-                cause);
+                "service must be constant MS, exponential MS or lognormal MS SPREAD but is \"" + text + "\"", cause);
     }
 
     /** Draws a service time, in milliseconds. */
--- a/tools/src/main/java/martenlatch/world/WorldSettings.java
+++ b/tools/src/main/java/martenlatch/world/WorldSettings.java
@@ -33,7 +33,7 @@
         zones = List.copyOf(zones);
         requireWithin("endpoints", endpoints, 1, 10_000);
         if (zones.isEmpty()) {
-            throw new IllegalArgumentException("zones must name one but is empty");
+            throw new IllegalArgumentException("zones must name at least one zone but is empty");
         }
         requireWithin("slots", slots, 1, 1_000_000);
         requireWithin("queue", queue, 0, 1_000_000);
--- a/tools/src/test/java/martenlatch/load/JudgementTest.java
+++ b/tools/src/test/java/martenlatch/load/GeneratorLatenessTest.java
@@ -5,25 +5,25 @@
 import org.junit.jupiter.api.Test;
 
 /** Who was slow: the generator by its own lateness, and never by the service's. */
-class JudgementTest {
+class GeneratorLatenessTest {
 
     private static final long MS = 1_000_000;
-    private final Judgement judgement = new Judgement();
+    private final GeneratorLateness lateness = new GeneratorLateness();
 
     private void second(int number, int sends, int late, int answers, int lateAnswers) {
         for (int i = 0; i < sends; i++) {
-            judgement.sent(number, i < late ? 20 * MS : MS / 10);
+            lateness.recordSend(number, i < late ? 20 * MS : MS / 10);
         }
         for (int i = 0; i < answers; i++) {
-            judgement.answered(number, i < lateAnswers ? 20 * MS : MS / 10);
+            lateness.recordAnswer(number, i < lateAnswers ? 20 * MS : MS / 10);
         }
     }
 
     @Test
     void oneInAHundredIsLeft() {
         second(0, 1000, 10, 1000, 10);
-        assertEquals(-1, judgement.voidFrom());
-        assertEquals(0.01, judgement.lateShare(), 1e-9);
+        assertEquals(-1, lateness.voidFrom());
+        assertEquals(0.01, lateness.lateShare(), 1e-9);
     }
 
     @Test
@@ -31,20 +31,20 @@
         second(0, 1000, 0, 1000, 0);
         second(1, 1000, 11, 1000, 0);
         second(2, 1000, 0, 1000, 0);
-        assertEquals(1, judgement.voidFrom());
+        assertEquals(1, lateness.voidFrom());
     }
 
     @Test
     void answersReadLateVoidTheirSecondThoughAllSendsWereInTime() {
         second(0, 1000, 0, 1000, 0);
         second(1, 10, 0, 20, 1);
-        assertEquals(1, judgement.voidFrom());
+        assertEquals(1, lateness.voidFrom());
     }
 
     @Test
     void theLastSecondIsJudgedToo() {
         second(5, 100, 2, 100, 0);
-        assertEquals(5, judgement.voidFrom());
+        assertEquals(5, lateness.voidFrom());
     }
 
     @Test
@@ -52,16 +52,16 @@
         for (int i = 0; i < 10; i++) {
             second(i, 1000, 0, 0, 0);
         }
-        assertEquals(-1, judgement.voidFrom());
+        assertEquals(-1, lateness.voidFrom());
     }
 
     @Test
     void theEarlierOfTwoWorkersCounts() {
         second(3, 100, 50, 0, 0);
-        Judgement other = new Judgement();
-        other.sent(1, 5 * MS);
-        judgement.add(other);
-        assertEquals(1, judgement.voidFrom());
-        assertEquals(51 / 101.0, judgement.lateShare(), 1e-9);
+        GeneratorLateness other = new GeneratorLateness();
+        other.recordSend(1, 5 * MS);
+        lateness.add(other);
+        assertEquals(1, lateness.voidFrom());
+        assertEquals(51 / 101.0, lateness.lateShare(), 1e-9);
     }
 }
--- a/tools/src/test/java/martenlatch/load/LoadRunTest.java
+++ b/tools/src/test/java/martenlatch/load/LoadRunTest.java
@@ -103,7 +103,7 @@
         assertTrue(times.getValueAtPercentile(90) >= 690_000, "p90 " + times.getValueAtPercentile(90));
         assertTrue(times.getValueAtPercentile(50) < 600_000, "p50 " + times.getValueAtPercentile(50));
         // It was the service: the generator's own sends did not wait as long as that.
-        assertTrue(report.judgement().lateness().getMaxValue() < 900_000_000L, report.verdict());
+        assertTrue(report.lateness().lateness().getMaxValue() < 900_000_000L, report.verdict());
 
         Histogram closed = new Histogram(3_600_000_000L, 3);
         try (Socket socket =
@@ -129,9 +129,9 @@
     void aStarvedGeneratorSaysSo() throws Exception {
         LoadReport report = starvedRun(kind(LoadClass.Effect.REPEATABLE, 5_000, 0), 1000, 600);
         assertEquals(1000, report.all().count(RequestOutcome.SERVED));
-        assertTrue(report.judgement().voidFrom() >= 0 && report.judgement().voidFrom() <= 1, report.verdict());
-        assertTrue(report.judgement().lateShare() > 0.1, report.verdict());
-        assertTrue(report.judgement().longestPause() >= 390_000_000L, report.verdict());
+        assertTrue(report.lateness().voidFrom() >= 0 && report.lateness().voidFrom() <= 1, report.verdict());
+        assertTrue(report.lateness().lateShare() > 0.1, report.verdict());
+        assertTrue(report.lateness().longestPauseNanos() >= 390_000_000L, report.verdict());
         assertTrue(printed(report).contains("GENERATOR TOO SLOW: figures from second"), printed(report));
     }
 
@@ -145,7 +145,7 @@
         assertEquals(1000, report.all().wishes());
         assertEquals(0, report.all().count(RequestOutcome.NOT_SENT), printed(report));
         assertTrue(report.all().count(RequestOutcome.SERVED) >= 990, printed(report));
-        assertTrue(report.judgement().voidFrom() >= 0, "whatever is served late is no figure of the service");
+        assertTrue(report.lateness().voidFrom() >= 0, "whatever is served late is no figure of the service");
     }
 
     /** 1,000 wishes in two seconds to a service that answers at once, and a block at one of the sends. */
@@ -207,7 +207,7 @@
                         400,
                         second -> {})
                 .run();
-        Figures all = report.all();
+        LoadStats all = report.all();
         assertEquals(100, all.wishes());
         // A very busy machine may not get some out within a short deadline; none is in two counts or none.
         assertEquals(
@@ -239,7 +239,7 @@
                         400,
                         second -> {})
                 .run();
-        Figures all = report.all();
+        LoadStats all = report.all();
         assertEquals(150, all.wishes());
         assertEquals(150, all.count(RequestOutcome.TIMED_OUT) + all.count(RequestOutcome.NOT_SENT), printed(report));
         assertEquals(150, all.ended());
@@ -276,7 +276,7 @@
                         1,
                         second -> {})
                 .run();
-        Figures all = report.all();
+        LoadStats all = report.all();
         assertEquals(100, all.ended());
         assertTrue(all.count(RequestOutcome.NOT_SENT) >= 50, printed(report));
         assertTrue(all.count(RequestOutcome.SERVED) >= 1 && all.count(RequestOutcome.SERVED) <= 6, printed(report));
@@ -341,7 +341,7 @@
                         second -> {})
                 .run();
         assertEquals(30_000, report.all().ended());
-        assertTrue(report.judgement().voidFrom() == 0, report.verdict());
+        assertTrue(report.lateness().voidFrom() == 0, report.verdict());
     }
 
     @Test
--- a/tools/src/test/java/martenlatch/tools/RehearsalTest.java
+++ b/tools/src/test/java/martenlatch/tools/RehearsalTest.java
@@ -19,7 +19,7 @@
                 new LoadClass("look-up", 1, LoadClass.Effect.REPEATABLE, 0, 30_000, 0),
                 new LoadClass("update", 1, LoadClass.Effect.KEYED, 300, 30_000, 1),
                 new LoadClass("book", 1, LoadClass.Effect.UNSAFE, 300, 30_000, 0)));
-        assertEquals(3, report.kinds().size());
+        assertEquals(3, report.classes().size());
         assertEquals(report.all().wishes(), report.all().count(RequestOutcome.SERVED));
         assertEquals(List.of(), report.differences());
     }
