--- a/tools/src/main/java/martenlatch/demo/Demo.java
+++ b/tools/src/main/java/martenlatch/demo/Demo.java
@@ -32,30 +32,30 @@
 import martenlatch.world.WorldSettings;
 
 /**
- * Shows a sidecar at work before stand-in endpoints, one of which hangs, one of which drains and one of which
- * dies and comes back cold, while a load goes on. All of it is one process on loopback.
+ * Demonstrates a sidecar in front of emulated endpoints under load: one endpoint hangs, one drains, and one crashes and
+ * restarts cold. Everything runs in one process on the loopback interface.
  */
 public final class Demo {
 
     private static final int ENDPOINTS = 6;
-    private static final int WARM_SECONDS = 2;
+    private static final int WARM_UP_SECONDS = 2;
     private static final int CONNECTIONS = 256;
-    private static final int BAR = 20;
+    private static final int BAR_WIDTH = 20;
     private static final long SEED = 20_261_201;
 
     private final int seconds;
     private final int rate;
     private final PrintStream out;
-    private final Map<Integer, String> events = new TreeMap<>();
-    private final Deque<ScheduledEvent> happenings = new ArrayDeque<>();
+    private final Map<Integer, String> appliedEvents = new TreeMap<>();
+    private final Deque<ScheduledEvent> schedule = new ArrayDeque<>();
     private World world;
     private LoadRun run;
 
     /**
-     * A demo that has not begun.
+     * Creates a demo that has not begun.
      *
-     * @param seconds how long it lasts, from 10 on
-     * @param rate requests a second
+     * @param seconds duration in seconds, 10 or more
+     * @param rate arrivals per second
      */
     public Demo(int seconds, int rate, PrintStream out) {
         if (seconds < 10 || seconds > 3600) {
@@ -67,21 +67,26 @@
         this.seconds = seconds;
         this.rate = rate;
         this.out = out;
-        happen(0.25, ScheduledEvent.Action.HANG, 0);
-        happen(0.4, ScheduledEvent.Action.RECOVER, 0);
-        happen(0.5, ScheduledEvent.Action.DRAIN, 1);
-        happen(0.65, ScheduledEvent.Action.DIE, 2);
-        happen(0.8, ScheduledEvent.Action.RESTART, 2);
+        scheduleEvent(0.25, ScheduledEvent.Action.HANG, 0);
+        scheduleEvent(0.4, ScheduledEvent.Action.RECOVER, 0);
+        scheduleEvent(0.5, ScheduledEvent.Action.DRAIN, 1);
+        scheduleEvent(0.65, ScheduledEvent.Action.DIE, 2);
+        scheduleEvent(0.8, ScheduledEvent.Action.RESTART, 2);
     }
 
-    private void happen(double share, ScheduledEvent.Action what, int endpoint) {
-        happenings.add(new ScheduledEvent(Math.floor(share * seconds), what, endpoint, "", Double.NaN));
+    private void scheduleEvent(double share, ScheduledEvent.Action action, int endpoint) {
+        schedule.add(new ScheduledEvent(Math.floor(share * seconds), action, endpoint, "", Double.NaN));
     }
 
-    /** What a demo came to. */
+    /**
+     * The result of a demo.
+     *
+     * @param events the applied events, by second
+     * @param holds whether the counts match and no rule of the protocol was broken
+     */
     public record Result(LoadReport report, Map<Integer, String> events, String summary, boolean holds) {}
 
-    /** Runs it; {@code begun} gets what stops it early. */
+    /** Runs the demo; {@code begun} receives a task that stops the run early. */
     public Result run(Consumer<Runnable> begun) throws IOException, InterruptedException {
         ByteArrayOutputStream log = new ByteArrayOutputStream();
         Path config = Files.createTempFile("martenlatch-demo", ".json");
@@ -122,28 +127,28 @@
 
     private LoadReport load(InetSocketAddress sidecar, Consumer<Runnable> begun)
             throws IOException, InterruptedException {
-        List<LoadClass> kinds = List.of(
+        List<LoadClass> classes = List.of(
                 new LoadClass("look-up", 6, LoadClass.Effect.REPEATABLE, 0, 1000, 1),
                 new LoadClass("update", 2, LoadClass.Effect.KEYED, 200, 1500, 1),
                 new LoadClass("book", 2, LoadClass.Effect.UNSAFE, 400, 1500, 1));
         List<InetSocketAddress> targets = List.of(sidecar);
         run = new LoadRun(
-                new LoadPlan(targets, 1, CONNECTIONS, WARM_SECONDS),
-                Arrivals.drawn(new Schedule(List.of(new Shape.Constant(rate, seconds)), true, SEED), kinds, SEED),
-                (loop, most) -> new HttpDriver(loop, targets, most),
-                this::live);
+                new LoadPlan(targets, 1, CONNECTIONS, WARM_UP_SECONDS),
+                Arrivals.drawn(new Schedule(List.of(new Shape.Constant(rate, seconds)), true, SEED), classes, SEED),
+                (loop, maxConnections) -> new HttpDriver(loop, targets, maxConnections),
+                this::printSecond);
         begun.accept(run::stop);
         return run.run();
     }
 
-    private void live(Second second) {
-        int done = Math.min(seconds, second.number() + 1);
-        String bar = "#".repeat(BAR * done / seconds);
+    private void printSecond(Second second) {
+        int elapsedSeconds = Math.min(seconds, second.number() + 1);
+        String bar = "#".repeat(BAR_WIDTH * elapsedSeconds / seconds);
         StringBuilder line = new StringBuilder(String.format(
                 Locale.ROOT,
-                "%3d s [%-" + BAR + "s] sent %5d served %5d refused %4d failed %4d timed out %4d  p50 %6.1f "
+                "%3d s [%-" + BAR_WIDTH + "s] sent %5d served %5d refused %4d failed %4d timed out %4d  p50 %6.1f "
                         + "p99 %7.1f ms",
-                done,
+                elapsedSeconds,
                 bar,
                 second.wishes(),
                 second.count(RequestOutcome.SERVED),
@@ -152,10 +157,10 @@
                 second.count(RequestOutcome.TIMED_OUT) + second.count(RequestOutcome.NOT_SENT),
                 second.ms(50),
                 second.ms(99)));
-        while (!happenings.isEmpty() && happenings.peek().atSeconds() <= done && done < seconds) {
-            ScheduledEvent next = happenings.poll();
+        while (!schedule.isEmpty() && schedule.peek().atSeconds() <= elapsedSeconds && elapsedSeconds < seconds) {
+            ScheduledEvent next = schedule.poll();
             next.applyTo(world);
-            events.merge(done, next.toString(), (a, b) -> a + ", " + b);
+            appliedEvents.merge(elapsedSeconds, next.toString(), (a, b) -> a + ", " + b);
             line.append("  <- ").append(next);
         }
         out.println(line);
@@ -180,9 +185,9 @@
     }
 
     private Result result(LoadReport report, ByteArrayOutputStream log) {
-        ByteArrayOutputStream words = new ByteArrayOutputStream();
-        PrintStream summary = new PrintStream(words, true, StandardCharsets.UTF_8);
-        summary.println("What clients saw (the first " + WARM_SECONDS + " s left out):");
+        ByteArrayOutputStream text = new ByteArrayOutputStream();
+        PrintStream summary = new PrintStream(text, true, StandardCharsets.UTF_8);
+        summary.println("What clients saw (the first " + WARM_UP_SECONDS + " s left out):");
         report.print(summary);
         summary.println("What endpoints saw: " + world.ledger());
         boolean holds = report.differences().isEmpty()
@@ -198,6 +203,6 @@
         }
         summary.println("The sidecar's log had "
                 + log.toString(StandardCharsets.UTF_8).lines().count() + " lines.");
-        return new Result(report, events, words.toString(StandardCharsets.UTF_8), holds);
+        return new Result(report, appliedEvents, text.toString(StandardCharsets.UTF_8), holds);
     }
 }
--- a/tools/src/main/java/martenlatch/demo/package-info.java
+++ b/tools/src/main/java/martenlatch/demo/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A world, a sidecar and a load in one process, with trouble half way, for people who want to see it work. It
- * may use the load generator, the world and the sidecar's assembly.
+ * Demonstrates a sidecar with an emulated world, a load and scheduled faults in one process. May use the load generator,
+ * the world and the sidecar's start class.
  */
 package martenlatch.demo;
--- a/tools/src/main/java/martenlatch/load/Worker.java
+++ b/tools/src/main/java/martenlatch/load/Worker.java
@@ -82,8 +82,8 @@
             boolean first = requestsSent++ == 0;
             long nowNanos = clock();
             // The deadline counts from the send, not from the intended time. Otherwise requests of a late generator
-            // would
-            // time out at once and cost a connection each, which would keep it late. The latency includes the lateness.
+            // would time out at once and cost a connection each, which would keep it late. The latency includes the
+            // lateness.
             long deadlineNanos = nowNanos + arrival.deadlineMs() * 1_000_000L;
             int ownSerial = ++serial;
             written = false;
--- a/tools/src/main/java/martenlatch/toml/TomlFile.java
+++ b/tools/src/main/java/martenlatch/toml/TomlFile.java
@@ -11,12 +11,12 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** A settings file (TOML 1.0): each thing that can't be used is an exception that names field and value. */
+/** Reads settings from a TOML 1.0 file; throws exceptions that name the field and the value if a setting is invalid. */
 public final class TomlFile {
 
     private TomlFile() {}
 
-    /** Reads a file as a tree. */
+    /** Reads a file as a JSON tree. */
     public static JsonNode read(Path file) throws IOException {
         try {
             return new TomlMapper().readTree(Files.readAllBytes(file));
@@ -28,18 +28,20 @@
     }
 
     /**
-     * Refuses a table with a field that is none of these; {@code prefix} is that of their names in messages.
+     * Throws an exception if a table has a field that is not in {@code names}.
+     *
+     * @param prefix prefix of the field name in the message
      */
     public static void knownOnly(String prefix, JsonNode table, Set<String> names) {
-        for (Iterator<String> it = table.fieldNames(); it.hasNext(); ) {
-            String name = it.next();
+        for (Iterator<String> fields = table.fieldNames(); fields.hasNext(); ) {
+            String name = fields.next();
             if (!names.contains(name)) {
                 throw new IllegalArgumentException(prefix + name + " is no setting; there are " + new TreeSet<>(names));
             }
         }
     }
 
-    /** A whole number, or what holds where there is none. */
+    /** Returns a whole number, or {@code absent} if the value is missing. */
     public static int whole(String field, JsonNode value, int absent) {
         if (value.isMissingNode()) {
             return absent;
@@ -50,7 +52,7 @@
         return value.intValue();
     }
 
-    /** A number, or what holds where there is none. */
+    /** Returns a number, or {@code absent} if the value is missing. */
     public static double number(String field, JsonNode value, double absent) {
         if (value.isMissingNode()) {
             return absent;
--- a/tools/src/main/java/martenlatch/toml/package-info.java
+++ b/tools/src/main/java/martenlatch/toml/package-info.java
@@ -1,2 +1,2 @@
-/** Settings from TOML files, with plain words for what can't be used. It may use nothing of the product. */
+/** Reads settings from TOML files. Does not depend on the sidecar. */
 package martenlatch.toml;
--- a/tools/src/main/java/martenlatch/tools/Rehearsal.java
+++ b/tools/src/main/java/martenlatch/tools/GeneratorWarmUp.java
@@ -16,26 +16,26 @@
 import martenlatch.world.WorldSettings;
 
 /**
- * A short load on an endpoint of its own, in the same process and by the same code, before the one that is
- * asked for: a cold JVM that is asked for its full rate at once falls a second behind.
+ * Warms up the JVM before a load run with a short load on an endpoint in the same process. A cold JVM that starts at the
+ * full rate falls about one second behind the schedule.
  */
-final class Rehearsal {
+final class GeneratorWarmUp {
 
-    /** By its end the rate is above what interpreted code can do, so that all of it is compiled. */
+    /** The final rate is above what interpreted code can send, so that the JVM compiles the code of the generator. */
     private static final String SHAPE = "ramp 500 8000 2";
-    /** It must get by with few descriptors. */
+    /** Few, so that the warm-up works under a low limit of file descriptors. */
     private static final int CONNECTIONS = 4;
 
-    private Rehearsal() {}
+    private GeneratorWarmUp() {}
 
-    /** Plays it, with the classes of the load to come; its report is for whoever wants to look. */
-    static LoadReport play(List<LoadClass> kinds) throws IOException, InterruptedException {
+    /** Runs the warm-up with the request classes of the load, and returns its report. */
+    static LoadReport run(List<LoadClass> classes) throws IOException, InterruptedException {
         try (World world = new World(WorldSettings.plain(1, ServiceTime.parse("constant 0")), 0)) {
             List<InetSocketAddress> targets = List.of(world.endpoints().get(0).address());
             return new LoadRun(
                             new LoadPlan(targets, 1, CONNECTIONS, 0),
-                            Arrivals.drawn(new Schedule(List.of(Shape.parse(SHAPE)), true, 1), kinds, 1),
-                            (loop, most) -> new HttpDriver(loop, targets, most),
+                            Arrivals.drawn(new Schedule(List.of(Shape.parse(SHAPE)), true, 1), classes, 1),
+                            (loop, maxConnections) -> new HttpDriver(loop, targets, maxConnections),
                             second -> {})
                     .run();
         }
--- a/tools/src/main/java/martenlatch/tools/HtmlReport.java
+++ b/tools/src/main/java/martenlatch/tools/HtmlReport.java
@@ -12,23 +12,23 @@
 import martenlatch.load.RequestOutcome;
 import martenlatch.load.Second;
 
-/** A run on one page that needs nothing else: plots over time as SVG, events marked, and the summary. */
+/** Writes a run as a self-contained HTML page: SVG plots over time with event markers, and the summary. */
 public final class HtmlReport {
 
-    private static final int WIDTH = 900;
-    private static final int HEIGHT = 200;
-    private static final int LEFT = 60;
-    private static final int BOTTOM = 24;
+    private static final int WIDTH_PX = 900;
+    private static final int HEIGHT_PX = 200;
+    private static final int LEFT_MARGIN_PX = 60;
+    private static final int BOTTOM_MARGIN_PX = 24;
 
     private record Line(String name, String colour, ToDoubleFunction<Second> value) {}
 
     private HtmlReport() {}
 
     /**
-     * Writes it.
+     * Writes the page.
      *
-     * @param events what was done to the world, by second
-     * @param summary the report in words
+     * @param events events of the emulated world, by second
+     * @param summary the report as text
      */
     public static void write(Path file, String title, LoadReport report, Map<Integer, String> events, String summary)
             throws IOException {
@@ -71,10 +71,10 @@
                 List.of(new Line("late sends", "#72c", Second::lateSends))));
         if (!events.isEmpty()) {
             out.append("<h2>Events</h2><ul>");
-            events.forEach((second, what) -> out.append("<li>")
+            events.forEach((second, event) -> out.append("<li>")
                     .append(second)
                     .append(" s: ")
-                    .append(escaped(what))
+                    .append(escaped(event))
                     .append("</li>"));
             out.append("</ul>");
         }
@@ -83,63 +83,63 @@
     }
 
     private static String plot(String title, List<Second> seconds, Map<Integer, String> events, List<Line> lines) {
-        double most = 1;
+        double maxValue = 1;
         for (Line line : lines) {
             for (Second second : seconds) {
-                most = Math.max(most, line.value().applyAsDouble(second));
+                maxValue = Math.max(maxValue, line.value().applyAsDouble(second));
             }
         }
-        double step = (WIDTH - LEFT - 10.0) / Math.max(1, seconds.size() - 1);
-        double scale = (HEIGHT - BOTTOM - 10) / most;
-        StringBuilder out = new StringBuilder("<h2>" + escaped(title) + "</h2><svg width=\"" + WIDTH + "\" height=\""
-                + (HEIGHT + 20) + "\" role=\"img\" aria-label=\"" + escaped(title) + "\">");
+        double pxPerSecond = (WIDTH_PX - LEFT_MARGIN_PX - 10.0) / Math.max(1, seconds.size() - 1);
+        double pxPerUnit = (HEIGHT_PX - BOTTOM_MARGIN_PX - 10) / maxValue;
+        StringBuilder out = new StringBuilder("<h2>" + escaped(title) + "</h2><svg width=\"" + WIDTH_PX + "\" height=\""
+                + (HEIGHT_PX + 20) + "\" role=\"img\" aria-label=\"" + escaped(title) + "\">");
         for (double share : List.of(0.0, 0.5, 1.0)) {
-            double y = HEIGHT - BOTTOM - share * most * scale;
+            double y = HEIGHT_PX - BOTTOM_MARGIN_PX - share * maxValue * pxPerUnit;
             out.append(String.format(
                     Locale.ROOT,
                     "<line x1=\"%d\" x2=\"%d\" y1=\"%.1f\" y2=\"%.1f\" "
                             + "stroke=\"#eee\"/><text x=\"%d\" y=\"%.1f\" "
                             + "font-size=\"11\" text-anchor=\"end\">%s</text>",
-                    LEFT,
-                    WIDTH - 10,
+                    LEFT_MARGIN_PX,
+                    WIDTH_PX - 10,
                     y,
                     y,
-                    LEFT - 6,
+                    LEFT_MARGIN_PX - 6,
                     y + 4,
-                    String.format(Locale.ROOT, most < 10 ? "%.1f" : "%.0f", share * most)));
+                    String.format(Locale.ROOT, maxValue < 10 ? "%.1f" : "%.0f", share * maxValue)));
         }
-        events.forEach((second, what) -> out.append(String.format(
+        events.forEach((second, event) -> out.append(String.format(
                 Locale.ROOT,
                 "<line x1=\"%.1f\" x2=\"%.1f\" "
                         + "y1=\"8\" y2=\"%d\" stroke=\"#36c\" stroke-dasharray=\"3 3\"><title>%s</title></line>",
-                LEFT + second * step,
-                LEFT + second * step,
-                HEIGHT - BOTTOM,
-                escaped(what))));
+                LEFT_MARGIN_PX + second * pxPerSecond,
+                LEFT_MARGIN_PX + second * pxPerSecond,
+                HEIGHT_PX - BOTTOM_MARGIN_PX,
+                escaped(event))));
         List<String> legend = new ArrayList<>();
-        int at = LEFT;
+        int legendX = LEFT_MARGIN_PX;
         for (Line line : lines) {
             StringBuilder points = new StringBuilder();
             for (int i = 0; i < seconds.size(); i++) {
                 points.append(String.format(
                         Locale.ROOT,
                         "%.1f,%.1f ",
-                        LEFT + i * step,
-                        HEIGHT - BOTTOM - line.value().applyAsDouble(seconds.get(i)) * scale));
+                        LEFT_MARGIN_PX + i * pxPerSecond,
+                        HEIGHT_PX - BOTTOM_MARGIN_PX - line.value().applyAsDouble(seconds.get(i)) * pxPerUnit));
             }
             out.append("<polyline fill=\"none\" stroke=\"")
                     .append(line.colour())
                     .append("\" stroke-width=\"1.5\" points=\"")
                     .append(points)
                     .append("\"/>");
-            legend.add("<text x=\"" + at + "\" y=\"" + (HEIGHT + 12) + "\" font-size=\"12\" fill=\"" + line.colour()
-                    + "\">" + escaped(line.name()) + "</text>");
-            at += 20 + 8 * line.name().length();
+            legend.add("<text x=\"" + legendX + "\" y=\"" + (HEIGHT_PX + 12) + "\" font-size=\"12\" fill=\""
+                    + line.colour() + "\">" + escaped(line.name()) + "</text>");
+            legendX += 20 + 8 * line.name().length();
         }
         out.append("<text x=\"")
-                .append(WIDTH - 10)
+                .append(WIDTH_PX - 10)
                 .append("\" y=\"")
-                .append(HEIGHT - 6)
+                .append(HEIGHT_PX - 6)
                 .append("\" font-size=\"11\" text-anchor=\"end\">")
                 .append(Math.max(0, seconds.size() - 1))
                 .append(" s</text>");
--- a/tools/src/main/java/martenlatch/tools/Main.java
+++ b/tools/src/main/java/martenlatch/tools/Main.java
@@ -43,14 +43,14 @@
 
     static final int TOO_SLOW = 3;
     static final int DOES_NOT_ADD_UP = 4;
-    private static final int LONGEST_END_S = 660;
+    private static final int MAX_STOP_WAIT_SECONDS = 660;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
     private Main() {}
 
-    /** Runs a command; what can't be used is one plain line and a status above 0. */
+    /** Runs a command. Reports an error as one line and an exit status above 0. */
     public static void main(String[] args) {
         System.exit(run(args, System.out, System.err));
     }
@@ -59,7 +59,7 @@
         CommandLine line = new CommandLine(new Main());
         line.setOut(new java.io.PrintWriter(out, true));
         line.setErr(new java.io.PrintWriter(errors, true));
-        line.getSubcommands().values().forEach(sub -> ((Base) sub.getCommand()).out = out);
+        line.getSubcommands().values().forEach(sub -> ((BaseCommand) sub.getCommand()).out = out);
         line.setExecutionExceptionHandler((e, command, parsed) -> {
             errors.println("martenlatch: "
                     + (e.getMessage() == null
@@ -75,18 +75,18 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing: load, world or demo");
     }
 
-    private abstract static class Base implements Callable<Integer> {
+    private abstract static class BaseCommand implements Callable<Integer> {
         protected PrintStream out = System.out;
-        private final CountDownLatch told = new CountDownLatch(1);
+        private final CountDownLatch finished = new CountDownLatch(1);
 
-        /** At Ctrl-C and SIGTERM: stops what runs, and lets the report be printed before the program ends. */
-        protected void stopAtEnd(Runnable stop) {
+        /** On Ctrl-C or SIGTERM, runs {@code stop} and waits until the report is printed before the program ends. */
+        protected void stopOnShutdown(Runnable stop) {
             Runtime.getRuntime()
                     .addShutdownHook(new Thread(
                             () -> {
                                 stop.run();
                                 try {
-                                    told.await(LONGEST_END_S, TimeUnit.SECONDS);
+                                    finished.await(MAX_STOP_WAIT_SECONDS, TimeUnit.SECONDS);
                                 } catch (InterruptedException e) {
                                     Thread.currentThread().interrupt();
                                 }
@@ -100,13 +100,14 @@
                 return work();
             } finally {
                 out.flush();
-                told.countDown();
+                finished.countDown();
             }
         }
 
         abstract int work() throws IOException, InterruptedException;
     }
 
+    /** Returns the exit status of a load run. */
     private static int status(LoadReport report) {
         return !report.differences().isEmpty()
                 ? DOES_NOT_ADD_UP
@@ -117,29 +118,30 @@
             name = "load",
             mixinStandardHelpOptions = true,
             description = "Sends a load that waits for no answer, and tells what came of it and of itself.")
-    static final class Load extends Base {
+    static final class Load extends BaseCommand {
         @Parameters(paramLabel = "SETTINGS.toml", description = "see docs/load.md")
         private Path settings;
 
         @Option(names = "--report", paramLabel = "FILE.html", description = "writes a page with plots")
-        private Path page;
+        private Path htmlFile;
 
         @Option(names = "--quiet", description = "no line a second")
         private boolean quiet;
 
         @Override
         int work() throws IOException, InterruptedException {
-            LoadSettings read = LoadSettings.read(settings);
-            Arrivals arrivals = read.arrivals(complaint -> out.println("trace: " + complaint));
-            if (read.plan().warmSeconds() > 0) {
-                Rehearsal.play(read.classes());
+            LoadSettings loadSettings = LoadSettings.read(settings);
+            Arrivals arrivals = loadSettings.arrivals(complaint -> out.println("trace: " + complaint));
+            if (loadSettings.plan().warmSeconds() > 0) {
+                GeneratorWarmUp.run(loadSettings.classes());
             }
             LoadRun run = new LoadRun(
-                    read.plan(),
+                    loadSettings.plan(),
                     arrivals,
-                    (loop, most) -> new HttpDriver(loop, read.plan().targets(), most),
-                    quiet ? second -> {} : this::live);
-            stopAtEnd(run::stop);
+                    (loop, maxConnections) ->
+                            new HttpDriver(loop, loadSettings.plan().targets(), maxConnections),
+                    quiet ? second -> {} : this::printSecond);
+            stopOnShutdown(run::stop);
             LoadReport report = run.run();
             report.print(out);
             if (report.seconds().size() < report.plannedSeconds()) {
@@ -149,15 +151,15 @@
                         report.seconds().size(),
                         report.plannedSeconds());
             }
-            if (page != null) {
-                java.io.ByteArrayOutputStream words = new java.io.ByteArrayOutputStream();
-                report.print(new PrintStream(words, true));
-                HtmlReport.write(page, "martenlatch load", report, Map.of(), words.toString());
+            if (htmlFile != null) {
+                java.io.ByteArrayOutputStream text = new java.io.ByteArrayOutputStream();
+                report.print(new PrintStream(text, true));
+                HtmlReport.write(htmlFile, "martenlatch load", report, Map.of(), text.toString());
             }
             return status(report);
         }
 
-        private void live(Second second) {
+        private void printSecond(Second second) {
             out.printf(
                     Locale.ROOT,
                     "%4d s sent %6d served %6d refused %5d failed %5d timed out %5d unsent "
@@ -180,7 +182,7 @@
             name = "world",
             mixinStandardHelpOptions = true,
             description = "Stand-in endpoints and discovery on loopback, until Ctrl-C.")
-    static final class WorldCommand extends Base {
+    static final class WorldCommand extends BaseCommand {
         @Parameters(paramLabel = "SETTINGS.toml", description = "see docs/load.md")
         private Path settings;
 
@@ -190,18 +192,18 @@
             CountDownLatch stop = new CountDownLatch(1);
             try (World world = new World(file.settings(), file.discoveryPort())) {
                 world.endpoints()
-                        .forEach(one -> out.println(one.id() + " " + one.zone() + " 127.0.0.1:"
-                                + one.address().getPort()));
+                        .forEach(endpoint -> out.println(endpoint.id() + " " + endpoint.zone() + " 127.0.0.1:"
+                                + endpoint.address().getPort()));
                 out.println("discovery 127.0.0.1:" + world.discovery().address().getPort());
-                stopAtEnd(stop::countDown);
-                long began = System.nanoTime();
-                for (ScheduledEvent next : file.events()) {
-                    long wait = (long) (next.atSeconds() * 1e9) - (System.nanoTime() - began);
-                    if (stop.await(Math.max(0, wait), TimeUnit.NANOSECONDS)) {
+                stopOnShutdown(stop::countDown);
+                long startNanos = System.nanoTime();
+                for (ScheduledEvent event : file.events()) {
+                    long waitNanos = (long) (event.atSeconds() * 1e9) - (System.nanoTime() - startNanos);
+                    if (stop.await(Math.max(0, waitNanos), TimeUnit.NANOSECONDS)) {
                         break;
                     }
-                    next.applyTo(world);
-                    out.printf(Locale.ROOT, "%.1f s: %s%n", next.atSeconds(), next);
+                    event.applyTo(world);
+                    out.printf(Locale.ROOT, "%.1f s: %s%n", event.atSeconds(), event);
                 }
                 stop.await();
                 out.println(world.ledger());
@@ -214,7 +216,7 @@
             name = "demo",
             mixinStandardHelpOptions = true,
             description = "A world, a sidecar and a load in one process, with trouble half way.")
-    static final class DemoCommand extends Base {
+    static final class DemoCommand extends BaseCommand {
         @Option(names = "--seconds", defaultValue = "20", description = "how long, from 10 on " + "(${DEFAULT-VALUE})")
         private int seconds;
 
@@ -222,15 +224,15 @@
         private int rate;
 
         @Option(names = "--report", paramLabel = "FILE.html", description = "writes a page with plots")
-        private Path page;
+        private Path htmlFile;
 
         @Override
         int work() throws IOException, InterruptedException {
-            Demo.Result result = new Demo(seconds, rate, out).run(this::stopAtEnd);
+            Demo.Result result = new Demo(seconds, rate, out).run(this::stopOnShutdown);
             out.print(result.summary());
-            if (page != null) {
-                HtmlReport.write(page, "martenlatch demo", result.report(), result.events(), result.summary());
-                out.println("plots: " + page.toAbsolutePath());
+            if (htmlFile != null) {
+                HtmlReport.write(htmlFile, "martenlatch demo", result.report(), result.events(), result.summary());
+                out.println("plots: " + htmlFile.toAbsolutePath());
             }
             return result.holds() ? 0 : 1;
         }
--- a/tools/src/main/java/martenlatch/tools/package-info.java
+++ b/tools/src/main/java/martenlatch/tools/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line of the tools: load, world, demo. It may use every room of this module, and the sidecar's
- * assembly for the demo.
+ * The command line of the tools: load, world, demo. May use every package of this module, and through the demo the
+ * sidecar.
  */
 package martenlatch.tools;
--- a/tools/src/test/java/martenlatch/ToolsRoomsTest.java
+++ b/tools/src/test/java/martenlatch/ToolsRoomsTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** The rooms of the tools: what loads and what stands in know nothing of what they are put before. */
+/** Checks the package layers of the tools; the load generator and the emulated world must not depend on the sidecar. */
 class ToolsRoomsTest {
 
     private static final JavaClasses PROGRAM = new ClassFileImporter()
@@ -16,7 +16,7 @@
             .importPackages("martenlatch");
 
     @Test
-    void arrowsRunDown() {
+    void packagesDependOnLowerLayersOnly() {
         layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
                 .layer("tools")
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void theyUseNothingOfTheProductButItsChecksOfFields() {
+    void loadAndWorldDoNotDependOnTheSidecar() {
         noClasses()
                 .that()
                 .resideInAnyPackage("martenlatch.load..", "martenlatch.world..")
--- a/tools/src/test/java/martenlatch/load/GeneratorLatenessTest.java
+++ b/tools/src/test/java/martenlatch/load/GeneratorLatenessTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Who was slow: the generator by its own lateness, and never by the service's. */
+/** Results are void because of the generator's own lateness, and never because of a slow service. */
 class GeneratorLatenessTest {
 
     private static final long MS = 1_000_000;
@@ -20,14 +20,14 @@
     }
 
     @Test
-    void oneInAHundredIsLeft() {
+    void toleratesOnePercentOfLateSendsAndAnswers() {
         second(0, 1000, 10, 1000, 10);
         assertEquals(-1, lateness.voidFrom());
         assertEquals(0.01, lateness.lateShare(), 1e-9);
     }
 
     @Test
-    void fromTheFirstSecondWithMoreAllIsVoid() {
+    void voidsAllSecondsFromTheFirstOneWithTooManyLateSends() {
         second(0, 1000, 0, 1000, 0);
         second(1, 1000, 11, 1000, 0);
         second(2, 1000, 0, 1000, 0);
@@ -35,20 +35,20 @@
     }
 
     @Test
-    void answersReadLateVoidTheirSecondThoughAllSendsWereInTime() {
+    void voidsASecondWithLateAnswersEvenIfAllSendsWereInTime() {
         second(0, 1000, 0, 1000, 0);
         second(1, 10, 0, 20, 1);
         assertEquals(1, lateness.voidFrom());
     }
 
     @Test
-    void theLastSecondIsJudgedToo() {
+    void evaluatesTheLastSecond() {
         second(5, 100, 2, 100, 0);
         assertEquals(5, lateness.voidFrom());
     }
 
     @Test
-    void noAnswerForSecondsIsTheServicesFault() {
+    void voidsNothingIfTheServiceDoesNotAnswer() {
         for (int i = 0; i < 10; i++) {
             second(i, 1000, 0, 0, 0);
         }
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void theEarlierOfTwoWorkersCounts() {
+    void keepsTheEarlierVoidSecondOfTwoWorkers() {
         second(3, 100, 50, 0, 0);
         GeneratorLateness other = new GeneratorLateness();
         other.recordSend(1, 5 * MS);
--- a/tools/src/test/java/martenlatch/load/LoadRunTest.java
+++ b/tools/src/test/java/martenlatch/load/LoadRunTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The generator on loopback, before a world that misbehaves. */
+/** Runs the load generator against an emulated world with faults, on the loopback interface. */
 @Timeout(60)
 class LoadRunTest {
 
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void whatIsServedIsCountedOnBothSides() throws Exception {
+    void countsServedRequestsAtGeneratorAndEndpoint() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 1")));
         LoadReport report = run(
                         endpoint.address(), kind(LoadClass.Effect.KEYED, 2_000, 0), "constant 500 1", 200, second -> {})
@@ -79,12 +79,12 @@
     }
 
     /**
-     * 200 a second for 3 s, and the service answers nothing for 1 s in between: 200 of 600 come during the
-     * stall, and wait for what is left of it, evenly from 1000 ms down to 0. So 1 in 100 of all (6) wait at
-     * least 1000 * (1 - 6/200) = 970 ms, and 1 in 10 (60) at least 700 ms.
+     * 200 requests per second for 3 s, with a stall of 1 s: 200 of the 600 requests arrive during the stall and wait for
+     * the rest of it, evenly from 1000 ms down to 0. So 1 % of all (6) wait at least 1000 * (1 - 6/200) = 970 ms, and 10 %
+     * (60) at least 700 ms.
      */
     @Test
-    void aStallShowsInTheTailAsArithmeticSaysAndAClosedLoopHidesIt() throws Exception {
+    void showsAStallInTheTailThatAClosedLoopHides() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 1")));
         LoadReport report = run(
                         endpoint.address(),
@@ -102,7 +102,7 @@
         assertTrue(times.getValueAtPercentile(99) >= 960_000, "p99 " + times.getValueAtPercentile(99));
         assertTrue(times.getValueAtPercentile(90) >= 690_000, "p90 " + times.getValueAtPercentile(90));
         assertTrue(times.getValueAtPercentile(50) < 600_000, "p50 " + times.getValueAtPercentile(50));
-        // It was the service: the generator's own sends did not wait as long as that.
+        // The service caused the latency: the generator's own sends were not that late.
         assertTrue(report.lateness().lateness().getMaxValue() < 900_000_000L, report.verdict());
 
         Histogram closed = new Histogram(3_600_000_000L, 3);
@@ -120,14 +120,16 @@
                 closed.recordValue((System.nanoTime() - began) / 1000);
             }
         }
-        assertTrue(closed.getMaxValue() >= 900_000, "the stall was there");
-        assertTrue(closed.getValueAtPercentile(99) < 500_000, "and 99 in 100 do not show it");
+        assertTrue(closed.getMaxValue() >= 900_000, "the closed loop must meet the stall");
+        assertTrue(
+                closed.getValueAtPercentile(99) < 500_000,
+                "the 99th percentile of a closed loop must not show the stall");
     }
 
-    /** Its loop is blocked on purpose, the service answers at once: the fault is the generator's. */
+    /** The event loop is blocked on purpose and the service answers at once, so the lateness is the generator's. */
     @Test
-    void aStarvedGeneratorSaysSo() throws Exception {
-        LoadReport report = starvedRun(kind(LoadClass.Effect.REPEATABLE, 5_000, 0), 1000, 600);
+    void reportsThatTheGeneratorWasTooSlow() throws Exception {
+        LoadReport report = blockedRun(kind(LoadClass.Effect.REPEATABLE, 5_000, 0), 1000, 600);
         assertEquals(1000, report.all().count(RequestOutcome.SERVED));
         assertTrue(report.lateness().voidFrom() >= 0 && report.lateness().voidFrom() <= 1, report.verdict());
         assertTrue(report.lateness().lateShare() > 0.1, report.verdict());
@@ -136,38 +138,38 @@
     }
 
     /**
-     * Guards against a backlog that feeds itself: what is sent late with no time left is cut off, and each
-     * costs a connection. Here the backlog is longer than any request may take.
+     * Guards against a backlog that sustains itself: requests sent late with no time left would time out at once and cost
+     * a connection each. Here the backlog is longer than the deadline of a request.
      */
     @Test
-    void aGeneratorThatWasStarvedCatchesUp() throws Exception {
-        LoadReport report = starvedRun(kind(LoadClass.Effect.UNSAFE, 300, 0), 20, 300);
+    void catchesUpAfterTheEventLoopWasBlocked() throws Exception {
+        LoadReport report = blockedRun(kind(LoadClass.Effect.UNSAFE, 300, 0), 20, 300);
         assertEquals(1000, report.all().wishes());
         assertEquals(0, report.all().count(RequestOutcome.NOT_SENT), printed(report));
         assertTrue(report.all().count(RequestOutcome.SERVED) >= 990, printed(report));
-        assertTrue(report.lateness().voidFrom() >= 0, "whatever is served late is no figure of the service");
+        assertTrue(report.lateness().voidFrom() >= 0, "results after the block must be void");
     }
 
-    /** 1,000 wishes in two seconds to a service that answers at once, and a block at one of the sends. */
-    private LoadReport starvedRun(LoadClass kind, int connections, int atSend) throws Exception {
+    /** Sends 1000 arrivals in 2 s to a service that answers at once, and blocks the event loop at one of the sends. */
+    private LoadReport blockedRun(LoadClass kind, int connections, int atSend) throws Exception {
         List<InetSocketAddress> targets = List.of(endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 0")))
                 .address());
         return new LoadRun(
                         new LoadPlan(targets, 1, connections, 0),
                         Arrivals.drawn(
                                 new Schedule(List.of(Shape.parse("constant 500 2")), false, 1), List.of(kind), 1),
-                        (loop, most) -> starved(new HttpDriver(loop, targets, most), atSend),
+                        (loop, most) -> blocking(new HttpDriver(loop, targets, most), atSend),
                         second -> {})
                 .run();
     }
 
-    /** A driver that blocks the generator's loop at one of its sends. */
-    private static Driver starved(Driver driver, int atSend) {
+    /** Returns a driver that blocks the generator's event loop for 400 ms at one of its sends. */
+    private static Driver blocking(Driver driver, int atSend) {
         return new Driver() {
             private int sends;
 
             @Override
-            public Call send(Arrival wish, String id, boolean retry, long leftNanos, Ending ending) {
+            public Call send(Arrival arrival, String id, boolean retry, long leftNanos, Ending ending) {
                 if (++sends == atSend) {
                     try {
                         Thread.sleep(400);
@@ -175,7 +177,7 @@
                         Thread.currentThread().interrupt();
                     }
                 }
-                return driver.send(wish, id, retry, leftNanos, ending);
+                return driver.send(arrival, id, retry, leftNanos, ending);
             }
 
             @Override
@@ -196,7 +198,7 @@
         "ERRORS, FAILED, status 500",
         "TWICE, SERVED, "
     })
-    void eachRequestEndsInOneCount(EndpointFault trouble, RequestOutcome end, String cause) throws Exception {
+    void countsEachRequestUnderOneOutcome(EndpointFault trouble, RequestOutcome end, String cause) throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 0")));
         endpoint.trouble(trouble);
         int deadline = end == RequestOutcome.TIMED_OUT ? 300 : 5_000;
@@ -209,7 +211,7 @@
                 .run();
         LoadStats all = report.all();
         assertEquals(100, all.wishes());
-        // A very busy machine may not get some out within a short deadline; none is in two counts or none.
+        // A very busy machine may miss the short deadline before some sends; each still counts exactly once.
         assertEquals(
                 100,
                 all.count(end) + (end == RequestOutcome.TIMED_OUT ? all.count(RequestOutcome.NOT_SENT) : 0),
@@ -221,16 +223,16 @@
             assertTrue(all.causes().keySet().stream().anyMatch(said -> said.matches(cause)), printed(report));
         }
         if (trouble == EndpointFault.TWICE) {
-            assertEquals(100, endpoint.accepts(), "what nobody asked for ends its connection");
+            assertEquals(100, endpoint.accepts(), "unrequested data must close the connection");
         }
         if (trouble != EndpointFault.DEAF) {
-            assertTrue(world.ledger().runTwice() == 0, "nothing is sent twice");
+            assertTrue(world.ledger().runTwice() == 0, "no request may run twice");
         }
     }
 
-    /** Guards against an answer that comes when its request has been given up, and would be a second end. */
+    /** Guards against an answer that arrives after its request was given up and would count as a second outcome. */
     @Test
-    void anAnswerThatComesTooLateIsNoSecondEnd() throws Exception {
+    void ignoresAnAnswerAfterTheDeadline() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 300")));
         LoadReport report = run(
                         endpoint.address(),
@@ -244,11 +246,11 @@
         assertEquals(150, all.count(RequestOutcome.TIMED_OUT) + all.count(RequestOutcome.NOT_SENT), printed(report));
         assertEquals(150, all.ended());
         assertEquals(List.of(), report.differences());
-        assertTrue(world.ledger().receivedCount() > 0, "they were on their way");
+        assertTrue(world.ledger().receivedCount() > 0, "requests must have reached the endpoint");
     }
 
     @Test
-    void aServiceThatIsNotThereFailsEachAtOnce() throws Exception {
+    void failsRequestsAtOnceIfNoServiceListens() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 0")));
         world.die(0);
         LoadReport report = run(
@@ -263,11 +265,11 @@
     }
 
     /**
-     * One connection, 500 ms a request, 3 s of time: 6 or so of 100 can be sent; the others are not
-     * skipped. The times are long against the pauses of a busy machine.
+     * With one connection, 500 ms per request and a deadline of 3 s, about 6 of 100 requests can be sent; the others must
+     * be counted too. The times are long compared with the pauses of a busy machine.
      */
     @Test
-    void sendsThatFoundNoConnectionAreCounted() throws Exception {
+    void countsRequestsThatFoundNoConnection() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 500")));
         LoadReport report = run(
                         endpoint.address(),
@@ -281,15 +283,15 @@
         assertTrue(all.count(RequestOutcome.NOT_SENT) >= 50, printed(report));
         assertTrue(all.count(RequestOutcome.SERVED) >= 1 && all.count(RequestOutcome.SERVED) <= 6, printed(report));
         assertTrue(report.waits() > 0, printed(report));
-        assertTrue(all.all().getValueAtPercentile(90) >= 2_900_000, "their time counts too");
+        assertTrue(all.all().getValueAtPercentile(90) >= 2_900_000, "the time of unsent requests must count");
         assertTrue(printed(report).contains("at most 1 connections"), printed(report));
     }
 
     /**
-     * A refusal is tried again as a new request; what is unsafe is not, after a failure that may have run.
+     * A rejected request is retried as a new request; an unsafe one is not retried after a failure, as it may have run.
      */
     @Test
-    void retriesAreThoseOfThePlatformsClients() throws Exception {
+    void retriesLikeThePlatformsClients() throws Exception {
         WorldSettings full =
                 new WorldSettings(1, List.of("a"), ServiceTime.parse("constant 300"), 1, 0, 0, 1, 500, 1, 1000, 1);
         Endpoint endpoint = endpoint(full);
@@ -315,7 +317,7 @@
     }
 
     @Test
-    void aStopGivesTheReportOfWhatWasDone() throws Exception {
+    void reportsWhatWasDoneUntilAStop() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 1")));
         LoadRun[] run = new LoadRun[1];
         run[0] = run(
@@ -331,7 +333,7 @@
     }
 
     @Test
-    void aRateBeyondTheMachineIsSaidToBe() throws Exception {
+    void reportsARateThatTheMachineCannotSend() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 0")));
         LoadReport report = run(
                         endpoint.address(),
@@ -345,7 +347,7 @@
     }
 
     @Test
-    void manyWorkersShareOneSourceAndNothingIsLostBetweenThem() throws Exception {
+    void distributesArrivalsAmongWorkersWithoutLoss() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 0")));
         List<InetSocketAddress> targets = List.of(endpoint.address());
         List<Second> seconds = new ArrayList<>();
@@ -369,7 +371,7 @@
     }
 
     @Test
-    void aTraceThatBreaksInTheMiddleEndsTheRunWithItsReason() throws Exception {
+    void endsTheRunWithTheReasonOfAReadFailure() throws Exception {
         Endpoint endpoint = endpoint(WorldSettings.plain(1, ServiceTime.parse("constant 0")));
         List<InetSocketAddress> targets = List.of(endpoint.address());
         Arrivals broken = new Arrivals() {
--- a/tools/src/test/java/martenlatch/load/ScheduleTest.java
+++ b/tools/src/test/java/martenlatch/load/ScheduleTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Arrivals stand where their shapes say, and a seed gives the same ones each time. */
+/** Arrivals follow their shapes, and a seed always gives the same arrivals. */
 class ScheduleTest {
 
     private static List<Double> seconds(boolean poisson, long seed, String... shapes) {
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void aConstantRateIsEven() {
+    void spacesAConstantRateEvenly() {
         List<Double> times = seconds(false, 1, "constant 100 2");
         assertEquals(200, times.size());
         for (int i = 0; i < times.size(); i++) {
@@ -45,12 +45,12 @@
         "bursts 50 1050 2 0.5 4, 1200",
         "wave 200 150 2 4, 800"
     })
-    void eachShapeSendsWhatItsRateAddsUpTo(String shape, int arrivals) {
+    void sendsTheIntegralOfTheRateOfEachShape(String shape, int arrivals) {
         assertEquals(arrivals, seconds(false, 1, shape).size(), 1);
     }
 
     @Test
-    void ratesStandWhereTheShapePutsThem() {
+    void sendsAtTheRateThatTheShapeHasAtEachTime() {
         List<Double> ramp = seconds(false, 1, "ramp 0 400 2");
         assertEquals(100, between(ramp, 0, 1), 1);
         assertEquals(300, between(ramp, 1, 2), 1);
@@ -63,12 +63,12 @@
         assertEquals(15, between(bursts, 0.5, 2), 1);
         assertEquals(500, between(bursts, 2, 2.5), 1);
         List<Double> wave = seconds(false, 1, "wave 200 200 4 4");
-        // The integral of 200 + 200 sin over the half that is up is 400 + 2 * 200 * 2 / pi.
+        // The integral of 200 + 200 sin over the half above the mean is 400 + 2 * 200 * 2 / pi.
         assertEquals(400 + 800 / Math.PI, between(wave, 0, 2), 1);
     }
 
     @Test
-    void shapesFollowOneAnother() {
+    void runsShapesOneAfterTheOther() {
         List<Double> times = seconds(false, 1, "constant 100 1", "constant 0 2", "constant 50 1");
         assertEquals(100, between(times, 0, 1), 1);
         assertEquals(0, between(times, 1.001, 2.999));
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void poissonGapsHaveTheirMeanAndVariance() {
+    void drawsPoissonGapsWithTheExpectedMeanAndVariance() {
         List<Double> times = seconds(true, 7, "constant 1000 100");
         assertEquals(100_000, times.size(), 1000);
         double mean = 0;
@@ -89,13 +89,13 @@
             mean += gap / (times.size() - 1);
             square += gap * gap / (times.size() - 1);
         }
-        // An exponential gap's variance is the square of its mean; of even gaps it would be nothing.
+        // The variance of an exponential gap is the square of its mean; that of even gaps would be 0.
         assertEquals(0.001, mean, 0.00002);
         assertEquals(mean * mean, square - mean * mean, 0.03 * mean * mean);
     }
 
     @Test
-    void aSeedGivesTheSameArrivalsAndAnotherGivesOthers() {
+    void repeatsTheArrivalsOfASeed() {
         assertEquals(seconds(true, 7, "ramp 10 500 3"), seconds(true, 7, "ramp 10 500 3"));
         assertTrue(!seconds(true, 7, "ramp 10 500 3").equals(seconds(true, 8, "ramp 10 500 3")));
     }
@@ -115,32 +115,33 @@
                 "constant NaN 1",
                 "constant 1e12 1"
             })
-    void aShapeThatIsNoneIsNamed(String text) {
-        String said = assertThrows(IllegalArgumentException.class, () -> Shape.parse(text))
+    void rejectsAnInvalidShapeAndNamesIt(String text) {
+        String message = assertThrows(IllegalArgumentException.class, () -> Shape.parse(text))
                 .getMessage();
-        assertTrue(said.startsWith("shape") && said.contains(text), said);
+        assertTrue(message.startsWith("shape") && message.contains(text), message);
     }
 
     @Test
-    void aRateOfNothingIsRefused() {
-        String said = assertThrows(
+    void rejectsShapesWhoseRatesAreAllZero() {
+        String message = assertThrows(
                         IllegalArgumentException.class,
                         () -> new Schedule(List.of(Shape.parse("constant 0 5")), false, 1))
                 .getMessage();
-        assertTrue(said.contains("rates are all 0"), said);
+        assertTrue(message.contains("rates are all 0"), message);
     }
 
     @Test
-    void classesComeInTheirShares() throws Exception {
-        List<LoadClass> kinds = List.of(
+    void drawsClassesInProportionToTheirShares() throws Exception {
+        List<LoadClass> classes = List.of(
                 new LoadClass("a", 3, LoadClass.Effect.REPEATABLE, 0, 100, 0),
                 new LoadClass("b", 1, LoadClass.Effect.UNSAFE, 10, 200, 0));
-        Arrivals arrivals = Arrivals.drawn(new Schedule(List.of(Shape.parse("constant 10000 1")), false, 1), kinds, 3);
+        Arrivals arrivals =
+                Arrivals.drawn(new Schedule(List.of(Shape.parse("constant 10000 1")), false, 1), classes, 3);
         int[] counts = new int[2];
         long number = 0;
         for (Arrival next = arrivals.next(); next != null; next = arrivals.next()) {
             assertEquals(number++, next.number());
-            counts[kinds.indexOf(next.kind())]++;
+            counts[classes.indexOf(next.kind())]++;
         }
         assertEquals(7500, counts[0], 200);
         assertEquals(2500, counts[1], 200);
--- a/tools/src/test/java/martenlatch/load/TraceTest.java
+++ b/tools/src/test/java/martenlatch/load/TraceTest.java
@@ -16,11 +16,11 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Recorded traffic is played as it was; what can't be used is named, and too much of it ends the run first.
+ * A trace is replayed as recorded; invalid lines are reported, and too many of them prevent the run.
  */
 class TraceTest {
 
-    private static final List<LoadClass> KINDS = List.of(
+    private static final List<LoadClass> CLASSES = List.of(
             new LoadClass("read", 1, LoadClass.Effect.REPEATABLE, 0, 500, 0),
             new LoadClass("order", 1, LoadClass.Effect.UNSAFE, 100, 900, 0));
 
@@ -32,23 +32,23 @@
     }
 
     private static List<String> played(Trace trace, double speed) throws IOException {
-        List<String> wishes = new ArrayList<>();
+        List<String> arrivalTexts = new ArrayList<>();
         try (Arrivals arrivals = trace.play(speed)) {
             for (Arrival next = arrivals.next(); next != null; next = arrivals.next()) {
-                wishes.add(next.number() + "@" + next.intendedNanos() / 1_000_000 + " "
+                arrivalTexts.add(next.number() + "@" + next.intendedNanos() / 1_000_000 + " "
                         + next.kind().name()
                         + " "
                         + next.key() + " " + next.bodyBytes() + " " + next.deadlineMs());
             }
         }
-        return wishes;
+        return arrivalTexts;
     }
 
     @Test
-    void csvIsReadByItsHeader() throws IOException {
+    void readsCsvColumnsByHeader() throws IOException {
         Trace trace = Trace.check(
                 file("class,time,note,key,deadline,size", "read,100.5,\"a, b\",k1,,", "order,101,x,,250,4096"),
-                KINDS,
+                CLASSES,
                 0);
         assertEquals(List.of("0@0 read k1 0 500", "1@500 order null 4096 250"), played(trace, 1));
         assertEquals(0.5, trace.seconds(), 1e-9);
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void jsonLinesAndGzipAreKnownByTheirBytes() throws IOException {
+    void detectsJsonLinesAndGzipByContent() throws IOException {
         Path file = folder.resolve("trace.gz");
         try (OutputStream out = new GZIPOutputStream(Files.newOutputStream(file))) {
             out.write("""
@@ -65,19 +65,20 @@
                 {"time":"5.25"}
                 """.getBytes(StandardCharsets.UTF_8));
         }
-        assertEquals(List.of("0@0 order null 7 900", "1@250 read null 0 500"), played(Trace.check(file, KINDS, 0), 1));
+        assertEquals(
+                List.of("0@0 order null 7 900", "1@250 read null 0 500"), played(Trace.check(file, CLASSES, 0), 1));
     }
 
     @Test
-    void aSpeedScalesIt() throws IOException {
-        Trace trace = Trace.check(file("time", "10", "14", "20"), KINDS, 0);
+    void scalesTimesBySpeed() throws IOException {
+        Trace trace = Trace.check(file("time", "10", "14", "20"), CLASSES, 0);
         assertEquals(
                 List.of("0@0 read null 0 500", "1@2000 read null 0 500", "2@5000 read null 0 500"), played(trace, 2));
         assertThrows(IllegalArgumentException.class, () -> trace.play(0));
     }
 
     @Test
-    void aLineOfNoUseIsNamedByNumberAndLeftOutOfBothPasses() throws IOException {
+    void reportsInvalidLinesByNumberAndSkipsThemInBothPasses() throws IOException {
         Trace trace = Trace.check(
                 file(
                         "time,class,size",
@@ -89,7 +90,7 @@
                         "4,order,5",
                         "3.9,read,1",
                         "5,read,0"),
-                KINDS,
+                CLASSES,
                 0.7);
         assertEquals(
                 List.of(
@@ -104,31 +105,31 @@
     }
 
     @Test
-    void tooManyOfThemEndTheRunBeforeItStarts() throws IOException {
+    void rejectsATraceWithTooManyInvalidLines() throws IOException {
         Path file = file("time", "1", "x", "2", "3");
-        assertEquals(1, Trace.check(file, KINDS, 0.25).bad());
-        String said = assertThrows(IllegalArgumentException.class, () -> Trace.check(file, KINDS, 0.24))
+        assertEquals(1, Trace.check(file, CLASSES, 0.25).bad());
+        String message = assertThrows(IllegalArgumentException.class, () -> Trace.check(file, CLASSES, 0.24))
                 .getMessage();
-        assertTrue(said.contains("1 of 4 lines") && said.contains("line 3"), said);
+        assertTrue(message.contains("1 of 4 lines") && message.contains("line 3"), message);
     }
 
     @Test
-    void anEmptyTraceOneWithoutTimesAndOneThatIsNotThereAreToldPlainly() throws IOException {
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> Trace.check(file(""), KINDS, 1))
+    void rejectsEmptyMissingAndTimelessTraces() throws IOException {
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> Trace.check(file(""), CLASSES, 1))
                 .getMessage()
                 .contains("it is empty"));
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> Trace.check(file("time,class"), KINDS, 1))
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> Trace.check(file("time,class"), CLASSES, 1))
                 .getMessage()
                 .contains("it is empty"));
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> Trace.check(file("when,class"), KINDS, 1))
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> Trace.check(file("when,class"), CLASSES, 1))
                 .getMessage()
                 .contains("a column time"));
-        assertThrows(IOException.class, () -> Trace.check(folder.resolve("none"), KINDS, 1));
+        assertThrows(IOException.class, () -> Trace.check(folder.resolve("none"), CLASSES, 1));
     }
 
     @Test
-    void aLineWithoutEndIsOneLineOfNoUse() throws IOException {
-        Trace trace = Trace.check(file("time,class", "1,read", "2," + "x".repeat(300_000), "3,read"), KINDS, 0.5);
+    void countsAnOverlongLineAsOneInvalidLine() throws IOException {
+        Trace trace = Trace.check(file("time,class", "1,read", "2," + "x".repeat(300_000), "3,read"), CLASSES, 0.5);
         assertEquals(1, trace.bad());
         assertEquals(2, played(trace, 1).size());
         assertTrue(trace.complaints().get(0).length() < 200);
--- a/tools/src/test/java/martenlatch/tools/RehearsalTest.java
+++ b/tools/src/test/java/martenlatch/tools/GeneratorWarmUpTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(60)
-class RehearsalTest {
+class GeneratorWarmUpTest {
 
-    /** Each class goes its own way through the code, so each is sent; and the rehearsal ends by itself. */
+    /** Each request class has its own code path, so the warm-up must send all of them; and it must end by itself. */
     @Test
-    void allClassesAreSentAndServed() throws Exception {
-        LoadReport report = Rehearsal.play(List.of(
+    void sendsAndServesAllClasses() throws Exception {
+        LoadReport report = GeneratorWarmUp.run(List.of(
                 new LoadClass("look-up", 1, LoadClass.Effect.REPEATABLE, 0, 30_000, 0),
                 new LoadClass("update", 1, LoadClass.Effect.KEYED, 300, 30_000, 1),
                 new LoadClass("book", 1, LoadClass.Effect.UNSAFE, 300, 30_000, 0)));
--- a/tools/src/test/java/martenlatch/tools/MainTest.java
+++ b/tools/src/test/java/martenlatch/tools/MainTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The command line, as people meet it. */
+/** Runs the commands and checks output and exit status. */
 @Timeout(120)
 class MainTest {
 
@@ -32,7 +32,7 @@
     Path folder;
 
     private World world;
-    private String said;
+    private String output;
 
     @BeforeEach
     void start() {
@@ -48,7 +48,7 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         PrintStream print = new PrintStream(out, true);
         int status = Main.run(args, print, print);
-        said = out.toString();
+        output = out.toString();
         return status;
     }
 
@@ -63,48 +63,48 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "load", "world", "demo"})
-    void eachCommandHelps(String command) {
+    void printsHelpForEachCommand(String command) {
         assertEquals(0, command.isEmpty() ? run("--help") : run(command, "--help"));
-        assertTrue(said.contains("Usage: martenlatch-tools " + command), said);
+        assertTrue(output.contains("Usage: martenlatch-tools " + command), output);
         assertEquals(0, run("--version"));
-        assertTrue(said.contains("0.3.0"), said);
+        assertTrue(output.contains("0.3.0"), output);
     }
 
     @Test
-    void whatIsNoCommandHasAStatusOfItsOwn() {
+    void returnsAnErrorStatusForInvalidCommandLines() {
         assertEquals(2, run());
         assertEquals(2, run("sing"));
         assertEquals(2, run("load"));
         assertEquals(1, run("load", folder.resolve("none").toString()));
-        assertTrue(said.contains("martenlatch: the settings file is not there"), said);
+        assertTrue(output.contains("martenlatch: the settings file is not there"), output);
         assertEquals(1, run("demo", "--seconds", "3"));
-        assertTrue(said.contains("seconds must be 10 to 3600 but is 3"), said);
+        assertTrue(output.contains("seconds must be 10 to 3600 but is 3"), output);
     }
 
     @Test
-    void aLoadTellsWhatCameOfItAndWritesItsPage() throws IOException {
+    void loadPrintsItsReportAndWritesThePage() throws IOException {
         Path page = folder.resolve("page.html");
         int status = run(
                 "load",
                 load("shapes = [\"constant 100 1\", \"ramp 100 200 1\"]\narrivals = " + "\"even\""),
                 "--report",
                 page.toString());
-        // A machine that is busy enough makes it say that it was too slow; both are true reports.
-        assertTrue(status == 0 || status == Main.TOO_SLOW, said);
-        assertTrue(said.matches("(?s).*read +250 +250 +250 +0 .*"), said);
+        // On a busy machine the generator may report that it was too slow, which is correct.
+        assertTrue(status == 0 || status == Main.TOO_SLOW, output);
+        assertTrue(output.matches("(?s).*read +250 +250 +250 +0 .*"), output);
         String html = Files.readString(page);
         assertTrue(html.contains("<polyline") && html.contains("Requests a second") && html.endsWith("</html>\n"));
-        assertTrue(!html.contains("http://") && !html.contains("https://"), "it needs nothing else");
+        assertTrue(!html.contains("http://") && !html.contains("https://"), "the page must not load other resources");
     }
 
     @Test
-    void aTraceIsPlayedAndItsBadLinesAreNamed() throws IOException {
+    void loadReplaysATraceAndReportsInvalidLines() throws IOException {
         Files.writeString(folder.resolve("t.csv"), "time,class\n1,read\n1.1,read\nx,read\n1.2,read\n");
         int status = run("load", load("trace = \"t.csv\"\ntrace-bad-share = 0.3\ntrace-speed = 2"), "--quiet");
-        assertTrue(status == 0 || status == Main.TOO_SLOW, said);
-        assertTrue(said.contains("trace: line 4: time must be a number"), said);
-        assertTrue(said.contains("trace: 1 of 4 lines of the trace are left out"), said);
-        assertTrue(said.matches("(?s).*read +3 +3 +3 +0 .*"), said);
+        assertTrue(status == 0 || status == Main.TOO_SLOW, output);
+        assertTrue(output.contains("trace: line 4: time must be a number"), output);
+        assertTrue(output.contains("trace: 1 of 4 lines of the trace are left out"), output);
+        assertTrue(output.matches("(?s).*read +3 +3 +3 +0 .*"), output);
         assertEquals(3, world.ledger().ids());
     }
 
@@ -126,10 +126,10 @@
                 "shapes = ['constant 1 1']\\n[[class]]\\nname = 'read'\\neffect = 'unsafe'|two are \"read\"",
                 "trace = 'none.csv'|none.csv"
             })
-    void settingsThatCannotBeUsedAreNamed(String lines, String part) throws IOException {
+    void rejectsInvalidSettingsAndNamesThem(String lines, String part) throws IOException {
         assertEquals(1, run("load", load(lines == null ? "" : lines)));
-        assertTrue(said.startsWith("martenlatch: ") && said.contains(part), said);
-        assertEquals(1, said.lines().count(), said);
+        assertTrue(output.startsWith("martenlatch: ") && output.contains(part), output);
+        assertEquals(1, output.lines().count(), output);
         assertEquals(0, world.ledger().receivedCount());
     }
 
@@ -150,10 +150,10 @@
     }
 
     @Test
-    void ctrlCHalfWayGivesTheReport() throws Exception {
+    void printsTheReportAfterCtrlC() throws Exception {
         Process process = start("", "load", load("shapes = [\"constant 100 3000\"]"));
         try (BufferedReader lines = process.inputReader()) {
-            assertTrue(lines.readLine().contains("1 s sent"), "it has begun");
+            assertTrue(lines.readLine().contains("1 s sent"), "the run must have begun");
             new ProcessBuilder("kill", "-INT", Long.toString(process.pid()))
                     .start()
                     .waitFor();
@@ -170,9 +170,9 @@
         }
     }
 
-    /** 40 descriptors are not enough for 300 connections: those that found none are failed, not skipped. */
+    /** 40 file descriptors are too few for 300 connections; requests without one must count as failed, not be skipped. */
     @Test
-    void descriptorsThatRunOutAreCounted() throws Exception {
+    void countsRequestsWithoutAFileDescriptorAsFailed() throws Exception {
         world.endpoints().get(0).stall(60_000);
         String file = load("connections = 300\nshapes = [\"constant 300 1\"]\narrivals = \"even\"");
         Files.writeString(
@@ -188,7 +188,7 @@
     }
 
     @Test
-    void aWorldRunsUntilItIsStoppedAndTellsItsTally() throws Exception {
+    void worldRunsUntilStoppedAndPrintsItsLedger() throws Exception {
         Process process = start(
                 "",
                 "world",
@@ -209,11 +209,11 @@
     }
 
     @Test
-    void theDemoKeepsTheRulesAndShowsWhatHappened() throws Exception {
+    void demoKeepsTheRulesAndShowsItsEvents() throws Exception {
         Path page = folder.resolve("demo.html");
         int status = run("demo", "--seconds", "10", "--rate", "100", "--report", page.toString());
-        assertTrue(status == 0 || status == Main.TOO_SLOW, said);
-        assertTrue(said.contains("Held: each request one end") && said.contains("<- die s2"), said);
+        assertTrue(status == 0 || status == Main.TOO_SLOW, output);
+        assertTrue(output.contains("Held: each request one end") && output.contains("<- die s2"), output);
         assertTrue(Files.readString(page).contains("drain s1"));
     }
 }
--- a/tools/src/test/java/martenlatch/world/CallQueueTest.java
+++ b/tools/src/test/java/martenlatch/world/CallQueueTest.java
@@ -4,11 +4,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Calls in turn, and those that wait too long. */
+/** Checks the completion times and the rejections of {@link CallQueue}. */
 class CallQueueTest {
 
     @Test
-    void whoWaitsTooLongIsTurnedAwayAndTakesNoTurn() {
+    void rejectsACallThatWaitsTooLongWithoutUsingServerTime() {
         CallQueue queue = new CallQueue(50, 60);
         assertEquals(new CallQueue.Turn(1050, false), queue.come(1000));
         assertEquals(new CallQueue.Turn(1100, false), queue.come(1000));
@@ -17,9 +17,9 @@
         assertEquals(new CallQueue.Turn(2050, false), queue.come(2000));
     }
 
-    /** Where a rejection takes time, it is told in its turn, and those behind it wait for it too. */
+    /** A rejection that takes server time is sent in its turn, and later calls wait for it. */
     @Test
-    void aRejectionThatTakesTimeIsToldInItsTurn() {
+    void sendsARejectionThatTakesTimeInItsTurn() {
         CallQueue queue = new CallQueue(50, 20, 60);
         assertEquals(new CallQueue.Turn(1050, false), queue.come(1000));
         assertEquals(new CallQueue.Turn(1100, false), queue.come(1000));
--- a/tools/src/test/java/martenlatch/world/WorldTest.java
+++ b/tools/src/test/java/martenlatch/world/WorldTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The stand-in world does what its script says, and its ledger says what happened. */
+/** The emulated world applies its scheduled events, and its ledger counts what the endpoints did. */
 @Timeout(60)
 class WorldTest {
 
@@ -56,7 +56,7 @@
         return (unsafe ? made.POST(HttpRequest.BodyPublishers.ofString("body")) : made.GET()).build();
     }
 
-    private HttpResponse<String> ask(int endpoint, String id) throws IOException, InterruptedException {
+    private HttpResponse<String> sendRequest(int endpoint, String id) throws IOException, InterruptedException {
         return client.send(
                 request(world.endpoints().get(endpoint).address(), "/api", id, false),
                 HttpResponse.BodyHandlers.ofString());
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void oneIsWorkedOnOneWaitsAndTheThirdIsTurnedAwayUnrun() throws Exception {
+    void servesOneRequestQueuesOneAndRejectsTheThirdWithoutRunningIt() throws Exception {
         world = new World(SMALL, 0);
         var first = client.sendAsync(
                 request(world.endpoints().get(0).address(), "/api", "r1", false), HttpResponse.BodyHandlers.ofString());
@@ -77,7 +77,7 @@
         var second = client.sendAsync(
                 request(world.endpoints().get(0).address(), "/api", "r2", false), HttpResponse.BodyHandlers.ofString());
         await(() -> world.ledger().ranCount() == 2);
-        HttpResponse<String> third = ask(0, "r3");
+        HttpResponse<String> third = sendRequest(0, "r3");
         assertEquals(503, third.statusCode());
         assertEquals("1", third.headers().firstValue("X-Not-Run").orElse(""));
         assertEquals("r1\n", first.get(20, TimeUnit.SECONDS).body());
@@ -101,11 +101,11 @@
     }
 
     @Test
-    void whatRunsTwiceIsCountedAndUnsafeOnesApart() throws Exception {
+    void countsRepeatedRunsAndThoseOfUnsafeRequestsSeparately() throws Exception {
         world = new World(SMALL, 0);
-        ask(0, "safe");
-        ask(1, "safe");
-        ask(0, "safe");
+        sendRequest(0, "safe");
+        sendRequest(1, "safe");
+        sendRequest(0, "safe");
         for (int i = 0; i < 2; i++) {
             client.send(
                     request(world.endpoints().get(i).address(), "/api", "order", true),
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void aDrainIsToldAndWhatComesAfterItIsCounted() throws Exception {
+    void announcesADrainAndCountsRequestsAfterIt() throws Exception {
         world = new World(SMALL, 0);
         String version = list("").body().replaceAll(".*\"version\":(\\d+).*", "$1");
         CompletableFuture<HttpResponse<String>> watch = client.sendAsync(
@@ -129,29 +129,29 @@
                         false),
                 HttpResponse.BodyHandlers.ofString());
         world.drain(1);
-        String told = watch.get(20, TimeUnit.SECONDS).body();
+        String answer = watch.get(20, TimeUnit.SECONDS).body();
         assertTrue(
-                told.contains("\"full\":false")
-                        && told.contains("\"id\":\"s1\"")
-                        && told.contains("terminating")
-                        && !told.contains("\"id\":\"s0\""),
-                told);
-        HttpResponse<String> late = ask(1, "r1");
+                answer.contains("\"full\":false")
+                        && answer.contains("\"id\":\"s1\"")
+                        && answer.contains("terminating")
+                        && !answer.contains("\"id\":\"s0\""),
+                answer);
+        HttpResponse<String> late = sendRequest(1, "r1");
         assertEquals(503, late.statusCode());
         assertEquals(1, world.ledger().afterDrainCount());
         assertEquals(0, world.ledger().ranCount());
     }
 
     @Test
-    void aDeathRefusesConnectionsAndARestartIsColdAtTheSameAddress() throws Exception {
+    void refusesConnectionsAfterACrashAndRestartsColdOnTheSameAddress() throws Exception {
         world = new World(SMALL, 0);
         InetSocketAddress before = world.endpoints().get(0).address();
         world.die(0);
-        assertThrows(ConnectException.class, () -> ask(0, "r1"));
-        assertTrue(list("").body().contains("in_service\",\"weight\":1.0,\"started_ms\":0"), "nobody told it");
+        assertThrows(ConnectException.class, () -> sendRequest(0, "r1"));
+        assertTrue(list("").body().contains("in_service\",\"weight\":1.0,\"started_ms\":0"), "the list entry must not change after a crash");
         world.restart(0);
         assertEquals(before, world.endpoints().get(0).address());
-        assertEquals("r2\n", ask(0, "r2").body());
+        assertEquals("r2\n", sendRequest(0, "r2").body());
         assertEquals(1, world.ledger().coldCount());
         assertTrue(world.endpoints().get(0).startedMs() > 0);
         assertTrue(list("").body()
@@ -161,7 +161,7 @@
     }
 
     @Test
-    void discoveryIsDownWrongLateAndWellAgain() throws Exception {
+    void answersDiscoveryInEachMode() throws Exception {
         world = new World(SMALL, 0);
         world.discovery().manner(Discovery.Mode.DOWN);
         assertEquals(503, list("").statusCode());
@@ -178,19 +178,19 @@
     }
 
     @Test
-    void changesOfDiscoveryAndEndpointsAreInForceWhenTheirCallsReturn() throws Exception {
+    void appliesChangesBeforeTheirCallsReturn() throws Exception {
         world = new World(SMALL, 0);
         Endpoint endpoint = world.endpoints().get(0);
-        assertReturnsOnlyInForce(() -> world.discovery().manner(Discovery.Mode.WRONG));
-        assertReturnsOnlyInForce(() -> world.discovery().late(1));
-        assertReturnsOnlyInForce(() -> world.discovery().queue(new CallQueue(0, 0)));
-        assertReturnsOnlyInForce(() -> endpoint.trouble(EndpointFault.ERRORS));
-        assertReturnsOnlyInForce(() -> endpoint.stall(1));
-        assertReturnsOnlyInForce(endpoint::drain);
+        assertReturnsOnlyWhenApplied(() -> world.discovery().manner(Discovery.Mode.WRONG));
+        assertReturnsOnlyWhenApplied(() -> world.discovery().late(1));
+        assertReturnsOnlyWhenApplied(() -> world.discovery().queue(new CallQueue(0, 0)));
+        assertReturnsOnlyWhenApplied(() -> endpoint.trouble(EndpointFault.ERRORS));
+        assertReturnsOnlyWhenApplied(() -> endpoint.stall(1));
+        assertReturnsOnlyWhenApplied(endpoint::drain);
     }
 
-    /** Holds up all event loops while the change is made: the call must wait for them. */
-    private void assertReturnsOnlyInForce(Runnable change) throws InterruptedException {
+    /** Blocks all event loops during the change, and checks that the call waits for them. */
+    private void assertReturnsOnlyWhenApplied(Runnable change) throws InterruptedException {
         CountDownLatch held = new CountDownLatch(SMALL.threads() + 1);
         CountDownLatch release = new CountDownLatch(1);
         world.runOnAllLoops(() -> {
@@ -204,7 +204,7 @@
         boolean waits = changing.isAlive();
         release.countDown();
         changing.join(20_000);
-        assertTrue(waits, "returned before the change was in force");
+        assertTrue(waits, "returned before the change was applied");
         assertFalse(changing.isAlive(), "did not return");
     }
 
@@ -217,7 +217,7 @@
     }
 
     @Test
-    void aFileTellsWhatHappensAndWhen() throws Exception {
+    void readsScheduledEventsFromAFile() throws Exception {
         WorldFile file = WorldFile.read(Files.writeString(folder.resolve("w.toml"), """
             endpoints = 3
             zones = ["a", "b"]
@@ -237,9 +237,9 @@
                 file.events().stream().map(ScheduledEvent::toString).toList());
         world = new World(file.settings(), 0);
         file.events().get(1).applyTo(world);
-        assertThrows(ConnectException.class, () -> ask(0, "r1"));
-        assertThrows(ConnectException.class, () -> ask(2, "r1"));
-        assertEquals(200, ask(1, "r1").statusCode());
+        assertThrows(ConnectException.class, () -> sendRequest(0, "r1"));
+        assertThrows(ConnectException.class, () -> sendRequest(2, "r1"));
+        assertEquals(200, sendRequest(1, "r1").statusCode());
     }
 
     @ParameterizedTest
@@ -260,7 +260,7 @@
                 "endpoints = |is not TOML",
                 "discovery-port = 70000|discovery-port must be 0 to 65535 but is 70000"
             })
-    void whatCannotBeUsedIsNamed(String text, String said) throws IOException {
+    void rejectsInvalidSettingsAndNamesThem(String text, String said) throws IOException {
         Path file = Files.writeString(folder.resolve("w.toml"), text.replace("\\n", "\n"));
         String message = assertThrows(IllegalArgumentException.class, () -> WorldFile.read(file))
                 .getMessage();
@@ -268,7 +268,7 @@
     }
 
     @Test
-    void distributionsHaveTheirMeans() {
+    void drawsServiceTimesWithTheConfiguredMean() {
         java.util.SplittableRandom random = new java.util.SplittableRandom(4);
         for (String text : List.of("constant 20", "exponential 20", "lognormal 20 0.8")) {
             ServiceTime time = ServiceTime.parse(text);
@@ -281,7 +281,7 @@
     }
 
     @Test
-    void aFullLedgerSaysSo() {
+    void reportsIdsThatAFullLedgerDidNotKeep() {
         Ledger ledger = new Ledger(2);
         for (String id : List.of("a", "b", "c", "a")) {
             ledger.ran("s0", id, true, false);
