--- a/tools/src/main/java/martenlatch/load/Arrivals.java
+++ b/tools/src/main/java/martenlatch/load/Arrivals.java
@@ -20,7 +20,9 @@
         return;
     }
 
-    /** Returns the arrivals of a schedule; the class of each is drawn at random, in proportion to the classes' shares. */
+    /**
+     * Returns the arrivals of a schedule; the class of each is drawn at random, in proportion to the classes' shares.
+     */
     static Arrivals drawn(Schedule schedule, List<LoadClass> classes, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         double totalShare = classes.stream().mapToDouble(LoadClass::share).sum();
--- a/tools/src/main/java/martenlatch/load/Driver.java
+++ b/tools/src/main/java/martenlatch/load/Driver.java
@@ -21,7 +21,10 @@
     /** A request that has not ended. */
     interface Call {
 
-        /** Gives the request up at its deadline; {@link Ending#ended} is not called after this. Returns whether it was sent. */
+        /**
+         * Gives the request up at its deadline; {@link Ending#ended} is not called after this. Returns whether it was
+         * sent.
+         */
         boolean giveUp();
     }
 
--- a/tools/src/main/java/martenlatch/load/GeneratorLateness.java
+++ b/tools/src/main/java/martenlatch/load/GeneratorLateness.java
@@ -3,10 +3,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures how late the load generator itself was, and decides which results are void because of it. Performs no I/O and
- * reads no clock. A latency is partly the generator's own if a send was begun late, or if an answer was read late because
- * the event loop did not run. A second in which either happened to more than 1 % is void, and so are all later seconds,
- * because the backlog is sent in a burst that the schedule does not contain.
+ * Measures how late the load generator itself was, and decides which results are void because of it. Performs no I/O
+ * and reads no clock. A latency is partly the generator's own if a send was begun late, or if an answer was read late
+ * because the event loop did not run. A second in which either happened to more than 1 % is void, and so are all later
+ * seconds, because the backlog is sent in a burst that the schedule does not contain.
  */
 public final class GeneratorLateness {
 
@@ -17,7 +17,7 @@
 
     private static final long MAX_LATENESS_NANOS = 3_600_000_000_000L;
 
-    private final Histogram lateness = new Histogram(MAX_LATENESS_NANOS, 3);
+    private final Histogram sendLateness = new Histogram(MAX_LATENESS_NANOS, 3);
     private long lateSends;
     private long lateAnswers;
     private long answers;
@@ -33,7 +33,7 @@
     /** Records how long after its intended time a send was begun. */
     void recordSend(int inSecond, long lateNanos) {
         enter(inSecond);
-        lateness.recordValue(Math.min(MAX_LATENESS_NANOS, Math.max(0, lateNanos)));
+        sendLateness.recordValue(Math.min(MAX_LATENESS_NANOS, Math.max(0, lateNanos)));
         secondSends++;
         if (lateNanos > LATE_NANOS) {
             lateSends++;
@@ -82,7 +82,7 @@
     void add(GeneratorLateness other) {
         evaluateSecond();
         other.evaluateSecond();
-        lateness.add(other.lateness);
+        sendLateness.add(other.sendLateness);
         lateSends += other.lateSends;
         lateAnswers += other.lateAnswers;
         answers += other.answers;
@@ -100,7 +100,7 @@
 
     /** Returns the share of sends that were late by more than 1 ms, 0 to 1. */
     public double lateShare() {
-        return lateness.getTotalCount() == 0 ? 0 : lateSends / (double) lateness.getTotalCount();
+        return sendLateness.getTotalCount() == 0 ? 0 : lateSends / (double) sendLateness.getTotalCount();
     }
 
     /** Returns the share of answers that were read late by more than 1 ms, 0 to 1. */
@@ -109,8 +109,8 @@
     }
 
     /** Returns the lateness of sends, in nanoseconds. */
-    public Histogram lateness() {
-        return lateness;
+    public Histogram sendLateness() {
+        return sendLateness;
     }
 
     /** Returns the longest time for which the event loop did not run, in nanoseconds. */
--- a/tools/src/main/java/martenlatch/load/LoadClass.java
+++ b/tools/src/main/java/martenlatch/load/LoadClass.java
@@ -21,7 +21,9 @@
         /** Not safe to repeat; sent with POST. */
         UNSAFE;
 
-        /** Parses a lower-case name; throws an exception that names the field and the value if there is no such effect. */
+        /**
+         * Parses a lower-case name; throws an exception that names the field and the value if there is no such effect.
+         */
         public static Effect parse(String text) {
             try {
                 return valueOf(text.toUpperCase(Locale.ROOT));
--- a/tools/src/main/java/martenlatch/load/LoadReport.java
+++ b/tools/src/main/java/martenlatch/load/LoadReport.java
@@ -99,8 +99,8 @@
                 "%.3f %% of sends over 1 ms late (p99 %.3f ms, max %.1f ms), %.3f %% of answers read late, "
                         + "longest pause %.1f ms",
                 100 * lateness.lateShare(),
-                lateness.lateness().getValueAtPercentile(99) / 1e6,
-                lateness.lateness().getMaxValue() / 1e6,
+                lateness.sendLateness().getValueAtPercentile(99) / 1e6,
+                lateness.sendLateness().getMaxValue() / 1e6,
                 100 * lateness.lateAnswerShare(),
                 lateness.longestPauseNanos() / 1e6);
         return lateness.voidFrom() < 0
--- a/tools/src/main/java/martenlatch/load/LoadStats.java
+++ b/tools/src/main/java/martenlatch/load/LoadStats.java
@@ -93,7 +93,9 @@
         return served;
     }
 
-    /** Returns the latencies of all arrivals, in microseconds; those without an answer count until they were given up. */
+    /**
+     * Returns the latencies of all arrivals, in microseconds; those without an answer count until they were given up.
+     */
     public Histogram all() {
         return all;
     }
--- a/tools/src/main/java/martenlatch/load/RequestOutcome.java
+++ b/tools/src/main/java/martenlatch/load/RequestOutcome.java
@@ -11,8 +11,8 @@
     /** No whole answer by the deadline, which counts from the send of the request. */
     TIMED_OUT,
     /**
-     * No connection by the deadline, as all allowed connections were busy or none could be opened. The request was never
-     * sent.
+     * No connection by the deadline, as all allowed connections were busy or none could be opened. The request was
+     * never sent.
      */
     NOT_SENT
 }
--- a/tools/src/main/java/martenlatch/load/Schedule.java
+++ b/tools/src/main/java/martenlatch/load/Schedule.java
@@ -4,9 +4,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The intended times of all arrivals. They depend on the shapes and the seed only, never on the outcome of a request (an
- * open-loop load). Evenly spaced arrivals occur where the expected count reaches the next whole number; those of a Poisson
- * process occur where it reaches the next sum of exponential gaps (time change of a unit Poisson process).
+ * The intended times of all arrivals. They depend on the shapes and the seed only, never on the outcome of a request
+ * (an open-loop load). Evenly spaced arrivals occur where the expected count reaches the next whole number; those of a
+ * Poisson process occur where it reaches the next sum of exponential gaps (time change of a unit Poisson process).
  */
 public final class Schedule {
 
@@ -63,7 +63,9 @@
         return -1;
     }
 
-    /** Returns the time, in seconds since the start of a shape, at which its expected count reaches {@code expected}. */
+    /**
+     * Returns the time, in seconds since the start of a shape, at which its expected count reaches {@code expected}.
+     */
     private static double timeOf(Shape shape, double expected) {
         if (shape instanceof Shape.Constant constant) {
             return expected / constant.rate();
--- a/tools/src/main/java/martenlatch/load/Trace.java
+++ b/tools/src/main/java/martenlatch/load/Trace.java
@@ -41,8 +41,8 @@
     /**
      * Checks a whole file without keeping its lines in memory.
      *
-     * @param maxBadShare largest allowed share of invalid lines, 0 to 1; if there are more, throws an exception that names
-     *     the first of them
+     * @param maxBadShare largest allowed share of invalid lines, 0 to 1; if there are more, throws an exception that
+     *     names the first of them
      */
     public static Trace check(Path file, List<LoadClass> classes, double maxBadShare) throws IOException {
         Trace trace = new Trace(file, classes);
--- a/tools/src/main/java/martenlatch/load/TraceFormat.java
+++ b/tools/src/main/java/martenlatch/load/TraceFormat.java
@@ -15,8 +15,8 @@
 /**
  * Parses the lines of a recorded trace: CSV (RFC 4180, one record per line) with a header, or one JSON object per line.
  * Fields: {@code time} (seconds, decimal, from any origin), {@code class}, {@code key}, {@code size} (bytes),
- * {@code deadline} (milliseconds). All but time are optional, and other fields are ignored. Throws an exception that names
- * the field and the value if a line is invalid.
+ * {@code deadline} (milliseconds). All but time are optional, and other fields are ignored. Throws an exception that
+ * names the field and the value if a line is invalid.
  */
 final class TraceFormat {
 
--- a/tools/src/main/java/martenlatch/load/Worker.java
+++ b/tools/src/main/java/martenlatch/load/Worker.java
@@ -16,9 +16,9 @@
 import java.util.function.Function;
 
 /**
- * A thread of the load generator. It runs its event loop itself and sends due requests between two reads of its sockets,
- * so that no timer and no other thread delays a send. It does not sleep when the next send is less than 1 ms away, because
- * operating systems do not wake threads that precisely.
+ * A thread of the load generator. It runs its event loop itself and sends due requests between two reads of its
+ * sockets, so that no timer and no other thread delays a send. It does not sleep when the next send is less than 1 ms
+ * away, because operating systems do not wake threads that precisely.
  */
 final class Worker implements Runnable {
 
--- a/tools/src/main/java/martenlatch/load/http/HttpDriver.java
+++ b/tools/src/main/java/martenlatch/load/http/HttpDriver.java
@@ -32,8 +32,8 @@
 
 /**
  * Sends requests in HTTP/1.1 (RFC 9112) like the platform's clients: a connection carries one request at a time and is
- * reused; a new one is opened if all are busy. A connection on which unrequested data arrives is closed. New connections
- * use the addresses in turn.
+ * reused; a new one is opened if all are busy. A connection on which unrequested data arrives is closed. New
+ * connections use the addresses in turn.
  */
 public final class HttpDriver implements Driver {
 
@@ -208,7 +208,9 @@
             }
         }
 
-        /** Reuses the connection only after the read in which the answer completed, when no unrequested data followed. */
+        /**
+         * Reuses the connection only after the read in which the answer completed, when no unrequested data followed.
+         */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
             if (answered) {
--- a/tools/src/main/java/martenlatch/tools/GeneratorWarmUp.java
+++ b/tools/src/main/java/martenlatch/tools/GeneratorWarmUp.java
@@ -16,8 +16,8 @@
 import martenlatch.world.WorldSettings;
 
 /**
- * Warms up the JVM before a load run with a short load on an endpoint in the same process. A cold JVM that starts at the
- * full rate falls about one second behind the schedule.
+ * Warms up the JVM before a load run with a short load on an endpoint in the same process. A cold JVM that starts at
+ * the full rate falls about one second behind the schedule.
  */
 final class GeneratorWarmUp {
 
--- a/tools/src/main/java/martenlatch/world/CallQueue.java
+++ b/tools/src/main/java/martenlatch/world/CallQueue.java
@@ -3,8 +3,8 @@
 /**
  * Models a first-in, first-out server that takes the same time for every call and rejects calls that would wait for
  * longer than a limit. If a rejection takes no server time, it is sent as soon as the call has waited for the limit;
- * otherwise it occupies the server like a call and is sent in its turn, however late. Performs no I/O; the caller passes
- * the current time in milliseconds, which must never decrease.
+ * otherwise it occupies the server like a call and is sent in its turn, however late. Performs no I/O; the caller
+ * passes the current time in milliseconds, which must never decrease.
  */
 public final class CallQueue {
 
--- a/tools/src/main/java/martenlatch/world/Ledger.java
+++ b/tools/src/main/java/martenlatch/world/Ledger.java
@@ -128,8 +128,8 @@
     }
 
     /**
-     * Returns the number of requests that ran but whose ids were not kept because the ledger was full. If it is above 0,
-     * {@link #runTwice} is a lower bound.
+     * Returns the number of requests that ran but whose ids were not kept because the ledger was full. If it is above
+     * 0, {@link #runTwice} is a lower bound.
      */
     public long unknownCount() {
         return unknown.sum();
--- a/tools/src/test/java/martenlatch/ToolsRoomsTest.java
+++ b/tools/src/test/java/martenlatch/ToolsLayersTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Checks the package layers of the tools; the load generator and the emulated world must not depend on the sidecar. */
-class ToolsRoomsTest {
+class ToolsLayersTest {
 
     private static final JavaClasses PROGRAM = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
--- a/tools/src/test/java/martenlatch/load/LoadRunTest.java
+++ b/tools/src/test/java/martenlatch/load/LoadRunTest.java
@@ -79,9 +79,9 @@
     }
 
     /**
-     * 200 requests per second for 3 s, with a stall of 1 s: 200 of the 600 requests arrive during the stall and wait for
-     * the rest of it, evenly from 1000 ms down to 0. So 1 % of all (6) wait at least 1000 * (1 - 6/200) = 970 ms, and 10 %
-     * (60) at least 700 ms.
+     * 200 requests per second for 3 s, with a stall of 1 s: 200 of the 600 requests arrive during the stall and wait
+     * for the rest of it, evenly from 1000 ms down to 0. So 1 % of all (6) wait at least 1000 * (1 - 6/200) = 970 ms,
+     * and 10 % (60) at least 700 ms.
      */
     @Test
     void showsAStallInTheTailThatAClosedLoopHides() throws Exception {
@@ -103,7 +103,7 @@
         assertTrue(times.getValueAtPercentile(90) >= 690_000, "p90 " + times.getValueAtPercentile(90));
         assertTrue(times.getValueAtPercentile(50) < 600_000, "p50 " + times.getValueAtPercentile(50));
         // The service caused the latency: the generator's own sends were not that late.
-        assertTrue(report.lateness().lateness().getMaxValue() < 900_000_000L, report.verdict());
+        assertTrue(report.lateness().sendLateness().getMaxValue() < 900_000_000L, report.verdict());
 
         Histogram closed = new Histogram(3_600_000_000L, 3);
         try (Socket socket =
@@ -138,8 +138,8 @@
     }
 
     /**
-     * Guards against a backlog that sustains itself: requests sent late with no time left would time out at once and cost
-     * a connection each. Here the backlog is longer than the deadline of a request.
+     * Guards against a backlog that sustains itself: requests sent late with no time left would time out at once and
+     * cost a connection each. Here the backlog is longer than the deadline of a request.
      */
     @Test
     void catchesUpAfterTheEventLoopWasBlocked() throws Exception {
@@ -265,8 +265,8 @@
     }
 
     /**
-     * With one connection, 500 ms per request and a deadline of 3 s, about 6 of 100 requests can be sent; the others must
-     * be counted too. The times are long compared with the pauses of a busy machine.
+     * With one connection, 500 ms per request and a deadline of 3 s, about 6 of 100 requests can be sent; the others
+     * must be counted too. The times are long compared with the pauses of a busy machine.
      */
     @Test
     void countsRequestsThatFoundNoConnection() throws Exception {
--- a/tools/src/test/java/martenlatch/tools/MainTest.java
+++ b/tools/src/test/java/martenlatch/tools/MainTest.java
@@ -170,7 +170,9 @@
         }
     }
 
-    /** 40 file descriptors are too few for 300 connections; requests without one must count as failed, not be skipped. */
+    /**
+     * 40 file descriptors are too few for 300 connections; requests without one must count as failed, not be skipped.
+     */
     @Test
     void countsRequestsWithoutAFileDescriptorAsFailed() throws Exception {
         world.endpoints().get(0).stall(60_000);
--- a/tools/src/test/java/martenlatch/world/WorldTest.java
+++ b/tools/src/test/java/martenlatch/world/WorldTest.java
@@ -148,7 +148,9 @@
         InetSocketAddress before = world.endpoints().get(0).address();
         world.die(0);
         assertThrows(ConnectException.class, () -> sendRequest(0, "r1"));
-        assertTrue(list("").body().contains("in_service\",\"weight\":1.0,\"started_ms\":0"), "the list entry must not change after a crash");
+        assertTrue(
+                list("").body().contains("in_service\",\"weight\":1.0,\"started_ms\":0"),
+                "the list entry must not change after a crash");
         world.restart(0);
         assertEquals(before, world.endpoints().get(0).address());
         assertEquals("r2\n", sendRequest(0, "r2").body());
