--- a/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FleetRun.java
@@ -37,7 +37,7 @@
 import martenlatch.fleet.scenario.Scenario;
 import martenlatch.fleet.scenario.Selector.Group;
 import martenlatch.load.Arrivals;
-import martenlatch.load.Kind;
+import martenlatch.load.LoadClass;
 import martenlatch.load.LoadPlan;
 import martenlatch.load.LoadReport;
 import martenlatch.load.LoadRun;
@@ -46,8 +46,8 @@
 import martenlatch.load.Shape;
 import martenlatch.world.Discovery;
 import martenlatch.world.Endpoint;
+import martenlatch.world.EndpointFault;
 import martenlatch.world.Ledger;
-import martenlatch.world.Trouble;
 import martenlatch.world.World;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -166,7 +166,7 @@
     };
 
     /** Records what discovery does in the history. */
-    private final Discovery.Teller discoveryRecorder = new Discovery.Teller() {
+    private final Discovery.Observer discoveryRecorder = new Discovery.Observer() {
         @Override
         public void told(String viewer, Endpoint endpoint, String state) {
             history.record(What.TOLD, viewer, endpoint.id(), "", state);
@@ -346,9 +346,9 @@
     public LoadReport play(Consumer<Second> live) throws IOException, InterruptedException {
         Load wanted = scenario.load();
         // Clients wait slightly past their deadline, so that a response at the last moment still counts.
-        List<Kind> kinds = wanted.classes().stream()
+        List<LoadClass> kinds = wanted.classes().stream()
                 .map(Load.ClassSettings::kind)
-                .map(kind -> new Kind(
+                .map(kind -> new LoadClass(
                         kind.name(),
                         kind.share(),
                         kind.effect(),
@@ -454,9 +454,9 @@
                 world.discovery()
                         .manner(
                                 switch (fault.what()) {
-                                    case SILENT -> Discovery.Manner.SILENT;
-                                    case DOWN -> Discovery.Manner.DOWN;
-                                    default -> Discovery.Manner.WRONG;
+                                    case SILENT -> Discovery.Mode.SILENT;
+                                    case DOWN -> Discovery.Mode.DOWN;
+                                    default -> Discovery.Mode.WRONG;
                                 });
             default -> applyLinkFault(fault, fault.what() == Fault.What.BREAK);
         }
@@ -472,7 +472,7 @@
                 }
             }
             case ENDPOINTS -> fault.who().forEach(name -> applyEndpointFault(fault, number(name), false));
-            case DISCOVERY -> world.discovery().manner(Discovery.Manner.GOOD);
+            case DISCOVERY -> world.discovery().manner(Discovery.Mode.GOOD);
             default -> applyLinkFault(fault, false);
         }
         history.record(
@@ -667,14 +667,14 @@
             default ->
                 one.trouble(
                         !begins
-                                ? Trouble.NONE
+                                ? EndpointFault.NONE
                                 : switch (fault.what()) {
-                                    case HANG -> Trouble.HANGS;
-                                    case ERROR -> Trouble.ERRORS;
-                                    case SLOW -> Trouble.SLOW;
-                                    case RESET -> Trouble.RESETS;
-                                    case HALF -> Trouble.HALF;
-                                    default -> Trouble.DEAF;
+                                    case HANG -> EndpointFault.HANGS;
+                                    case ERROR -> EndpointFault.ERRORS;
+                                    case SLOW -> EndpointFault.SLOW;
+                                    case RESET -> EndpointFault.RESETS;
+                                    case HALF -> EndpointFault.HALF;
+                                    default -> EndpointFault.DEAF;
                                 });
         }
     }
--- a/fleet/src/main/java/martenlatch/fleet/rig/FrontDriver.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FrontDriver.java
@@ -7,9 +7,9 @@
 import martenlatch.fleet.front.Front;
 import martenlatch.fleet.history.Event.What;
 import martenlatch.fleet.history.History;
+import martenlatch.load.Arrival;
 import martenlatch.load.Driver;
-import martenlatch.load.End;
-import martenlatch.load.Wish;
+import martenlatch.load.RequestOutcome;
 import martenlatch.load.http.HttpDriver;
 
 /**
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public Call send(Wish wish, String id, boolean retry, long leftNanos, Ending ending) {
+    public Call send(Arrival wish, String id, boolean retry, long leftNanos, Ending ending) {
         long deadlineNanos = leftNanos - GRACE_MS * 1_000_000L;
         int sidecar = front.pick(history.now(), i -> drivers.get(i).hasIdle());
         String name = "n" + sidecar;
@@ -53,14 +53,14 @@
             }
 
             @Override
-            public void ended(End end, String cause, double retryAfterMs) {
+            public void ended(RequestOutcome end, String cause, double retryAfterMs) {
                 history.record(What.ENDED, CLIENTS_NAME, name, id, end + (cause.isEmpty() ? "" : " " + cause));
                 ending.ended(end, cause, retryAfterMs);
             }
         });
         return () -> {
             boolean sent = call.giveUp();
-            history.record(What.ENDED, CLIENTS_NAME, name, id, (sent ? End.TIMED_OUT : End.NOT_SENT).toString());
+            history.record(What.ENDED, CLIENTS_NAME, name, id, (sent ? RequestOutcome.TIMED_OUT : RequestOutcome.NOT_SENT).toString());
             return sent;
         };
     }
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Load.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Load.java
@@ -1,7 +1,7 @@
 package martenlatch.fleet.scenario;
 
 import java.util.List;
-import martenlatch.load.Kind;
+import martenlatch.load.LoadClass;
 
 /**
  * The load that clients put on the fleet.
@@ -20,7 +20,7 @@
      * @param aimMs the latency objective
      * @param worth the priority weight
      */
-    public record ClassSettings(Kind kind, double aimMs, double worth) {
+    public record ClassSettings(LoadClass kind, double aimMs, double worth) {
         public ClassSettings {
             if (!(aimMs > 0 && aimMs <= kind.deadlineMs())) {
                 throw new IllegalArgumentException("class.aim-ms must be above 0 and within deadline-ms ("
--- a/fleet/src/main/java/martenlatch/fleet/scenario/Scenario.java
+++ b/fleet/src/main/java/martenlatch/fleet/scenario/Scenario.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import martenlatch.fleet.link.LinkConditions;
-import martenlatch.load.Kind;
+import martenlatch.load.LoadClass;
 import martenlatch.toml.TomlFile;
 import martenlatch.world.ServiceTime;
 import martenlatch.world.WorldSettings;
@@ -130,10 +130,10 @@
             TomlFile.knownOnly("class.", node, CLASS_KEYS);
             int deadline = TomlFile.whole("class.deadline-ms", node.path("deadline-ms"), 1000);
             try {
-                Kind kind = new Kind(
+                LoadClass kind = new LoadClass(
                         node.path("name").asText(""),
                         TomlFile.number("class.share", node.path("share"), 1),
-                        Kind.Effect.parse(node.path("effect").asText("")),
+                        LoadClass.Effect.parse(node.path("effect").asText("")),
                         TomlFile.whole("class.body-bytes", node.path("body-bytes"), 0),
                         deadline,
                         TomlFile.whole("class.retries", node.path("retries"), 0));
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimDiscovery.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimDiscovery.java
@@ -10,7 +10,7 @@
 import martenlatch.policy.api.EndpointStatus;
 import martenlatch.request.EndpointList;
 import martenlatch.world.CallQueue;
-import martenlatch.world.Discovery.Manner;
+import martenlatch.world.Discovery.Mode;
 
 /** Models discovery in simulated time: serves the full endpoint list and long polls that wait for a newer version. */
 final class SimDiscovery {
@@ -41,7 +41,7 @@
     private final CallQueue queue;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final List<Watch> watches = new ArrayList<>();
-    private Manner manner = Manner.GOOD;
+    private Mode manner = Mode.GOOD;
     private long version;
 
     SimDiscovery(History history, VirtualTime time, CallQueue queue) {
@@ -56,7 +56,7 @@
         notifyWatches();
     }
 
-    void setManner(Manner next) {
+    void setManner(Mode next) {
         manner = next;
         notifyWatches();
     }
@@ -68,7 +68,7 @@
 
     private void notifyWatches() {
         for (Watch watch : List.copyOf(watches)) {
-            if (version > watch.index() || manner != Manner.GOOD) {
+            if (version > watch.index() || manner != Mode.GOOD) {
                 watches.remove(watch);
                 answer(watch);
             }
@@ -102,11 +102,11 @@
             caller.onRejected();
             return;
         }
-        if (index >= version || (index >= 0 && manner == Manner.SILENT)) {
+        if (index >= version || (index >= 0 && manner == Mode.SILENT)) {
             history.record(What.LONG_POLL, connection.sidecar, "discovery", "", String.valueOf(waitMs));
         }
         Watch watch = new Watch(connection, index, caller);
-        if (index < version || manner != Manner.GOOD) {
+        if (index < version || manner != Mode.GOOD) {
             answer(watch);
         } else {
             watches.add(watch);
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimEndpoint.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimEndpoint.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import martenlatch.fleet.history.Event.What;
 import martenlatch.fleet.history.History;
-import martenlatch.world.Trouble;
+import martenlatch.world.EndpointFault;
 import martenlatch.world.WorldSettings;
 
 /**
@@ -36,7 +36,7 @@
     private final SplittableRandom random;
     private final Deque<Runnable> queue = new ArrayDeque<>();
     private final Deque<Caller> openRequests = new ArrayDeque<>();
-    private Trouble trouble = Trouble.NONE;
+    private EndpointFault trouble = EndpointFault.NONE;
     private boolean alive = true;
     private boolean draining;
     private double warmAtMs;
@@ -64,7 +64,7 @@
         return startedMs;
     }
 
-    void setTrouble(Trouble next) {
+    void setTrouble(EndpointFault next) {
         trouble = next;
     }
 
@@ -88,7 +88,7 @@
         }
         alive = true;
         draining = false;
-        trouble = Trouble.NONE;
+        trouble = EndpointFault.NONE;
         startedMs = time.now();
         warmAtMs = time.elapsed() + settings.coldMs();
         history.record(What.ENDPOINT_UP, id, "", "", String.valueOf(settings.coldMs()));
@@ -100,7 +100,7 @@
             caller.onEnded(Reply.RESET);
             return;
         }
-        if (trouble == Trouble.DEAF) {
+        if (trouble == EndpointFault.DEAF) {
             return;
         }
         if (draining || busySlots >= settings.slots() && queue.size() >= settings.queue()) {
@@ -120,7 +120,7 @@
     private void execute(String request, Caller caller) {
         busySlots++;
         double ms = settings.service().draw(random)
-                * (trouble == Trouble.SLOW ? SLOW_FACTOR : 1)
+                * (trouble == EndpointFault.SLOW ? SLOW_FACTOR : 1)
                 * (time.elapsed() < warmAtMs ? settings.coldFactor() : 1);
         int expectedStart = startCount;
         time.after(ms, () -> {
--- a/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
+++ b/fleet/src/main/java/martenlatch/fleet/sim/SimRun.java
@@ -18,11 +18,11 @@
 import martenlatch.fleet.scenario.Scenario;
 import martenlatch.fleet.scenario.Selector.Group;
 import martenlatch.fleet.scenario.Sizes;
+import martenlatch.load.Arrival;
 import martenlatch.load.Arrivals;
-import martenlatch.load.Kind;
+import martenlatch.load.LoadClass;
 import martenlatch.load.Schedule;
 import martenlatch.load.Shape;
-import martenlatch.load.Wish;
 import martenlatch.policy.api.AttemptLimits;
 import martenlatch.policy.api.BalancerSettings;
 import martenlatch.policy.api.DeduplicationScope;
@@ -34,8 +34,8 @@
 import martenlatch.policy.api.RequestClass;
 import martenlatch.request.EndpointResponse;
 import martenlatch.request.ResponseListener;
-import martenlatch.world.Discovery.Manner;
-import martenlatch.world.Trouble;
+import martenlatch.world.Discovery.Mode;
+import martenlatch.world.EndpointFault;
 
 /**
  * Runs a scenario in simulated time, with the same faults at the same times as a run with real processes, and
@@ -154,7 +154,7 @@
                         scenario.discovery().askWithinMs()));
     }
 
-    private static Idempotency idempotency(Kind.Effect effect) {
+    private static Idempotency idempotency(LoadClass.Effect effect) {
         return switch (effect) {
             case REPEATABLE -> Idempotency.IDEMPOTENT;
             case KEYED -> Idempotency.IDEMPOTENCY_KEY;
@@ -180,7 +180,7 @@
                 time.after(fault.endMs(), () -> end(fault));
             }
         }
-        List<Kind> kinds =
+        List<LoadClass> kinds =
                 scenario.load().classes().stream().map(Load.ClassSettings::kind).toList();
         Arrivals arrivals = Arrivals.drawn(
                 new Schedule(
@@ -212,7 +212,7 @@
 
     private void arrive(Arrivals arrivals) {
         try {
-            Wish next = arrivals.next();
+            Arrival next = arrivals.next();
             if (next != null) {
                 time.after(next.intendedNanos() / 1e6 - time.elapsed(), () -> {
                     new ClientOperation(next).attempt();
@@ -226,10 +226,10 @@
 
     /** One operation of a client, until it is served or the client gives up. Each attempt is a request of its own. */
     private final class ClientOperation {
-        private final Wish wish;
+        private final Arrival wish;
         private int attempts;
 
-        ClientOperation(Wish wish) {
+        ClientOperation(Arrival wish) {
             this.wish = wish;
         }
 
@@ -293,7 +293,7 @@
                 history.record(What.ENDED, "clients", sidecar, id, how);
                 boolean harmless = how.startsWith("REFUSED")
                         || how.equals("FAILED no connect")
-                        || wish.kind().effect() != Kind.Effect.UNSAFE;
+                        || wish.kind().effect() != LoadClass.Effect.UNSAFE;
                 if (!how.startsWith("SERVED")
                         && harmless
                         && attempts <= wish.kind().retries()) {
@@ -346,9 +346,9 @@
             case DISCOVERY ->
                 discovery.setManner(
                         switch (fault.what()) {
-                            case SILENT -> Manner.SILENT;
-                            case DOWN -> Manner.DOWN;
-                            default -> Manner.WRONG;
+                            case SILENT -> Mode.SILENT;
+                            case DOWN -> Mode.DOWN;
+                            default -> Mode.WRONG;
                         });
             default -> applyLinkFault(fault);
         }
@@ -360,7 +360,7 @@
         switch (fault.what().aim()) {
             case SIDECARS -> fault.who().forEach(name -> end(fault, number(name)));
             case ENDPOINTS -> fault.who().forEach(name -> applyEndpointFault(fault, number(name), false));
-            case DISCOVERY -> discovery.setManner(Manner.GOOD);
+            case DISCOVERY -> discovery.setManner(Mode.GOOD);
             default -> applyLinkFault(fault);
         }
         history.record(
@@ -446,14 +446,14 @@
         if (fault.what() != Fault.What.DIE && fault.what() != Fault.What.DRAIN) {
             one.setTrouble(
                     !begins
-                            ? Trouble.NONE
+                            ? EndpointFault.NONE
                             : switch (fault.what()) {
-                                case HANG -> Trouble.HANGS;
-                                case ERROR -> Trouble.ERRORS;
-                                case SLOW -> Trouble.SLOW;
-                                case RESET -> Trouble.RESETS;
-                                case HALF -> Trouble.HALF;
-                                default -> Trouble.DEAF;
+                                case HANG -> EndpointFault.HANGS;
+                                case ERROR -> EndpointFault.ERRORS;
+                                case SLOW -> EndpointFault.SLOW;
+                                case RESET -> EndpointFault.RESETS;
+                                case HALF -> EndpointFault.HALF;
+                                default -> EndpointFault.DEAF;
                             });
         } else if (!begins) {
             one.restart();
--- a/tools/src/main/java/martenlatch/demo/Demo.java
+++ b/tools/src/main/java/martenlatch/demo/Demo.java
@@ -15,47 +15,47 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import martenlatch.load.Arrivals;
-import martenlatch.load.End;
-import martenlatch.load.Kind;
+import martenlatch.load.LoadClass;
 import martenlatch.load.LoadPlan;
 import martenlatch.load.LoadReport;
 import martenlatch.load.LoadRun;
+import martenlatch.load.RequestOutcome;
 import martenlatch.load.Schedule;
 import martenlatch.load.Second;
 import martenlatch.load.Shape;
 import martenlatch.load.http.HttpDriver;
 import martenlatch.sidecar.Sidecar;
 import martenlatch.sidecar.StartOptions;
-import martenlatch.world.Happening;
+import martenlatch.world.ScheduledEvent;
 import martenlatch.world.ServiceTime;
 import martenlatch.world.World;
 import martenlatch.world.WorldSettings;
 
 /**
- * Shows a sidecar at work before stand-in endpoints, one of which hangs, one of which drains and one of which
- * dies and comes back cold, while a load goes on. All of it is one process on loopback.
+ * Demonstrates a sidecar in front of emulated endpoints under load: one endpoint hangs, one drains, and one crashes and
+ * restarts cold. Everything runs in one process on the loopback interface.
  */
 public final class Demo {
 
     private static final int ENDPOINTS = 6;
-    private static final int WARM_SECONDS = 2;
+    private static final int WARM_UP_SECONDS = 2;
     private static final int CONNECTIONS = 256;
-    private static final int BAR = 20;
+    private static final int BAR_WIDTH = 20;
     private static final long SEED = 20_261_201;
 
     private final int seconds;
     private final int rate;
     private final PrintStream out;
-    private final Map<Integer, String> events = new TreeMap<>();
-    private final Deque<Happening> happenings = new ArrayDeque<>();
+    private final Map<Integer, String> appliedEvents = new TreeMap<>();
+    private final Deque<ScheduledEvent> schedule = new ArrayDeque<>();
     private World world;
     private LoadRun run;
 
     /**
-     * A demo that has not begun.
+     * Creates a demo that has not begun.
      *
-     * @param seconds how long it lasts, from 10 on
-     * @param rate requests a second
+     * @param seconds duration in seconds, 10 or more
+     * @param rate arrivals per second
      */
     public Demo(int seconds, int rate, PrintStream out) {
         if (seconds < 10 || seconds > 3600) {
@@ -67,21 +67,26 @@
         this.seconds = seconds;
         this.rate = rate;
         this.out = out;
-        happen(0.25, Happening.What.HANG, 0);
-        happen(0.4, Happening.What.RECOVER, 0);
-        happen(0.5, Happening.What.DRAIN, 1);
-        happen(0.65, Happening.What.DIE, 2);
-        happen(0.8, Happening.What.RESTART, 2);
+        scheduleEvent(0.25, ScheduledEvent.Action.HANG, 0);
+        scheduleEvent(0.4, ScheduledEvent.Action.RECOVER, 0);
+        scheduleEvent(0.5, ScheduledEvent.Action.DRAIN, 1);
+        scheduleEvent(0.65, ScheduledEvent.Action.DIE, 2);
+        scheduleEvent(0.8, ScheduledEvent.Action.RESTART, 2);
     }
 
-    private void happen(double share, Happening.What what, int endpoint) {
-        happenings.add(new Happening(Math.floor(share * seconds), what, endpoint, "", Double.NaN));
+    private void scheduleEvent(double share, ScheduledEvent.Action action, int endpoint) {
+        schedule.add(new ScheduledEvent(Math.floor(share * seconds), action, endpoint, "", Double.NaN));
     }
 
-    /** What a demo came to. */
+    /**
+     * The result of a demo.
+     *
+     * @param events the applied events, by second
+     * @param holds whether the counts match and no rule of the protocol was broken
+     */
     public record Result(LoadReport report, Map<Integer, String> events, String summary, boolean holds) {}
 
-    /** Runs it; {@code begun} gets what stops it early. */
+    /** Runs the demo; {@code begun} receives a task that stops the run early. */
     public Result run(Consumer<Runnable> begun) throws IOException, InterruptedException {
         ByteArrayOutputStream log = new ByteArrayOutputStream();
         Path config = Files.createTempFile("martenlatch-demo", ".json");
@@ -122,40 +127,40 @@
 
     private LoadReport load(InetSocketAddress sidecar, Consumer<Runnable> begun)
             throws IOException, InterruptedException {
-        List<Kind> kinds = List.of(
-                new Kind("look-up", 6, Kind.Effect.REPEATABLE, 0, 1000, 1),
-                new Kind("update", 2, Kind.Effect.KEYED, 200, 1500, 1),
-                new Kind("book", 2, Kind.Effect.UNSAFE, 400, 1500, 1));
+        List<LoadClass> classes = List.of(
+                new LoadClass("look-up", 6, LoadClass.Effect.REPEATABLE, 0, 1000, 1),
+                new LoadClass("update", 2, LoadClass.Effect.KEYED, 200, 1500, 1),
+                new LoadClass("book", 2, LoadClass.Effect.UNSAFE, 400, 1500, 1));
         List<InetSocketAddress> targets = List.of(sidecar);
         run = new LoadRun(
-                new LoadPlan(targets, 1, CONNECTIONS, WARM_SECONDS),
-                Arrivals.drawn(new Schedule(List.of(new Shape.Constant(rate, seconds)), true, SEED), kinds, SEED),
-                (loop, most) -> new HttpDriver(loop, targets, most),
-                this::live);
+                new LoadPlan(targets, 1, CONNECTIONS, WARM_UP_SECONDS),
+                Arrivals.drawn(new Schedule(List.of(new Shape.Constant(rate, seconds)), true, SEED), classes, SEED),
+                (loop, maxConnections) -> new HttpDriver(loop, targets, maxConnections),
+                this::printSecond);
         begun.accept(run::stop);
         return run.run();
     }
 
-    private void live(Second second) {
-        int done = Math.min(seconds, second.number() + 1);
-        String bar = "#".repeat(BAR * done / seconds);
+    private void printSecond(Second second) {
+        int elapsedSeconds = Math.min(seconds, second.number() + 1);
+        String bar = "#".repeat(BAR_WIDTH * elapsedSeconds / seconds);
         StringBuilder line = new StringBuilder(String.format(
                 Locale.ROOT,
-                "%3d s [%-" + BAR + "s] sent %5d served %5d refused %4d failed %4d timed out %4d  p50 %6.1f "
+                "%3d s [%-" + BAR_WIDTH + "s] sent %5d served %5d refused %4d failed %4d timed out %4d  p50 %6.1f "
                         + "p99 %7.1f ms",
-                done,
+                elapsedSeconds,
                 bar,
                 second.wishes(),
-                second.count(End.SERVED),
-                second.count(End.REFUSED),
-                second.count(End.FAILED),
-                second.count(End.TIMED_OUT) + second.count(End.NOT_SENT),
+                second.count(RequestOutcome.SERVED),
+                second.count(RequestOutcome.REFUSED),
+                second.count(RequestOutcome.FAILED),
+                second.count(RequestOutcome.TIMED_OUT) + second.count(RequestOutcome.NOT_SENT),
                 second.ms(50),
                 second.ms(99)));
-        while (!happenings.isEmpty() && happenings.peek().atSeconds() <= done && done < seconds) {
-            Happening next = happenings.poll();
-            next.to(world);
-            events.merge(done, next.toString(), (a, b) -> a + ", " + b);
+        while (!schedule.isEmpty() && schedule.peek().atSeconds() <= elapsedSeconds && elapsedSeconds < seconds) {
+            ScheduledEvent next = schedule.poll();
+            next.applyTo(world);
+            appliedEvents.merge(elapsedSeconds, next.toString(), (a, b) -> a + ", " + b);
             line.append("  <- ").append(next);
         }
         out.println(line);
@@ -180,9 +185,9 @@
     }
 
     private Result result(LoadReport report, ByteArrayOutputStream log) {
-        ByteArrayOutputStream words = new ByteArrayOutputStream();
-        PrintStream summary = new PrintStream(words, true, StandardCharsets.UTF_8);
-        summary.println("What clients saw (the first " + WARM_SECONDS + " s left out):");
+        ByteArrayOutputStream text = new ByteArrayOutputStream();
+        PrintStream summary = new PrintStream(text, true, StandardCharsets.UTF_8);
+        summary.println("What clients saw (the first " + WARM_UP_SECONDS + " s left out):");
         report.print(summary);
         summary.println("What endpoints saw: " + world.ledger());
         boolean holds = report.differences().isEmpty()
@@ -193,11 +198,11 @@
                         ? "Held: each request one end, nothing unsafe run twice, nothing sent 500 ms after a drain was "
                                 + "told."
                         : "BROKEN: see the figures above.");
-        if (report.judgement().voidFrom() >= 0) {
+        if (report.lateness().voidFrom() >= 0) {
             summary.println("The times are rough: this machine was busy, and the load generator late.");
         }
         summary.println("The sidecar's log had "
                 + log.toString(StandardCharsets.UTF_8).lines().count() + " lines.");
-        return new Result(report, events, words.toString(StandardCharsets.UTF_8), holds);
+        return new Result(report, appliedEvents, text.toString(StandardCharsets.UTF_8), holds);
     }
 }
