--- a/fleet/src/main/java/martenlatch/fleet/rig/FrontDriver.java
+++ b/fleet/src/main/java/martenlatch/fleet/rig/FrontDriver.java
@@ -60,7 +60,12 @@
         });
         return () -> {
             boolean sent = call.giveUp();
-            history.record(What.ENDED, CLIENTS_NAME, name, id, (sent ? RequestOutcome.TIMED_OUT : RequestOutcome.NOT_SENT).toString());
+            history.record(
+                    What.ENDED,
+                    CLIENTS_NAME,
+                    name,
+                    id,
+                    (sent ? RequestOutcome.TIMED_OUT : RequestOutcome.NOT_SENT).toString());
             return sent;
         };
     }
